--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -40,7 +40,7 @@
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.signal_service import SignalService
-from driftstall.decisions.crash_blame import UNDER_WAY_S
+from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.retry import RetryBudget
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.exceptions import UpstreamError
--- a/driftstall/gateway/crash_keeping.py
+++ b/driftstall/gateway/crash_keeping.py
@@ -12,7 +12,7 @@
 import gevent
 
 from driftstall.const import PREFIX_ROUTING
-from driftstall.decisions.crash_blame import BlameTold
+from driftstall.decisions.poison_detection import BlameTold
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.state import GatewayState
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -13,10 +13,10 @@
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Request
 from driftstall.decisions.cold_starts import QUIET_START_S, UNTOLD_S, ColdPart, ColdStarts
-from driftstall.decisions.crash_blame import BlameBook
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.placers import MOST_COMPARED
+from driftstall.decisions.poison_detection import BlameBook
 from driftstall.decisions.store_versions import StoreEras
 from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
 from driftstall.gateway.cold_gate import ColdGate
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from driftstall.core import Problem
-from driftstall.decisions.crash_blame import UNDER_WAY_S
 from driftstall.decisions.permits import SendNeed
+from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.sends import SendHistory
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted, request_of
--- a/driftstall/peers/blame_messages.py
+++ b/driftstall/peers/blame_messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from driftstall.decisions.crash_blame import BlameTold
+from driftstall.decisions.poison_detection import BlameTold
 
 
 @dataclass(frozen=True, slots=True)
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -7,8 +7,7 @@
 from typing import Any, Final
 
 from behave import given, then, when
-
-from driftstall.decisions.crash_blame import (
+from driftstall.decisions.poison_detection import (
     KEPT_S,
     BlameBook,
     BlameTold,
@@ -16,6 +15,7 @@
     CrashTold,
     Verdict,
 )
+
 from features.worlds.blame_world import BlameWorld, Load, Outcome
 
 ONE: Final = "one"
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -9,10 +9,10 @@
 from typing import Any, Final
 
 from behave import given, then, when
+from driftstall.decisions.poison_detection import RESTS_S, BlameTold, CrashTold
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
-from driftstall.decisions.crash_blame import RESTS_S, BlameTold, CrashTold
 from driftstall.gateway import crash_watch
 from driftstall.gateway.crash_watch import CrashWatch
 from driftstall.gateway.ingress import CallerRequest
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Final
 
-from driftstall.decisions.crash_blame import UNDER_WAY_S, BlameBook, BlameTold, Crash
+from driftstall.decisions.poison_detection import UNDER_WAY_S, BlameBook, BlameTold, Crash
 
 END_S: Final = 60.0
 FATAL_FROM_S: Final = 2.0
