--- a/driftstall/gateway/crash_watch.py
+++ b/driftstall/gateway/crash_watch.py
@@ -14,8 +14,8 @@
 from gevent import socket
 
 from driftstall.const import PREFIX_ROUTING
-from driftstall.decisions.engine_words import Word
 from driftstall.decisions.poison_detection import KEPT_S, Crash
+from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import BrokenRun
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from driftstall.decisions.engine_words import Word
+from driftstall.decisions.upstream_probes import Word
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.gateway.model import (
     AnswerMarks,
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -13,9 +13,9 @@
 from typing import Final
 
 from driftstall.decisions.cold_starts import UNTOLD_S
-from driftstall.decisions.engine_words import DOUBTED_S
 from driftstall.decisions.leaving_signals import KEPT_S
 from driftstall.decisions.store_versions import DOUBT_S, LEFT_DOUBT_S, NO_VERSION, StoreVersion
+from driftstall.decisions.upstream_probes import DOUBTED_S
 from driftstall.gateway.fleet_book import Entry, FleetBook, Tombstone
 from driftstall.gateway.fleet_events import (
     Changed,
--- a/driftstall/gateway/inquiry.py
+++ b/driftstall/gateway/inquiry.py
@@ -14,7 +14,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.engine_words import ASK_EVERY_S, TOLD_AGAIN_S, Word, asks
+from driftstall.decisions.upstream_probes import ASK_EVERY_S, TOLD_AGAIN_S, Word, asks
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -11,9 +11,9 @@
 import gevent
 
 from driftstall.const import PREFIX_CONFIGURATION, PREFIX_DRAIN, PREFIX_MEMBERSHIP
-from driftstall.decisions.engine_words import Word
 from driftstall.decisions.freshness import longest_wait_s
 from driftstall.decisions.leaving_signals import LeavingRecord
+from driftstall.decisions.upstream_probes import Word
 from driftstall.exceptions import SettingsError
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordon_source import CordonSource
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -7,7 +7,7 @@
 import gevent
 import orjson
 
-from driftstall.decisions.engine_words import Word
+from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.dialect import MoveResult, SignalObserver, ignore_signals
 from driftstall.gateway.model import (
     AnswerMarks,
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -8,7 +8,7 @@
 import orjson
 
 from driftstall.const import PREFIX_RELAY
-from driftstall.decisions.engine_words import Word
+from driftstall.decisions.upstream_probes import Word
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.dialect import (
     MoveDone,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -8,9 +8,9 @@
 
 import gevent
 from behave import given, then, when
+from driftstall.decisions.upstream_probes import ASKERS, Word, asks
 
 from driftstall.core import Instance
-from driftstall.decisions.engine_words import ASKERS, Word, asks
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.crash_watch import CrashWatch
 from driftstall.gateway.dialect import MoveFailed
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -7,11 +7,11 @@
 from unittest.mock import patch
 
 from behave import given, then, when
+from driftstall.decisions.upstream_probes import Word
 from hypothesis import given as for_all
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from driftstall.decisions.engine_words import Word
 from driftstall.decisions.sends import KEPT_UP_AFTER_S
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -7,7 +7,8 @@
 from enum import StrEnum
 from typing import Final
 
-from driftstall.decisions.engine_words import DOUBTED_S
+from driftstall.decisions.upstream_probes import DOUBTED_S
+
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import LAPSE_GRACE_S, FleetController
 from driftstall.gateway.fleet_events import (
