--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -40,12 +40,6 @@
 from driftstall.gateway.policy_keeping import KeptPolicy, PolicyKeeper
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
-from driftstall.gateway.reliance import (
-    SETTLE_S,
-    FleetPace,
-    Reliance,
-    RevisionPace,
-)
 from driftstall.gateway.reports import LONGEST_AGE_S, MS, Standing
 from driftstall.gateway.sharing import Intake
 from driftstall.gateway.sources import (
@@ -55,6 +49,12 @@
 )
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.store_return import StoreReturn
+from driftstall.gateway.watch_delegation import (
+    SETTLE_S,
+    FleetPace,
+    Reliance,
+    RevisionPace,
+)
 from driftstall.helpers.log import BoundedWriter, log_event
 from driftstall.helpers.tasks import keep_running
 from driftstall.policy.model import Policy
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -32,11 +32,11 @@
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.reliance import FRESH_S, Reliance
 from driftstall.gateway.reports import MS, Reporting, Standing
 from driftstall.gateway.sharing import Intake, RoutingNotice, Sharing
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
+from driftstall.gateway.watch_delegation import FRESH_S, Reliance
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
--- a/driftstall/gateway/platform_reach.py
+++ b/driftstall/gateway/platform_reach.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Instance
 from driftstall.gateway.collectors import Roles
-from driftstall.gateway.reliance import FRESH_S, TRUST_S, Reliance
+from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, Reliance
 
 
 class Followed(Protocol):
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -10,6 +10,7 @@
 import gevent
 import orjson
 from behave import given, then, when
+from driftstall.gateway.watch_delegation import FleetPace, Reliance
 
 from driftstall.decisions.freshness import ANSWER_MARGIN_S, longest_wait_s
 from driftstall.decisions.store_versions import StoreVersion
@@ -19,7 +20,6 @@
 from driftstall.gateway.model import (
     RoutingText,
 )
-from driftstall.gateway.reliance import FleetPace, Reliance
 from driftstall.gateway.sources import RoutingSource
 from driftstall.platform.dialect import PlatformDialect
 from driftstall.platform.documents import read_routing
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
+from driftstall.gateway.watch_delegation import SETTLE_S, FleetPace, Reliance, RevisionPace
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import Roles
@@ -14,7 +15,6 @@
 from driftstall.gateway.fleet_events import Changed, Listed, Offered
 from driftstall.gateway.loads import FLEET, POOLED, LoadBook, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.reliance import SETTLE_S, FleetPace, Reliance, RevisionPace
 from driftstall.gateway.sharing import Intake, Sharing
 from driftstall.peers.gateway_messages import FleetAsked, FleetOffered, ZoneSummary
 from features.steps.gateway_fleet_steps import tell
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
+from driftstall.gateway.watch_delegation import FleetPace, Reliance
 from hypothesis import given as for_all
 from hypothesis import seed, settings
 from hypothesis import strategies as st
@@ -14,7 +15,6 @@
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.feeds import Follower, ItemChange
-from driftstall.gateway.reliance import FleetPace, Reliance
 from driftstall.gateway.sources import UpstreamSource
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
--- a/script/check_core.py
+++ b/script/check_core.py
@@ -21,7 +21,7 @@
     "model",
     "outcomes",
     "platform_reach",
-    "reliance",
+    "watch_delegation",
     "routes",
     "selection",
     "shared_budget",
