--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -35,14 +35,14 @@
 from driftstall.controllers.rank_lines import RankLines, WorkspaceLimits
 from driftstall.controllers.runner_book import RunnerBook
 from driftstall.core import Request, Verdict, Weights
-from driftstall.decisions.comeback import (
-    GRACE_S,
-    retry_after,
-)
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.isolation import LONG_PREFILL, LongPrefillSet, RunnerLoad
 from driftstall.decisions.lengths import LengthModel
 from driftstall.decisions.memory import Hold, hold_of, quantile
+from driftstall.decisions.retry_schedule import (
+    GRACE_S,
+    retry_after,
+)
 from driftstall.decisions.routing import Choice, RunnerView, choose
 from driftstall.decisions.yielding import Candidate, choose_victim
 
--- a/driftstall/controllers/rank_lines.py
+++ b/driftstall/controllers/rank_lines.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator
 
 from driftstall.core import Request, Verdict
-from driftstall.decisions.comeback import FLOOR_RATE, Promises, ServiceRate, forecast_wait
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.limits import TokenBucket
+from driftstall.decisions.retry_schedule import FLOOR_RATE, Promises, ServiceRate, forecast_wait
 
 NO_RANK = 99
 """Comes after every rank that a policy can give."""
--- a/driftstall/controllers/runner_book.py
+++ b/driftstall/controllers/runner_book.py
@@ -6,9 +6,9 @@
 
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.core import PrefixMark
-from driftstall.decisions.comeback import ServiceRate
 from driftstall.decisions.lengths import LengthModel
 from driftstall.decisions.memory import Hold, hold_of, total
+from driftstall.decisions.retry_schedule import ServiceRate
 
 REFRESH_S: Final = 0.25
 """Ticks renew a runner's forecast this often."""
