--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -36,7 +36,6 @@
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.peering import Peering
-from driftstall.gateway.platform_reach import FeedReach, PlatformReach
 from driftstall.gateway.policy_keeping import KeptPolicy, PolicyKeeper
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
@@ -48,6 +47,7 @@
     UpstreamSource,
 )
 from driftstall.gateway.state import GatewayState
+from driftstall.gateway.store_reachability import FeedReach, PlatformReach
 from driftstall.gateway.store_return import StoreReturn
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -8,7 +8,7 @@
 
 import gevent
 from behave import given, then, when
-from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, Reliance
+from driftstall.gateway.store_reachability import FeedReach, PlatformReach
 
 from driftstall.core import Instance
 from driftstall.decisions.upstream_probes import ASKERS, Word, asks
@@ -18,7 +18,7 @@
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.inquiry import Inquiry
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.platform_reach import FeedReach, PlatformReach
+from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, Reliance
 from driftstall.platform.names import KIND_UPSTREAMS
 from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
 from features.steps.gateway_node_steps import wait_long
--- a/script/check_core.py
+++ b/script/check_core.py
@@ -20,7 +20,7 @@
     "loads",
     "model",
     "outcomes",
-    "platform_reach",
+    "store_reachability",
     "watch_delegation",
     "routes",
     "selection",
