--- a/driftstall/controllers/rank_lines.py
+++ b/driftstall/controllers/rank_lines.py
@@ -8,7 +8,12 @@
 from driftstall.core import Request, Verdict
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.limits import TokenBucket
-from driftstall.decisions.retry_schedule import FLOOR_RATE, Promises, ServiceRate, forecast_wait
+from driftstall.decisions.retry_schedule import (
+    FLOOR_RATE,
+    QueueReservations,
+    ServiceRate,
+    forecast_wait,
+)
 
 NO_RANK = 99
 """Comes after every rank that a policy can give."""
@@ -21,7 +26,7 @@
         """Start empty."""
         self._queues: dict[int, FairQueue] = {}
         self._rates: dict[int, ServiceRate] = {}
-        self._promises: dict[int, Promises] = {}
+        self._promises: dict[int, QueueReservations] = {}
         self._waiting: dict[str, Waiting] = {}
         self._expiry: list[tuple[float, str]] = []
 
@@ -83,11 +88,11 @@
 
     def keep_place(self, rank: int, ticket: str, workspace: str, cost: float, until: float) -> None:
         """Promise a place until a time."""
-        self._promises.setdefault(rank, Promises()).make(ticket, workspace, cost, until)
+        self._promises.setdefault(rank, QueueReservations()).make(ticket, workspace, cost, until)
 
     def forecast(self, request: Request, verdict: Verdict, cost: float, now: float) -> float:
         """Forecast the wait of a newcomer, in seconds."""
-        promises = self._promises.setdefault(verdict.rank, Promises())
+        promises = self._promises.setdefault(verdict.rank, QueueReservations())
         promises.expire(now)
         queue = self._queues.setdefault(verdict.rank, FairQueue())
         if not len(queue) and not promises.cost:
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -53,7 +53,7 @@
         return max(self._floor, self._sum / max(1.0, self._span))
 
 
-class Promises:
+class QueueReservations:
     """Keep the places promised to refused requests of one rank."""
 
     def __init__(self) -> None:
