--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -25,7 +25,6 @@
 from driftstall.gateway.evacuation import Evacuation
 from driftstall.gateway.feeds import Feed, Follower, ItemChange, Pace
 from driftstall.gateway.fleet_events import FleetAction
-from driftstall.gateway.inquiry import Inquiry
 from driftstall.gateway.listeners import (
     CallerListener,
     LocateAnswers,
@@ -49,6 +48,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.store_reachability import FeedReach, PlatformReach
 from driftstall.gateway.store_return import StoreReturn
+from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     FleetPace,
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from behave import given, then, when
+from driftstall.gateway.upstream_prober import Inquiry
 from eliot import add_destinations, remove_destination
 
 from driftstall.core import Instance
@@ -14,7 +15,6 @@
 from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
 from driftstall.decisions.upstream_signals import BackoffSignal
 from driftstall.gateway.dialect import MoveFailed
-from driftstall.gateway.inquiry import Inquiry
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import Copy, KeptCopy
 from driftstall.peers.gateway_messages import PlacementAsked
