--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -11,7 +11,7 @@
 from driftstall.core import Instance, Problem, Ran, Runner
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.membership_service import MembershipService
-from driftstall.decisions.poison_detection import BlameBook, Crash
+from driftstall.decisions.poison_detection import Crash, PoisonTracker
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet, log_refusal
@@ -31,7 +31,7 @@
         """Start with nothing."""
         self._hub = hub
         self._members = members
-        self.book = BlameBook()
+        self.book = PoisonTracker()
         others = Fleet(
             live=lambda: members.live,
             hearers=lambda: members.live,
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -132,7 +132,7 @@
         return sum(one.weight for one in self.counted)
 
 
-class BlameBook:
+class PoisonTracker:
     """Hold what requests did to upstreams, as one instance and its peers have seen it."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -16,7 +16,7 @@
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.placers import MOST_COMPARED
-from driftstall.decisions.poison_detection import BlameBook
+from driftstall.decisions.poison_detection import PoisonTracker
 from driftstall.decisions.store_versions import StoreEras
 from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
 from driftstall.gateway.cold_gate import ColdGate
@@ -66,7 +66,7 @@
         self.outcomes = OutlierDetector()
         self.lengths = LearnedLengths()
         self.runs = RunBook()
-        self.blame = BlameBook()
+        self.blame = PoisonTracker()
         self.stats = GatewayStats()
         self.source = random.Random()
         self.instances = InstanceCount()
--- a/driftstall/helpers/blame_sharing.py
+++ b/driftstall/helpers/blame_sharing.py
@@ -17,7 +17,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.poison_detection import BlameBook, BlameTold, Verdict
+from driftstall.decisions.poison_detection import BlameTold, PoisonTracker, Verdict
 from driftstall.helpers.log import log_event
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.blame_messages import BlamesTold
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        book: BlameBook,
+        book: PoisonTracker,
         own_id: str,
         fleet: Fleet,
         *,
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -7,15 +7,15 @@
 from typing import Any, Final
 
 from behave import given, then, when
+
 from driftstall.decisions.poison_detection import (
     KEPT_S,
-    BlameBook,
     BlameTold,
     Crash,
     CrashTold,
+    PoisonTracker,
     Verdict,
 )
-
 from features.worlds.blame_world import BlameWorld, Load, Outcome
 
 ONE: Final = "one"
@@ -31,12 +31,12 @@
 }
 
 
-def _crashed(book: BlameBook, at: float, how: str, upstream_id: str) -> None:
+def _crashed(book: PoisonTracker, at: float, how: str, upstream_id: str) -> None:
     """Take in a crash."""
     book.crashed(ONE, Crash(upstream_id, at, how == "under way"))
 
 
-def _told(book: BlameBook, at: float, count: str, upstream_id: str, ago: str) -> None:
+def _told(book: PoisonTracker, at: float, count: str, upstream_id: str, ago: str) -> None:
     """Take in what a peer tells of crashes; the second one is three seconds older."""
     crashes = tuple(
         CrashTold(upstream_id, int(ago) * 1000 + 3000 * index, under_way=False)
@@ -45,12 +45,12 @@
     book.take([BlameTold(ONE, crashes, None)], at)
 
 
-def _told_well(book: BlameBook, at: float, ago: str) -> None:
+def _told_well(book: PoisonTracker, at: float, ago: str) -> None:
     """Take in that a peer has seen a good end."""
     book.take([BlameTold(ONE, (), int(ago) * 1000)], at)
 
 
-def _another(book: BlameBook, at: float, upstreams: str) -> None:
+def _another(book: PoisonTracker, at: float, upstreams: str) -> None:
     """Let another request have been beside crashes."""
     for index, upstream_id in enumerate(re.findall(r"\b[abc]\b(?!nd)", upstreams)):
         book.crashed(ANOTHER, Crash(upstream_id, float(index), under_way=False))
@@ -68,7 +68,7 @@
 @given("a request of which this is known: {known}")
 def known_facts(context: Any, known: str) -> None:
     """Tell a book what is known, in order."""
-    context.book = BlameBook()
+    context.book = PoisonTracker()
     for fact in () if known == "nothing" else known.split(", "):
         at, _, what = fact.partition(" ")
         for pattern, tell in FACTS:
@@ -91,7 +91,7 @@
 @given("a request with two crashes, and {count:d} others that callers have made up, with one each")
 def many_records(context: Any, count: int) -> None:
     """Fill a book."""
-    book = context.book = BlameBook()
+    book = context.book = PoisonTracker()
     for at, upstream_id in enumerate("ab"):
         book.crashed(ONE, Crash(upstream_id, float(at), under_way=False))
     for number in range(count):
@@ -126,7 +126,9 @@
     context.load = LOADS[load]
 
 
-def played(context: Any, seeds: int, book: Callable[[], BlameBook] = BlameBook) -> list[Outcome]:
+def played(
+    context: Any, seeds: int, book: Callable[[], PoisonTracker] = PoisonTracker
+) -> list[Outcome]:
     """Play some seeds."""
     return [BlameWorld(context.load, seed, book).play() for seed in range(1, seeds + 1)]
 
@@ -158,7 +160,7 @@
     assert found <= most, found
 
 
-class SilentBook(BlameBook):
+class SilentBook(PoisonTracker):
     """Hold what this instance alone has seen."""
 
     def take(self, told: Any, now: float) -> bool:
@@ -166,7 +168,7 @@
         return False
 
 
-class UnclearedBook(BlameBook):
+class UnclearedBook(PoisonTracker):
     """Clear no request."""
 
     def ended_well(self, fingerprint: str, now: float) -> bool:
@@ -194,7 +196,7 @@
 @given("two books with 9 crashes under a request, the first two of them noticed in different order")
 def two_books(context: Any) -> None:
     """Let two instances see crashes some moments apart."""
-    context.books = [BlameBook(), BlameBook()]
+    context.books = [PoisonTracker(), PoisonTracker()]
     later = [(f"u{number}", float(number)) for number in range(3, 10)]
     for book, first in zip(context.books, (("u1", "u2"), ("u2", "u1")), strict=True):
         for upstream_id, at in [(first[0], 1.0), (first[1], 1.2), *later]:
@@ -219,7 +221,7 @@
 @given("a request with two crashes, which ended well 20 s before them at one of two instances")
 def well_before(context: Any) -> None:
     """Let both know of the crashes."""
-    context.books = [BlameBook(), BlameBook()]
+    context.books = [PoisonTracker(), PoisonTracker()]
     context.books[0].ended_well(ONE, 0.0)
     for book in context.books:
         for upstream_id in ("a", "b", "c"):
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Final
 
-from driftstall.decisions.poison_detection import UNDER_WAY_S, BlameBook, BlameTold, Crash
+from driftstall.decisions.poison_detection import UNDER_WAY_S, BlameTold, Crash, PoisonTracker
 
 END_S: Final = 60.0
 FATAL_FROM_S: Final = 2.0
@@ -94,7 +94,9 @@
 class BlameWorld:
     """Play one load from a seed."""
 
-    def __init__(self, load: Load, seed: int, book: Callable[[], BlameBook] = BlameBook) -> None:
+    def __init__(
+        self, load: Load, seed: int, book: Callable[[], PoisonTracker] = PoisonTracker
+    ) -> None:
         """Start with all engines and instances up; book makes an instance's book."""
         self._load = load
         self._source = random.Random(seed)
