--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -16,7 +16,6 @@
 from driftstall.decisions.leaving_signals import KEPT_S
 from driftstall.decisions.store_versions import DOUBT_S, LEFT_DOUBT_S, NO_VERSION, StoreVersion
 from driftstall.decisions.upstream_probes import DOUBTED_S
-from driftstall.gateway.fleet_book import Entry, FleetBook, Tombstone
 from driftstall.gateway.fleet_events import (
     Changed,
     Cordoned,
@@ -36,6 +35,7 @@
     UpstreamReplaced,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
+from driftstall.gateway.upstream_registry import Entry, FleetBook, Tombstone
 
 LAPSE_GRACE_S: Final = 2.2
 """Entries that lapsed during an outage of the platform are back within two seconds."""
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -16,9 +16,9 @@
     UnknownSignal,
     UnreadableSignal,
 )
-from driftstall.gateway.fleet_book import FleetBook
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.stats import GatewayStats
+from driftstall.gateway.upstream_registry import FleetBook
 from driftstall.helpers.log import log_event
 from driftstall.helpers.rate_limiting import RateLimiting
 
--- a/script/check_core.py
+++ b/script/check_core.py
@@ -15,7 +15,7 @@
     "dialect",
     "events",
     "fleet",
-    "fleet_book",
+    "upstream_registry",
     "fleet_events",
     "loads",
     "model",
