--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lot:
+class Sampler:
     """Hold the chance in a choice, and among how many options it is made."""
 
     source: random.Random
@@ -92,7 +92,7 @@
         return NOISE * self.source.random()
 
 
-def choose_call(options: Iterable[Option], lot: Lot) -> Option | None:
+def choose_call(options: Iterable[Option], lot: Sampler) -> Option | None:
     """Return the upstream for a plain call: the one with the most free places."""
 
     def cost(option: Option) -> float:
@@ -103,7 +103,7 @@
 
 
 def choose_stream(
-    options: Iterable[Option], engine: Engine, need: Need, zone: str, lot: Lot
+    options: Iterable[Option], engine: Engine, need: Need, zone: str, lot: Sampler
 ) -> Option | None:
     """Return the upstream for a generation."""
 
@@ -138,7 +138,7 @@
 
 
 def choose_backup(
-    options: Iterable[Option], engine: Engine, need: Need, primary: Upstream, lot: Lot
+    options: Iterable[Option], engine: Engine, need: Need, primary: Upstream, lot: Sampler
 ) -> Option | None:
     """Return the engine that keeps a copy of a run, or None where none has room."""
     known = list(options)
@@ -164,7 +164,7 @@
     engine: Engine,
     need: Need,
     primary: Upstream,
-    lot: Lot,
+    lot: Sampler,
     *,
     most_memory: float,
 ) -> Option | None:
@@ -205,14 +205,16 @@
     return [one for one in options if not one.is_limited] or options
 
 
-def _near_first(options: list[Option], zone: str, lot: Lot) -> list[Option]:
+def _near_first(options: list[Option], zone: str, lot: Sampler) -> list[Option]:
     """Return the options of a zone if there are any, where only some are compared."""
     if lot.drawn is None:
         return options
     return [one for one in options if one.upstream.zone == zone] or options
 
 
-def _least(options: Iterable[Option], cost: Callable[[Option], float], lot: Lot) -> Option | None:
+def _least(
+    options: Iterable[Option], cost: Callable[[Option], float], lot: Sampler
+) -> Option | None:
     """Return the cheapest of the options drawn; an ejected one only if all are."""
     known = list(options)
     awake = [option for option in known if not option.is_ejected]
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -29,7 +29,7 @@
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.routes import RouteTable
 from driftstall.gateway.runs import BrokenRun, RunBook, StreamRun
-from driftstall.gateway.selection import DRAWN, Lot, Option
+from driftstall.gateway.selection import DRAWN, Option, Sampler
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
 from driftstall.gateway.stats import GatewayStats
 from driftstall.gateway.upstream_signals import UpstreamSignals
@@ -103,7 +103,7 @@
         """Takes an era that a peer knows of the platform's store."""
         self.crash_cleared: Callable[[str], None] = _ignore_fingerprint
         """Takes a request that is held to have crashed upstreams no more."""
-        self.lot = Lot(self.source)
+        self.lot = Sampler(self.source)
         self._started_at = self.now()
         self.cold_gate = ColdGate(self.cold, self.source, self._cold_part, lambda: self.now())
         self._budgets: dict[str, SharedRetryBudget] = {}
@@ -144,7 +144,7 @@
 
     def use_pooled_sums(self, pooled: bool) -> None:
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
-        self.lot = Lot(self.source, DRAWN if pooled else None)
+        self.lot = Sampler(self.source, DRAWN if pooled else None)
 
     def call_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -23,8 +23,8 @@
 from driftstall.gateway.loads import Share
 from driftstall.gateway.selection import (
     FAR_STREAM_PENALTY,
-    Lot,
     Need,
+    Sampler,
     choose_backup,
     choose_stream,
     has_room,
@@ -97,7 +97,7 @@
         self._forget_expired()
         engine = service.engine
         # Whoever places for all knows all engines alike.
-        lot = Lot(self._state.source, far_penalty=FAR_STREAM_PENALTY)
+        lot = Sampler(self._state.source, far_penalty=FAR_STREAM_PENALTY)
         need = Need(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
         chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, lot)
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, Offered, UpstreamCold
 from driftstall.gateway.loads import Use
-from driftstall.gateway.selection import Lot, Option, choose_backup, choose_move
+from driftstall.gateway.selection import Option, Sampler, choose_backup, choose_move
 from features.worlds.gateway_world import GatewayWorld, document, world_of
 from features.worlds.upstream_samples import ENGINE, NEED, upstream_of
 
@@ -218,7 +218,7 @@
         Option(upstream_of("cold"), Use("cold"), 0.0, False, cold_s=1.0),
         Option(upstream_of("warm"), full, 0.0, False),
     ]
-    lot, primary = Lot(random.Random(1)), upstream_of("primary")
+    lot, primary = Sampler(random.Random(1)), upstream_of("primary")
     kept = choose_backup(options, ENGINE, NEED, primary, lot)
     moved = choose_move(options, ENGINE, NEED, primary, lot, most_memory=1.0)
     for chosen in (kept, moved):
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -12,8 +12,8 @@
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.selection import (
     DRAWN,
-    Lot,
     Option,
+    Sampler,
     choose_backup,
     choose_call,
     choose_move,
@@ -61,7 +61,7 @@
 def with_room(context: Any) -> None:
     """Choose among two."""
     chosen = choose_stream(
-        [option("u1", 30_000), option("u2", 0, "b")], ENGINE, NEED, "a", Lot(random.Random(1))
+        [option("u1", 30_000), option("u2", 0, "b")], ENGINE, NEED, "a", Sampler(random.Random(1))
     )
     assert chosen is not None and chosen.upstream.upstream_id == "u2"
 
@@ -70,7 +70,7 @@
 def no_copy(context: Any) -> None:
     """Choose where there is no room."""
     options = [option("u1", 0), option("u2", 25_000)]
-    chosen = choose_backup(options, ENGINE, NEED, options[0].upstream, Lot(random.Random(1)))
+    chosen = choose_backup(options, ENGINE, NEED, options[0].upstream, Sampler(random.Random(1)))
     assert chosen is None, chosen
 
 
@@ -79,7 +79,7 @@
     """Choose a move's target."""
     options = [option("far", 0, "b"), option("near", 8_600)]
     primary = upstream_of("u1")
-    chosen = choose_move(options, ENGINE, NEED, primary, Lot(random.Random(1)), most_memory=1.0)
+    chosen = choose_move(options, ENGINE, NEED, primary, Sampler(random.Random(1)), most_memory=1.0)
     assert chosen is not None and chosen.upstream.upstream_id == "near"
 
 
@@ -138,7 +138,7 @@
         )
         for name in busy
     ]
-    chosen = choose_call(options, Lot(random.Random(int(context.at * 10))))
+    chosen = choose_call(options, Sampler(random.Random(int(context.at * 10))))
     assert chosen is not None
     return chosen.upstream.name
 
@@ -191,7 +191,7 @@
     options = [*engines_of("aaaaaaaa", 5_000), option("empty", 0)]
     chosen: Counter[str] = Counter()
     for seed in range(200):
-        found = choose_stream(options, ENGINE, NEED, "a", Lot(random.Random(seed), DRAWN))
+        found = choose_stream(options, ENGINE, NEED, "a", Sampler(random.Random(seed), DRAWN))
         assert found is not None
         chosen[found.upstream.upstream_id] += 1
     assert max(chosen.values()) <= 0.4 * 200, chosen
@@ -201,7 +201,7 @@
 @then("a generation goes to a far engine only where the near ones are busy")
 def far_if_busy(context: Any) -> None:
     """Compare near engines that are empty and nearly full, before far ones that are empty."""
-    lot = Lot(random.Random(1), DRAWN)
+    lot = Sampler(random.Random(1), DRAWN)
     far = engines_of("bbbb")
     for tokens, zone in ((9_000, "a"), (24_000, "b"), (30_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
@@ -212,7 +212,7 @@
 @then("a move goes to a far engine only where no near one has room")
 def move_far(context: Any) -> None:
     """Choose a target with and without room near by."""
-    lot = Lot(random.Random(1), DRAWN)
+    lot = Sampler(random.Random(1), DRAWN)
     far, primary = engines_of("bbbb"), upstream_of("u1")
     for tokens, zone in ((20_000, "a"), (34_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -23,7 +23,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Engine, Upstream, UpstreamState
-from driftstall.gateway.selection import Lot, Need, Option, choose_stream
+from driftstall.gateway.selection import Need, Option, Sampler, choose_stream
 
 ENGINES: Final = 23
 REQUESTS_PER_S: Final = 24.0
@@ -94,7 +94,7 @@
 def play(age_s: float, compared: int | None, seed: int) -> Row:
     """Place a minute of generations on sums of an age."""
     source = random.Random(seed)
-    lot = Lot(source, compared)
+    lot = Sampler(source, compared)
     placed: list[Placed] = []
     reads_until = [0.0] * ENGINES
     waits: list[float] = []
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -25,7 +25,14 @@
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.selection import DRAWN, FAR_STREAM_PENALTY, Lot, Need, Option, choose_stream
+from driftstall.gateway.selection import (
+    DRAWN,
+    FAR_STREAM_PENALTY,
+    Need,
+    Option,
+    Sampler,
+    choose_stream,
+)
 from measures.stale_sums import ENGINE, Placed, Row, seen_use
 
 ZONES: Final = "abcde"
@@ -96,7 +103,7 @@
 def play(seed: int, *, knows_all: bool, seconds: float = SECONDS) -> Row:
     """Place generations for some seconds, the first ten of which do not count."""
     source = random.Random(seed)
-    lot = Lot(source, far_penalty=FAR_STREAM_PENALTY) if knows_all else Lot(source, DRAWN)
+    lot = Sampler(source, far_penalty=FAR_STREAM_PENALTY) if knows_all else Sampler(source, DRAWN)
     model = Model()
     waits: list[float] = []
     overfull = 0
