--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -18,8 +18,8 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
+from driftstall.gateway.crash_detector import CrashWatch
 from driftstall.gateway.crash_keeping import CrashKeeper, KeptCrashes
-from driftstall.gateway.crash_watch import CrashWatch
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -9,12 +9,12 @@
 from typing import Any, Final
 
 from behave import given, then, when
-from driftstall.decisions.poison_detection import RESTS_S, BlameTold, CrashTold
+from driftstall.gateway.crash_detector import CrashWatch
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
-from driftstall.gateway import crash_watch
-from driftstall.gateway.crash_watch import CrashWatch
+from driftstall.decisions.poison_detection import RESTS_S, BlameTold, CrashTold
+from driftstall.gateway import crash_detector
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import MetricsAnswers, SmallListener, fingerprint_of
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
@@ -55,9 +55,9 @@
     """Start a gateway whose broken runs are looked into; it tells no peers."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
-    usual = crash_watch.LOOK_AGAIN_S
-    crash_watch.LOOK_AGAIN_S = 0.01  # type: ignore[misc]
-    context.add_cleanup(setattr, crash_watch, "LOOK_AGAIN_S", usual)
+    usual = crash_detector.LOOK_AGAIN_S
+    crash_detector.LOOK_AGAIN_S = 0.01  # type: ignore[misc]
+    context.add_cleanup(setattr, crash_detector, "LOOK_AGAIN_S", usual)
     context.convicted = []
     watch = CrashWatch(
         world.state,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -8,16 +8,16 @@
 
 import gevent
 from behave import given, then, when
-from driftstall.gateway.upstream_prober import Inquiry
+from driftstall.gateway.crash_detector import CrashWatch
 
 from driftstall.core import Instance
 from driftstall.decisions.upstream_probes import ASKERS, Word, asks
 from driftstall.gateway.collectors import Roles
-from driftstall.gateway.crash_watch import CrashWatch
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReach, PlatformReach
+from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, Reliance
 from driftstall.platform.names import KIND_UPSTREAMS
 from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
