--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -111,7 +111,7 @@
         self._upstreams = UpstreamSource(
             self.state,
             leaving=Evacuation(self.state, mover).start,
-            pass_change=self._pass_change,
+            publish_change=self._pass_change,
             pass_action=self._pass_action,
             announce=self._announce,
             silence=lambda: self._upstream_pace.silence_s,
@@ -330,7 +330,7 @@
 
     def _pass_change(self, change: ItemChange[Upstream]) -> None:
         """Tell a change to the peers that the platform does not answer."""
-        self._peering.pass_change(change)
+        self._peering.publish_change(change)
 
     def _pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Tell the zone who joined or leaves, if this instance collects for it."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -191,9 +191,9 @@
         if self._roles.collects:
             self._apply(Leave())
 
-    def pass_change(self, change: ItemChange[Upstream]) -> None:
+    def publish_change(self, change: ItemChange[Upstream]) -> None:
         """Pass a change of an upstream on that the platform has told."""
-        self._sharing.pass_change(change, self._reporting.peers_without_platform)
+        self._sharing.publish_change(change, self._reporting.peers_without_platform)
 
     def pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Pass on who joined or leaves."""
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -105,7 +105,7 @@
 
     # What this instance passes on.
 
-    def pass_change(self, change: ItemChange[Upstream], peers: Iterable[str]) -> None:
+    def publish_change(self, change: ItemChange[Upstream], peers: Iterable[str]) -> None:
         """Tell a change from the platform to peers that the platform does not answer."""
         if self._roles().large:
             return
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -216,7 +216,7 @@
         state: GatewayState,
         *,
         leaving: Callable[[Upstream], None],
-        pass_change: Callable[[ItemChange[Upstream]], None],
+        publish_change: Callable[[ItemChange[Upstream]], None],
         pass_action: PassAction,
         announce: Callable[[], None],
         silence: Callable[[], float],
@@ -227,7 +227,7 @@
         """
         self._state = state
         self._leaving = leaving
-        self._pass_change = pass_change
+        self._pass_change = publish_change
         self._pass_action = pass_action
         self._announce = announce
         self._silence = silence
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from behave import given, then, when
-from driftstall.gateway.watch_delegation import FleetPace, Reliance
 from hypothesis import given as for_all
 from hypothesis import seed, settings
 from hypothesis import strategies as st
@@ -16,6 +15,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.feeds import Follower, ItemChange
 from driftstall.gateway.sources import UpstreamSource
+from driftstall.gateway.watch_delegation import FleetPace, Reliance
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
 from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, Tell
@@ -81,7 +81,7 @@
     context.source = UpstreamSource(
         world.state,
         leaving=lambda _: None,
-        pass_change=lambda _: None,
+        publish_change=lambda _: None,
         pass_action=lambda action, *, from_peer: None,
         announce=lambda: None,
         silence=lambda: context.pace.silence_s,
