--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
 from driftstall.gateway.crash_detector import CrashWatch
-from driftstall.gateway.crash_keeping import CrashKeeper, KeptCrashes
+from driftstall.gateway.crash_persistence import CrashKeeper, KeptCrashes
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
