--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -112,7 +112,7 @@
             self.state,
             leaving=Evacuation(self.state, mover).start,
             publish_change=self._pass_change,
-            pass_action=self._pass_action,
+            publish_action=self._pass_action,
             announce=self._announce,
             silence=lambda: self._upstream_pace.silence_s,
         )
@@ -334,7 +334,7 @@
 
     def _pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Tell the zone who joined or leaves, if this instance collects for it."""
-        self._peering.pass_action(action, from_peer=from_peer)
+        self._peering.publish_action(action, from_peer=from_peer)
 
     def _roles(self) -> Roles:
         """Return who collects."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -195,9 +195,9 @@
         """Pass a change of an upstream on that the platform has told."""
         self._sharing.publish_change(change, self._reporting.peers_without_platform)
 
-    def pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
+    def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Pass on who joined or leaves."""
-        self._sharing.pass_action(action, from_peer=from_peer)
+        self._sharing.publish_action(action, from_peer=from_peer)
 
     def pass_doubt(self, upstream_id: str) -> None:
         """Tell all that an upstream says itself that it leaves, or that it is gone."""
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -120,7 +120,7 @@
         for _, change in self._recent:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.gone))
 
-    def pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
+    def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Tell who joined or leaves.
 
         In a large fleet a collector tells its zone, and other zones if the platform told it.
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -217,7 +217,7 @@
         *,
         leaving: Callable[[Upstream], None],
         publish_change: Callable[[ItemChange[Upstream]], None],
-        pass_action: PassAction,
+        publish_action: PassAction,
         announce: Callable[[], None],
         silence: Callable[[], float],
     ) -> None:
@@ -228,7 +228,7 @@
         self._state = state
         self._leaving = leaving
         self._pass_change = publish_change
-        self._pass_action = pass_action
+        self._pass_action = publish_action
         self._announce = announce
         self._silence = silence
 
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -82,7 +82,7 @@
         world.state,
         leaving=lambda _: None,
         publish_change=lambda _: None,
-        pass_action=lambda action, *, from_peer: None,
+        publish_action=lambda action, *, from_peer: None,
         announce=lambda: None,
         silence=lambda: context.pace.silence_s,
     )
