--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -35,7 +35,7 @@
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.peering import Peering
-from driftstall.gateway.policy_keeping import KeptPolicy, PolicyKeeper
+from driftstall.gateway.policy_persistence import KeptPolicy, PolicyKeeper
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
 from driftstall.gateway.reports import LONGEST_AGE_S, MS, Standing
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -7,6 +7,7 @@
 
 import orjson
 from behave import given, then, when
+from driftstall.gateway.policy_persistence import PolicyKeeper
 
 from driftstall.decisions.store_versions import DOUBT_S, StoreEras, StoreVersion
 from driftstall.exceptions import HistoryGone, PlatformUnavailable
@@ -23,7 +24,6 @@
     UpstreamLeaving,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
-from driftstall.gateway.policy_keeping import PolicyKeeper
 from driftstall.gateway.sources import PolicySource
 from driftstall.platform.names import KIND_POLICY, KIND_UPSTREAMS
 from driftstall.platform.store import Store
