--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -154,7 +154,7 @@
         return self._state.rate_limiting.take_one(
             self._state.cold_gate.open(options),
             lambda one: one.upstream.upstream_id,
-            lambda left: choose_call(left, self._state.lot),
+            lambda left: choose_call(left, self._state.sampler),
             SendNeed(self._patience_s(), self._admitted.verdict.rank),
             self._admitted.marks.request_id,
         )
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -43,7 +43,7 @@
         need = Need(run.held_tokens, 0)
         options = self._state.options(run.upstream.service, avoid | {run.upstream.upstream_id})
         chosen = choose_move(
-            options, engine, need, run.upstream, self._state.lot, most_memory=most_memory
+            options, engine, need, run.upstream, self._state.sampler, most_memory=most_memory
         )
         return chosen.upstream if chosen else None
 
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -157,7 +157,7 @@
         settings = self._state.settings
         gate = self._state.cold_gate
         chosen = choose_stream(
-            gate.open(options), self.engine, need, settings.zone, self._state.lot
+            gate.open(options), self.engine, need, settings.zone, self._state.sampler
         )
         if chosen is None:
             return None
@@ -174,7 +174,7 @@
         if not self.engine.can_backup or not self._wants_backup():
             return None
         options = self._state.options(self._admitted.service.name, avoid)
-        chosen = choose_backup(options, self.engine, need, primary, self._state.lot)
+        chosen = choose_backup(options, self.engine, need, primary, self._state.sampler)
         return chosen.upstream if chosen else None
 
     def _wants_backup(self) -> bool:
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -92,32 +92,32 @@
         return NOISE * self.source.random()
 
 
-def choose_call(options: Iterable[Option], lot: Sampler) -> Option | None:
+def choose_call(options: Iterable[Option], sampler: Sampler) -> Option | None:
     """Return the upstream for a plain call: the one with the most free places."""
 
     def cost(option: Option) -> float:
         busy = (option.use.running + 1) / max(1, option.upstream.slots)
-        return busy * (1 + option.penalty) + option.penalty + lot.noise()
+        return busy * (1 + option.penalty) + option.penalty + sampler.noise()
 
-    return _least(options, cost, lot)
+    return _least(options, cost, sampler)
 
 
 def choose_stream(
-    options: Iterable[Option], engine: Engine, need: Need, zone: str, lot: Sampler
+    options: Iterable[Option], engine: Engine, need: Need, zone: str, sampler: Sampler
 ) -> Option | None:
     """Return the upstream for a generation."""
 
     def cost(option: Option) -> float:
-        far = lot.far_penalty if option.upstream.zone != zone else 0.0
-        return _stream_cost(option, engine, need) + far + lot.noise()
+        far = sampler.far_penalty if option.upstream.zone != zone else 0.0
+        return _stream_cost(option, engine, need) + far + sampler.noise()
 
     known = list(options)
-    if lot.drawn is None:
-        return _least(known, cost, lot)
-    near = _least([one for one in known if one.upstream.zone == zone], cost, lot)
+    if sampler.drawn is None:
+        return _least(known, cost, sampler)
+    near = _least([one for one in known if one.upstream.zone == zone], cost, sampler)
     if near is not None and not near.is_ejected and cost(near) <= COMFORT:
         return near
-    far = _least([one for one in known if one.upstream.zone != zone], cost, lot)
+    far = _least([one for one in known if one.upstream.zone != zone], cost, sampler)
     if near is None or far is None:
         return near or far
     if near.is_ejected != far.is_ejected:
@@ -138,7 +138,7 @@
 
 
 def choose_backup(
-    options: Iterable[Option], engine: Engine, need: Need, primary: Upstream, lot: Sampler
+    options: Iterable[Option], engine: Engine, need: Need, primary: Upstream, sampler: Sampler
 ) -> Option | None:
     """Return the engine that keeps a copy of a run, or None where none has room."""
     known = list(options)
@@ -154,9 +154,9 @@
 
     def cost(option: Option) -> float:
         far = FAR_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + lot.noise()
+        return _memory(option.use, engine, need.total) + far + sampler.noise()
 
-    return _least(_near_first(_unlimited(fitting), primary.zone, lot), cost, lot)
+    return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def choose_move(
@@ -164,7 +164,7 @@
     engine: Engine,
     need: Need,
     primary: Upstream,
-    lot: Sampler,
+    sampler: Sampler,
     *,
     most_memory: float,
 ) -> Option | None:
@@ -178,9 +178,9 @@
 
     def cost(option: Option) -> float:
         far = FAR_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + lot.noise()
+        return _memory(option.use, engine, need.total) + far + sampler.noise()
 
-    return _least(_near_first(_unlimited(fitting), primary.zone, lot), cost, lot)
+    return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def _stream_cost(option: Option, engine: Engine, need: Need) -> float:
@@ -205,17 +205,17 @@
     return [one for one in options if not one.is_limited] or options
 
 
-def _near_first(options: list[Option], zone: str, lot: Sampler) -> list[Option]:
+def _near_first(options: list[Option], zone: str, sampler: Sampler) -> list[Option]:
     """Return the options of a zone if there are any, where only some are compared."""
-    if lot.drawn is None:
+    if sampler.drawn is None:
         return options
     return [one for one in options if one.upstream.zone == zone] or options
 
 
 def _least(
-    options: Iterable[Option], cost: Callable[[Option], float], lot: Sampler
+    options: Iterable[Option], cost: Callable[[Option], float], sampler: Sampler
 ) -> Option | None:
     """Return the cheapest of the options drawn; an ejected one only if all are."""
     known = list(options)
     awake = [option for option in known if not option.is_ejected]
-    return min(lot.draw(awake or known), key=cost, default=None)
+    return min(sampler.draw(awake or known), key=cost, default=None)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -103,7 +103,7 @@
         """Takes an era that a peer knows of the platform's store."""
         self.crash_cleared: Callable[[str], None] = _ignore_fingerprint
         """Takes a request that is held to have crashed upstreams no more."""
-        self.lot = Sampler(self.source)
+        self.sampler = Sampler(self.source)
         self._started_at = self.now()
         self.cold_gate = ColdGate(self.cold, self.source, self._cold_part, lambda: self.now())
         self._budgets: dict[str, SharedRetryBudget] = {}
@@ -144,11 +144,11 @@
 
     def use_pooled_sums(self, pooled: bool) -> None:
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
-        self.lot = Sampler(self.source, DRAWN if pooled else None)
+        self.sampler = Sampler(self.source, DRAWN if pooled else None)
 
     def call_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
-        if self.lot.drawn is None:
+        if self.sampler.drawn is None:
             self.loads_changed.set()
 
     def forget_peers(self) -> None:
@@ -285,7 +285,7 @@
             return None
         if self.now() - self._started_at < QUIET_START_S:
             return ColdPart(0.0)
-        placed = self.lot.drawn is not None
+        placed = self.sampler.drawn is not None
         return ColdPart.of_instance(rate, self.instances.value, placed=placed)
 
     def expected_tokens(self, request: Request, hint: int) -> int:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -97,15 +97,15 @@
         self._forget_expired()
         engine = service.engine
         # Whoever places for all knows all engines alike.
-        lot = Sampler(self._state.source, far_penalty=FAR_STREAM_PENALTY)
+        sampler = Sampler(self._state.source, far_penalty=FAR_STREAM_PENALTY)
         need = Need(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
-        chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, lot)
+        chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, sampler)
         if chosen is None:
             return PlacementGiven(self._own_id, asked.request_id, "", "", False)
         backup = None
         if asked.wants_backup:
-            backup = choose_backup(options, engine, need, chosen.upstream, self._state.lot)
+            backup = choose_backup(options, engine, need, chosen.upstream, self._state.sampler)
         given = PlacementGiven(
             self._own_id,
             asked.request_id,
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -218,8 +218,8 @@
         Option(upstream_of("cold"), Use("cold"), 0.0, False, cold_s=1.0),
         Option(upstream_of("warm"), full, 0.0, False),
     ]
-    lot, primary = Sampler(random.Random(1)), upstream_of("primary")
-    kept = choose_backup(options, ENGINE, NEED, primary, lot)
-    moved = choose_move(options, ENGINE, NEED, primary, lot, most_memory=1.0)
+    sampler, primary = Sampler(random.Random(1)), upstream_of("primary")
+    kept = choose_backup(options, ENGINE, NEED, primary, sampler)
+    moved = choose_move(options, ENGINE, NEED, primary, sampler, most_memory=1.0)
     for chosen in (kept, moved):
         assert chosen is not None and chosen.upstream.upstream_id == "warm", chosen
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -201,20 +201,20 @@
 @then("a generation goes to a far engine only where the near ones are busy")
 def far_if_busy(context: Any) -> None:
     """Compare near engines that are empty and nearly full, before far ones that are empty."""
-    lot = Sampler(random.Random(1), DRAWN)
+    sampler = Sampler(random.Random(1), DRAWN)
     far = engines_of("bbbb")
     for tokens, zone in ((9_000, "a"), (24_000, "b"), (30_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
-        found = choose_stream(options, ENGINE, NEED, "a", lot)
+        found = choose_stream(options, ENGINE, NEED, "a", sampler)
         assert found is not None and found.upstream.zone == zone, found
 
 
 @then("a move goes to a far engine only where no near one has room")
 def move_far(context: Any) -> None:
     """Choose a target with and without room near by."""
-    lot = Sampler(random.Random(1), DRAWN)
+    sampler = Sampler(random.Random(1), DRAWN)
     far, primary = engines_of("bbbb"), upstream_of("u1")
     for tokens, zone in ((20_000, "a"), (34_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
-        found = choose_move(options, ENGINE, NEED, primary, lot, most_memory=1.0)
+        found = choose_move(options, ENGINE, NEED, primary, sampler, most_memory=1.0)
         assert found is not None and found.upstream.zone == zone, found
--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -94,7 +94,7 @@
 def play(age_s: float, compared: int | None, seed: int) -> Row:
     """Place a minute of generations on sums of an age."""
     source = random.Random(seed)
-    lot = Sampler(source, compared)
+    sampler = Sampler(source, compared)
     placed: list[Placed] = []
     reads_until = [0.0] * ENGINES
     waits: list[float] = []
@@ -113,7 +113,7 @@
             )
             for index in range(ENGINES)
         ]
-        chosen = choose_stream(options, ENGINE, need, "a", lot)
+        chosen = choose_stream(options, ENGINE, need, "a", sampler)
         assert chosen is not None
         engine = int(chosen.upstream.upstream_id)
         running = [one for one in placed if one.engine == engine and one.ends_at > now]
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -103,7 +103,9 @@
 def play(seed: int, *, knows_all: bool, seconds: float = SECONDS) -> Row:
     """Place generations for some seconds, the first ten of which do not count."""
     source = random.Random(seed)
-    lot = Sampler(source, far_penalty=FAR_STREAM_PENALTY) if knows_all else Sampler(source, DRAWN)
+    sampler = (
+        Sampler(source, far_penalty=FAR_STREAM_PENALTY) if knows_all else Sampler(source, DRAWN)
+    )
     model = Model()
     waits: list[float] = []
     overfull = 0
@@ -114,7 +116,7 @@
         zone = source.choice(ZONES)
         model.forget(now)
         options = _options(model.placed, zone, now, knows_all=knows_all)
-        chosen = choose_stream(options, ENGINE, need, zone, lot)
+        chosen = choose_stream(options, ENGINE, need, zone, sampler)
         assert chosen is not None
         wait_s, full = model.run(int(chosen.upstream.upstream_id), need, now)
         if now > WARM_S:
