--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -47,7 +47,7 @@
 )
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.store_reachability import FeedReach, PlatformReach
-from driftstall.gateway.store_return import StoreReturn
+from driftstall.gateway.store_recovery import StoreReturn
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
