--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -76,16 +76,16 @@
     """Hold the chance in a choice, and among how many options it is made."""
 
     source: random.Random
-    drawn: int | None = None
+    sample_size: int | None = None
     """Options that are compared; None for all."""
     far_penalty: float = FAR_PENALTY
     """Weight of another zone for a stream where all options are compared."""
 
     def draw(self, options: Sequence[Option]) -> Sequence[Option]:
         """Return the options to compare."""
-        if self.drawn is None or len(options) <= self.drawn:
+        if self.sample_size is None or len(options) <= self.sample_size:
             return options
-        return self.source.sample(options, self.drawn)
+        return self.source.sample(options, self.sample_size)
 
     def noise(self) -> float:
         """Return a small cost by which equal options are told apart."""
@@ -112,7 +112,7 @@
         return _stream_cost(option, engine, need) + far + sampler.noise()
 
     known = list(options)
-    if sampler.drawn is None:
+    if sampler.sample_size is None:
         return _least(known, cost, sampler)
     near = _least([one for one in known if one.upstream.zone == zone], cost, sampler)
     if near is not None and not near.is_ejected and cost(near) <= COMFORT:
@@ -207,7 +207,7 @@
 
 def _near_first(options: list[Option], zone: str, sampler: Sampler) -> list[Option]:
     """Return the options of a zone if there are any, where only some are compared."""
-    if sampler.drawn is None:
+    if sampler.sample_size is None:
         return options
     return [one for one in options if one.upstream.zone == zone] or options
 
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -148,7 +148,7 @@
 
     def call_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
-        if self.sampler.drawn is None:
+        if self.sampler.sample_size is None:
             self.loads_changed.set()
 
     def forget_peers(self) -> None:
@@ -285,7 +285,7 @@
             return None
         if self.now() - self._started_at < QUIET_START_S:
             return ColdPart(0.0)
-        placed = self.sampler.drawn is not None
+        placed = self.sampler.sample_size is not None
         return ColdPart.of_instance(rate, self.instances.value, placed=placed)
 
     def expected_tokens(self, request: Request, hint: int) -> int:
