--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -33,7 +33,7 @@
 )
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.controllers.rank_lines import RankLines, WorkspaceLimits
-from driftstall.controllers.runner_book import RunnerBook
+from driftstall.controllers.runner_registry import RunnerBook
 from driftstall.core import Request, Verdict, Weights
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.isolation import LONG_PREFILL, LongPrefillSet, RunnerLoad
