--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -35,13 +35,13 @@
     UpstreamReplaced,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.upstream_registry import Entry, FleetBook, Tombstone
+from driftstall.gateway.upstream_registry import Entry, Tombstone, UpstreamRegistry
 
 LAPSE_GRACE_S: Final = 2.2
 """Entries that lapsed during an outage of the platform are back within two seconds."""
 
 
-class FleetController(FleetBook):
+class FleetController(UpstreamRegistry):
     """Take in what is told of the upstreams."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -40,7 +40,7 @@
     leaving_since: float
 
 
-class FleetBook:
+class UpstreamRegistry:
     """Hold the upstreams that one instance knows of; its controller alone changes them."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -18,7 +18,7 @@
 )
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.stats import GatewayStats
-from driftstall.gateway.upstream_registry import FleetBook
+from driftstall.gateway.upstream_registry import UpstreamRegistry
 from driftstall.helpers.log import log_event
 from driftstall.helpers.rate_limiting import RateLimiting
 
@@ -33,7 +33,7 @@
         self,
         stats: GatewayStats,
         rate_limiting: RateLimiting,
-        fleet: FleetBook,
+        fleet: UpstreamRegistry,
         backoff: UpstreamBackoff,
         now: Callable[[], float],
     ) -> None:
