--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -139,7 +139,7 @@
             askers=lambda: self._reach.askers(),
             is_platform_silent=lambda: self._reach.is_silent,
             doubt=self._upstreams.doubted,
-            tell=self._peering.pass_doubt,
+            tell=self._peering.publish_suspicion,
         )
         self.state.suspect = self._inquiry.suspect
         self.state.signals.leaving = self._signalled_leaving
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -199,7 +199,7 @@
         """Pass on who joined or leaves."""
         self._sharing.publish_action(action, from_peer=from_peer)
 
-    def pass_doubt(self, upstream_id: str) -> None:
+    def publish_suspicion(self, upstream_id: str) -> None:
         """Tell all that an upstream says itself that it leaves, or that it is gone."""
         self._broadcast(self._members.live, UpstreamDoubted(self.own.instance_id, upstream_id))
 
