--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -81,7 +81,7 @@
     far_penalty: float = FAR_PENALTY
     """Weight of another zone for a stream where all options are compared."""
 
-    def draw(self, options: Sequence[Option]) -> Sequence[Option]:
+    def sample(self, options: Sequence[Option]) -> Sequence[Option]:
         """Return the options to compare."""
         if self.sample_size is None or len(options) <= self.sample_size:
             return options
@@ -218,4 +218,4 @@
     """Return the cheapest of the options drawn; an ejected one only if all are."""
     known = list(options)
     awake = [option for option in known if not option.is_ejected]
-    return min(sampler.draw(awake or known), key=cost, default=None)
+    return min(sampler.sample(awake or known), key=cost, default=None)
