--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -33,7 +33,7 @@
 )
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.controllers.rank_lines import RankLines, WorkspaceLimits
-from driftstall.controllers.runner_registry import RunnerBook
+from driftstall.controllers.runner_registry import RunnerRegistry
 from driftstall.core import Request, Verdict, Weights
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.isolation import LONG_PREFILL, LongPrefillSet, RunnerLoad
@@ -81,7 +81,7 @@
         self._source = source
         self._weights = weights or Weights()
         self._certain = certain
-        self._book = RunnerBook(lengths, 0.0 if certain else quantile(overflow))
+        self._book = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
         self._runners = self._book.runners
         self._lines = RankLines()
         self._grants: dict[str, OpenGrant] = {}
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -23,7 +23,7 @@
 LEARNING_RATE: Final = 0.02
 
 
-class RunnerBook:
+class RunnerRegistry:
     """Hold the runners' states and forecast their memory."""
 
     def __init__(self, lengths: LengthModel, deviations: float) -> None:
