--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -318,7 +318,7 @@
     def _signalled_leaving(self, upstream_id: str) -> None:
         """Take in that an upstream has signalled that it leaves, and tell peers at once."""
         if self._upstreams.signalled_leaving(upstream_id):
-            self._peering.pass_signals()
+            self._peering.publish_signals()
 
     def _take_leaving(self, record: LeavingRecord) -> bool:
         """Take in what an upstream has signalled to a peer; return whether it was new."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -203,7 +203,7 @@
         """Tell all that an upstream says itself that it leaves, or that it is gone."""
         self._broadcast(self._members.live, UpstreamDoubted(self.own.instance_id, upstream_id))
 
-    def pass_signals(self) -> None:
+    def publish_signals(self) -> None:
         """Tell at once what an upstream has signalled; each report and summary repeats it."""
         self._reporting.tell_now()
 
