--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -87,7 +87,7 @@
             return options
         return self.source.sample(options, self.sample_size)
 
-    def noise(self) -> float:
+    def jitter(self) -> float:
         """Return a small cost by which equal options are told apart."""
         return NOISE * self.source.random()
 
@@ -97,7 +97,7 @@
 
     def cost(option: Option) -> float:
         busy = (option.use.running + 1) / max(1, option.upstream.slots)
-        return busy * (1 + option.penalty) + option.penalty + sampler.noise()
+        return busy * (1 + option.penalty) + option.penalty + sampler.jitter()
 
     return _least(options, cost, sampler)
 
@@ -109,7 +109,7 @@
 
     def cost(option: Option) -> float:
         far = sampler.far_penalty if option.upstream.zone != zone else 0.0
-        return _stream_cost(option, engine, need) + far + sampler.noise()
+        return _stream_cost(option, engine, need) + far + sampler.jitter()
 
     known = list(options)
     if sampler.sample_size is None:
@@ -154,7 +154,7 @@
 
     def cost(option: Option) -> float:
         far = FAR_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + sampler.noise()
+        return _memory(option.use, engine, need.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
@@ -178,7 +178,7 @@
 
     def cost(option: Option) -> float:
         far = FAR_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + sampler.noise()
+        return _memory(option.use, engine, need.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
