--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -147,12 +147,12 @@
         watch = CrashWatch(
             self.state,
             gone=lambda upstream: self._inquiry.take_bad(upstream, Word.GONE),
-            changed=self._peering.pass_blame,
+            changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
         )
         self.state.crash_cleared = self._crash_keeper.cleared
         self.state.broke = watch.broke
-        self.state.blame_changed = self._peering.pass_blame
+        self.state.blame_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
         self._upstream_pace = self._fleet_pace()
         policy_pace = RevisionPace(
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -207,7 +207,7 @@
         """Tell at once what an upstream has signalled; each report and summary repeats it."""
         self._reporting.tell_now()
 
-    def pass_blame(self) -> None:
+    def publish_poison_evidence(self) -> None:
         """Tell which requests ran beside crashes."""
         self._blame.changed()
 
