--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-CONVICTED: Final = 2.0
+QUARANTINE_WEIGHT: Final = 2.0
 """Weight of crashes from which a request is sent to no upstream."""
 BEGUN_WEIGHT: Final = 1.0
 UNDER_WAY_WEIGHT: Final = 0.5
@@ -110,7 +110,7 @@
     @property
     def is_convicted(self) -> bool:
         """Tell whether it is held to have crashed them, also where it may be tried again."""
-        return self.weight >= CONVICTED
+        return self.weight >= QUARANTINE_WEIGHT
 
 
 @dataclass(slots=True)
@@ -180,13 +180,13 @@
     def verdict(self, fingerprint: str, now: float) -> Verdict:
         """Tell whether a request may be sent now."""
         record = self._records.get(fingerprint)
-        if record is None or record.weight < CONVICTED:
+        if record is None or record.weight < QUARANTINE_WEIGHT:
             return Verdict()
         counted = [one for one in record.counted if not self._explains(one, record)]
         weight = sum(one.weight for one in counted)
-        if weight < CONVICTED:
+        if weight < QUARANTINE_WEIGHT:
             return Verdict(weight=weight)
-        rest_s = RESTS_S[min(int(weight - CONVICTED), len(RESTS_S) - 1)]
+        rest_s = RESTS_S[min(int(weight - QUARANTINE_WEIGHT), len(RESTS_S) - 1)]
         wait_s = max(0.0, max(one.at for one in counted) + rest_s - now)
         return Verdict(wait_s, weight, tuple(one.upstream_id for one in counted))
 
@@ -201,7 +201,7 @@
             (fingerprint, record)
             for fingerprint, record in self._records.items()
             if now - record.changed_at <= NEWS_S
-            or sum(one.weight for one in record.crashes) >= CONVICTED
+            or sum(one.weight for one in record.crashes) >= QUARANTINE_WEIGHT
         ]
         known.sort(key=lambda one: (-one[1].weight, -one[1].changed_at))
         return tuple(_told(*one, now) for one in known[:MOST_TOLD])
