--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -32,7 +32,7 @@
 FULL: Final = 0.92
 """Share of memory beyond which a new run would soon be preempted."""
 OVERFULL_PENALTY: Final = 5.0
-DRAWN: Final = 3
+SAMPLE_SIZE: Final = 3
 """Upstreams that an instance of a large fleet compares."""
 COMFORT: Final = 0.40
 """Cost up to which a near engine is taken without a look at others: one that is less than
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -29,7 +29,7 @@
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.routes import RouteTable
 from driftstall.gateway.runs import BrokenRun, RunBook, StreamRun
-from driftstall.gateway.selection import DRAWN, Option, Sampler
+from driftstall.gateway.selection import SAMPLE_SIZE, Option, Sampler
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
 from driftstall.gateway.stats import GatewayStats
 from driftstall.gateway.upstream_signals import UpstreamSignals
@@ -144,7 +144,7 @@
 
     def use_pooled_sums(self, pooled: bool) -> None:
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
-        self.sampler = Sampler(self.source, DRAWN if pooled else None)
+        self.sampler = Sampler(self.source, SAMPLE_SIZE if pooled else None)
 
     def call_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.loads import LoadBook, Share, Use
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.selection import (
-    DRAWN,
+    SAMPLE_SIZE,
     Option,
     Sampler,
     choose_backup,
@@ -191,7 +191,7 @@
     options = [*engines_of("aaaaaaaa", 5_000), option("empty", 0)]
     chosen: Counter[str] = Counter()
     for seed in range(200):
-        found = choose_stream(options, ENGINE, NEED, "a", Sampler(random.Random(seed), DRAWN))
+        found = choose_stream(options, ENGINE, NEED, "a", Sampler(random.Random(seed), SAMPLE_SIZE))
         assert found is not None
         chosen[found.upstream.upstream_id] += 1
     assert max(chosen.values()) <= 0.4 * 200, chosen
@@ -201,7 +201,7 @@
 @then("a generation goes to a far engine only where the near ones are busy")
 def far_if_busy(context: Any) -> None:
     """Compare near engines that are empty and nearly full, before far ones that are empty."""
-    sampler = Sampler(random.Random(1), DRAWN)
+    sampler = Sampler(random.Random(1), SAMPLE_SIZE)
     far = engines_of("bbbb")
     for tokens, zone in ((9_000, "a"), (24_000, "b"), (30_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
@@ -212,7 +212,7 @@
 @then("a move goes to a far engine only where no near one has room")
 def move_far(context: Any) -> None:
     """Choose a target with and without room near by."""
-    sampler = Sampler(random.Random(1), DRAWN)
+    sampler = Sampler(random.Random(1), SAMPLE_SIZE)
     far, primary = engines_of("bbbb"), upstream_of("u1")
     for tokens, zone in ((20_000, "a"), (34_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -26,8 +26,8 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.selection import (
-    DRAWN,
     FAR_STREAM_PENALTY,
+    SAMPLE_SIZE,
     Need,
     Option,
     Sampler,
@@ -104,7 +104,9 @@
     """Place generations for some seconds, the first ten of which do not count."""
     source = random.Random(seed)
     sampler = (
-        Sampler(source, far_penalty=FAR_STREAM_PENALTY) if knows_all else Sampler(source, DRAWN)
+        Sampler(source, far_penalty=FAR_STREAM_PENALTY)
+        if knows_all
+        else Sampler(source, SAMPLE_SIZE)
     )
     model = Model()
     waits: list[float] = []
