--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -326,7 +326,7 @@
 
     def _pass_routing(self, *, from_peer: bool) -> None:
         """Pass the routing document in force on to peers."""
-        self._peering.pass_routing(from_peer=from_peer)
+        self._peering.publish_routing(from_peer=from_peer)
 
     def _pass_change(self, change: ItemChange[Upstream]) -> None:
         """Tell a change to the peers that the platform does not answer."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -211,10 +211,10 @@
         """Tell which requests ran beside crashes."""
         self._blame.changed()
 
-    def pass_routing(self, *, from_peer: bool) -> None:
+    def publish_routing(self, *, from_peer: bool) -> None:
         """Pass the routing document in force on."""
         self._state.loads_changed.set()
-        self._sharing.pass_routing(from_peer=from_peer)
+        self._sharing.publish_routing(from_peer=from_peer)
 
     def pass_cordons(self) -> None:
         """Pass on which zones are cordoned; with each report and summary it is told again."""
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -150,7 +150,7 @@
         if not from_peer:
             self._broadcast(roles.far_collectors, news)
 
-    def pass_routing(self, *, from_peer: bool) -> None:
+    def publish_routing(self, *, from_peer: bool) -> None:
         """Send the routing document in force to the zone, and to other collectors if it is new."""
         roles = self._roles()
         if not roles.collects:
