--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -34,7 +34,7 @@
 OVERFULL_PENALTY: Final = 5.0
 SAMPLE_SIZE: Final = 3
 """Upstreams that an instance of a large fleet compares."""
-COMFORT: Final = 0.40
+MAX_LOCAL_COST: Final = 0.40
 """Cost up to which a near engine is taken without a look at others: one that is less than
 half full and reads no other prompt. Beyond it, as many far ones are compared with it."""
 FAR_STREAM_PENALTY: Final = 0.08
@@ -115,7 +115,7 @@
     if sampler.sample_size is None:
         return _least(known, cost, sampler)
     near = _least([one for one in known if one.upstream.zone == zone], cost, sampler)
-    if near is not None and not near.is_ejected and cost(near) <= COMFORT:
+    if near is not None and not near.is_ejected and cost(near) <= MAX_LOCAL_COST:
         return near
     far = _least([one for one in known if one.upstream.zone != zone], cost, sampler)
     if near is None or far is None:
