--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -32,7 +32,7 @@
     YieldAsked,
 )
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
-from driftstall.controllers.rank_lines import RankLines, WorkspaceLimits
+from driftstall.controllers.rank_queues import RankLines, WorkspaceLimits
 from driftstall.controllers.runner_registry import RunnerRegistry
 from driftstall.core import Request, Verdict, Weights
 from driftstall.decisions.fairness import FairQueue, Waiting
