--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -119,7 +119,7 @@
         self._cordons = CordonSource(
             self.state,
             apply=self._upstreams.cordoned,
-            announce=lambda: self._peering.pass_cordons(),
+            announce=lambda: self._peering.publish_cordons(),
         )
         reliance = Reliance(self.state.source)
         intake = Intake(
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -216,7 +216,7 @@
         self._state.loads_changed.set()
         self._sharing.publish_routing(from_peer=from_peer)
 
-    def pass_cordons(self) -> None:
+    def publish_cordons(self) -> None:
         """Pass on which zones are cordoned; with each report and summary it is told again."""
         self._reporting.tell_now()
 
