--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -27,7 +27,7 @@
 QUARANTINE_WEIGHT: Final = 2.0
 """Weight of crashes from which a request is sent to no upstream."""
 EARLY_CRASH_WEIGHT: Final = 1.0
-UNDER_WAY_WEIGHT: Final = 0.5
+LATE_CRASH_WEIGHT: Final = 0.5
 """Weight of a crash of a run that was under way there."""
 UNDER_WAY_S: Final = 1.0
 """A run is under way once it has made events for so long; the time in an engine's queue does not
@@ -71,7 +71,7 @@
     @property
     def weight(self) -> float:
         """Return how much it speaks against the request."""
-        return UNDER_WAY_WEIGHT if self.under_way else EARLY_CRASH_WEIGHT
+        return LATE_CRASH_WEIGHT if self.under_way else EARLY_CRASH_WEIGHT
 
     def is_same(self, other: Crash) -> bool:
         """Tell whether what one instance has seen twice is the same crash."""
