--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -23,7 +23,7 @@
 """Weight of a full batch; each running request slows the tokens of the others."""
 MEMORY_PENALTY: Final = 0.6
 """Weight of full memory; beyond it the engine preempts."""
-FAR_PENALTY: Final = 0.03
+CROSS_ZONE_PENALTY: Final = 0.03
 """Weight of another zone: its bytes are priced, and moves take twice as long."""
 FAR_MOVE_PENALTY: Final = 0.3
 """Weight of another zone for a move: the notice is short and the copy takes twice as long."""
@@ -78,7 +78,7 @@
     source: random.Random
     sample_size: int | None = None
     """Options that are compared; None for all."""
-    far_penalty: float = FAR_PENALTY
+    far_penalty: float = CROSS_ZONE_PENALTY
     """Weight of another zone for a stream where all options are compared."""
 
     def sample(self, options: Sequence[Option]) -> Sequence[Option]:
@@ -153,7 +153,7 @@
     ]
 
     def cost(option: Option) -> float:
-        far = FAR_PENALTY if option.upstream.zone != primary.zone else 0.0
+        far = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, need.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
