--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -32,7 +32,7 @@
     YieldAsked,
 )
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
-from driftstall.controllers.rank_queues import RankLines, WorkspaceLimits
+from driftstall.controllers.rank_queues import RankQueues, WorkspaceLimits
 from driftstall.controllers.runner_registry import RunnerRegistry
 from driftstall.core import Request, Verdict, Weights
 from driftstall.decisions.fairness import FairQueue, Waiting
@@ -83,7 +83,7 @@
         self._certain = certain
         self._book = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
         self._runners = self._book.runners
-        self._lines = RankLines()
+        self._lines = RankQueues()
         self._grants: dict[str, OpenGrant] = {}
         self._paused: dict[str, OpenGrant] = {}
         self._limits = WorkspaceLimits()
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -19,7 +19,7 @@
 """Comes after every rank that a policy can give."""
 
 
-class RankLines:
+class RankQueues:
     """Hold one fair queue, one service rate and the promised places for each rank."""
 
     def __init__(self) -> None:
