--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -133,7 +133,7 @@
         )
         state.rate_limiting.ask_permit = self._permits.ask
         state.rate_limiting.charge_permit = self._permits.charge
-        state.rate_limiting.tell = self._reporting.tell_now
+        state.rate_limiting.tell = self._reporting.publish_now
         self.policy_revision = NO_VERSION
         """The newest revision of the policy that a collector has told of."""
 
@@ -205,7 +205,7 @@
 
     def publish_signals(self) -> None:
         """Tell at once what an upstream has signalled; each report and summary repeats it."""
-        self._reporting.tell_now()
+        self._reporting.publish_now()
 
     def publish_poison_evidence(self) -> None:
         """Tell which requests ran beside crashes."""
@@ -218,7 +218,7 @@
 
     def publish_cordons(self) -> None:
         """Pass on which zones are cordoned; with each report and summary it is told again."""
-        self._reporting.tell_now()
+        self._reporting.publish_now()
 
     def _blame_hearers(self) -> tuple[Instance, ...]:
         """Return who is told at once of requests beside crashes; collectors pass it on."""
@@ -371,7 +371,7 @@
         for record in leaving:
             has_news |= self._intake.take_leaving(record)
         if has_news and self._roles.collects:
-            self._reporting.tell_now()
+            self._reporting.publish_now()
 
     def _apply(self, event: MembershipEvent) -> None:
         """Hand an event to the member list and send what it wants sent."""
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -153,7 +153,7 @@
         roles = self._roles()
         self._broadcast(roles.own_collectors if roles.large else self._live(), report)
 
-    def tell_now(self) -> None:
+    def publish_now(self) -> None:
         """Tell at once what this instance knows, to all who hear it."""
         self.report_now()
         self._summarize()
