--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -52,8 +52,8 @@
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     FleetPace,
-    Reliance,
     RevisionPace,
+    WatchDelegation,
 )
 from driftstall.helpers.log import BoundedWriter, log_event
 from driftstall.helpers.tasks import keep_running
@@ -121,7 +121,7 @@
             apply=self._upstreams.cordoned,
             announce=lambda: self._peering.publish_cordons(),
         )
-        reliance = Reliance(self.state.source)
+        reliance = WatchDelegation(self.state.source)
         intake = Intake(
             routing=lambda: (self._routing.version, self._routing.text),
             take_routing=self._routing.offered,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -36,7 +36,7 @@
 from driftstall.gateway.sharing import Intake, RoutingNotice, Sharing
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
-from driftstall.gateway.watch_delegation import FRESH_S, Reliance
+from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
@@ -73,7 +73,7 @@
         intake: Intake,
         *,
         standing: Callable[[], Standing],
-        reliance: Reliance,
+        reliance: WatchDelegation,
     ) -> None:
         """Take the shared state, how things are taken in, the standing, and the reliance."""
         settings = state.settings
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Instance
 from driftstall.gateway.collectors import Roles
-from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, Reliance
+from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, WatchDelegation
 
 
 class Followed(Protocol):
@@ -55,7 +55,7 @@
         self,
         routing: FeedReach,
         upstreams: FeedReach,
-        reliance: Reliance,
+        reliance: WatchDelegation,
         *,
         now: Callable[[], float],
         roles: Callable[[], Roles],
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -46,7 +46,7 @@
 """Share of an idle watch's wait that is drawn by lot."""
 
 
-class Reliance:
+class WatchDelegation:
     """Hold what collectors have last said of the platform."""
 
     def __init__(self, source: random.Random) -> None:
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        reliance: Reliance,
+        reliance: WatchDelegation,
         roles: Callable[[], Roles],
         now: Callable[[], float],
         *,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -8,17 +8,17 @@
 
 import gevent
 from behave import given, then, when
-from driftstall.gateway.crash_detector import CrashWatch
 
 from driftstall.core import Instance
 from driftstall.decisions.upstream_probes import ASKERS, Word, asks
 from driftstall.gateway.collectors import Roles
+from driftstall.gateway.crash_detector import CrashWatch
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReach, PlatformReach
 from driftstall.gateway.upstream_prober import Inquiry
-from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, Reliance
+from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, WatchDelegation
 from driftstall.platform.names import KIND_UPSTREAMS
 from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
 from features.steps.gateway_node_steps import wait_long
@@ -217,7 +217,7 @@
     context.reach = PlatformReach(
         FeedReach(context.routes, context.routes),
         FeedReach(context.list, context.list),
-        Reliance(random.Random(1)),
+        WatchDelegation(random.Random(1)),
         now=lambda: 0.0,
         roles=Roles,
         live=lambda: context.others,
@@ -229,7 +229,7 @@
 def large_follower(context: Any) -> None:
     """Let it be one of three, and all rely on them."""
     answered_instance(context)
-    reliance = Reliance(random.Random(1))
+    reliance = WatchDelegation(random.Random(1))
     reliance.heard(0.0, 0.0)
     context.reach = PlatformReach(
         FeedReach(context.routes, context.routes),
@@ -307,7 +307,7 @@
 
 def pace_of(seed: int, roles: Roles) -> FleetPace:
     """Return the pace of one feed of one instance."""
-    reliance = Reliance(random.Random(seed))
+    reliance = WatchDelegation(random.Random(seed))
     return FleetPace(reliance, lambda: roles, lambda: 0.0, longest_wait=lambda: 1.6)
 
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from behave import given, then, when
-from driftstall.gateway.watch_delegation import SETTLE_S, FleetPace, Reliance, RevisionPace
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import Roles
@@ -16,6 +15,7 @@
 from driftstall.gateway.loads import FLEET, POOLED, LoadBook, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import Intake, Sharing
+from driftstall.gateway.watch_delegation import SETTLE_S, FleetPace, RevisionPace, WatchDelegation
 from driftstall.peers.gateway_messages import FleetAsked, FleetOffered, ZoneSummary
 from features.steps.gateway_fleet_steps import tell
 from features.worlds.gateway_world import GatewayWorld
@@ -45,7 +45,7 @@
     def __init__(self, seed: int, roles: Roles = MEMBER, settle_s: float = 0.0) -> None:
         """Start with the first read behind it."""
         self.clock = Clock()
-        self.reliance = Reliance(random.Random(seed))
+        self.reliance = WatchDelegation(random.Random(seed))
         self.roles = roles
         self.pace = FleetPace(
             self.reliance,
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -15,7 +15,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.feeds import Follower, ItemChange
 from driftstall.gateway.sources import UpstreamSource
-from driftstall.gateway.watch_delegation import FleetPace, Reliance
+from driftstall.gateway.watch_delegation import FleetPace, WatchDelegation
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
 from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, Tell
@@ -86,7 +86,7 @@
         announce=lambda: None,
         silence=lambda: context.pace.silence_s,
     )
-    reliance = Reliance(random.Random(1))
+    reliance = WatchDelegation(random.Random(1))
     context.pace = FleetPace(reliance, Roles, world.state.now, longest_wait=lambda: 1.6)
     feed = upstream_feed(context.store)
     context.follower = Follower(
