--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -32,7 +32,7 @@
 UNDER_WAY_S: Final = 1.0
 """A run is under way once it has made events for so long; the time in an engine's queue does not
 count."""
-RESTS_S: Final = (30.0, 600.0, 3600.0)
+QUARANTINE_DURATIONS_S: Final = (30.0, 600.0, 3600.0)
 """How long a request is refused after its newest crash, with two, three, and more."""
 WELL_FOR_S: Final = 10.0
 """A crash so soon after a good end of the same request is not put down to it."""
@@ -186,7 +186,9 @@
         weight = sum(one.weight for one in counted)
         if weight < QUARANTINE_WEIGHT:
             return Verdict(weight=weight)
-        rest_s = RESTS_S[min(int(weight - QUARANTINE_WEIGHT), len(RESTS_S) - 1)]
+        rest_s = QUARANTINE_DURATIONS_S[
+            min(int(weight - QUARANTINE_WEIGHT), len(QUARANTINE_DURATIONS_S) - 1)
+        ]
         wait_s = max(0.0, max(one.at for one in counted) + rest_s - now)
         return Verdict(wait_s, weight, tuple(one.upstream_id for one in counted))
 
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -9,12 +9,12 @@
 from typing import Any, Final
 
 from behave import given, then, when
-from driftstall.gateway.crash_detector import CrashWatch
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
-from driftstall.decisions.poison_detection import RESTS_S, BlameTold, CrashTold
+from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, BlameTold, CrashTold
 from driftstall.gateway import crash_detector
+from driftstall.gateway.crash_detector import CrashWatch
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import MetricsAnswers, SmallListener, fingerprint_of
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
@@ -219,7 +219,7 @@
 @given('a peer tells of two crashes under "/stream/x", so long ago that it may be tried again')
 def told_old_crashes(context: Any) -> None:
     """Take it in."""
-    tell_crashes(context, RESTS_S[0] + 1)
+    tell_crashes(context, QUARANTINE_DURATIONS_S[0] + 1)
 
 
 @given('the upstream of "{request_id}" answers without a length and ends')
