--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -78,7 +78,7 @@
     source: random.Random
     sample_size: int | None = None
     """Options that are compared; None for all."""
-    far_penalty: float = CROSS_ZONE_PENALTY
+    cross_zone_penalty: float = CROSS_ZONE_PENALTY
     """Weight of another zone for a stream where all options are compared."""
 
     def sample(self, options: Sequence[Option]) -> Sequence[Option]:
@@ -108,7 +108,7 @@
     """Return the upstream for a generation."""
 
     def cost(option: Option) -> float:
-        far = sampler.far_penalty if option.upstream.zone != zone else 0.0
+        far = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
         return _stream_cost(option, engine, need) + far + sampler.jitter()
 
     known = list(options)
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -104,7 +104,7 @@
     """Place generations for some seconds, the first ten of which do not count."""
     source = random.Random(seed)
     sampler = (
-        Sampler(source, far_penalty=FAR_STREAM_PENALTY)
+        Sampler(source, cross_zone_penalty=FAR_STREAM_PENALTY)
         if knows_all
         else Sampler(source, SAMPLE_SIZE)
     )
