--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -83,7 +83,7 @@
         self._certain = certain
         self._book = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
         self._runners = self._book.runners
-        self._lines = RankQueues()
+        self._queues_by_rank = RankQueues()
         self._grants: dict[str, OpenGrant] = {}
         self._paused: dict[str, OpenGrant] = {}
         self._limits = WorkspaceLimits()
@@ -98,7 +98,7 @@
     @property
     def waiting(self) -> int:
         """Return how many requests wait."""
-        return len(self._lines)
+        return len(self._queues_by_rank)
 
     @property
     def open_grants(self) -> int:
@@ -139,7 +139,7 @@
     @_apply.register
     def _(self, event: Ask, now: float) -> None:
         request, verdict = event.request, event.verdict
-        if request.request_id in self._lines:
+        if request.request_id in self._queues_by_rank:
             return
         open_grant = self._grants.get(request.request_id)
         if open_grant is not None:
@@ -156,7 +156,7 @@
             return
         output = self._lengths.expected(request)
         cost = request.input_tokens + output
-        returned = self._lines.take_place(verdict.rank, event.ticket)
+        returned = self._queues_by_rank.take_place(verdict.rank, event.ticket)
         if not self._runners:
             self._refuse(event.entry, request, CODE_NO_RUNNER, 2.0, "", "no runner is live")
             return
@@ -167,14 +167,14 @@
             return
         if verdict.rank == 0:
             self._book.count_first(cost, now)
-        wait_s = 0.0 if returned else self._lines.forecast(request, verdict, cost, now)
+        wait_s = 0.0 if returned else self._queues_by_rank.forecast(request, verdict, cost, now)
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
             self._turn_away(event.entry, request, verdict, cost, wait_s, now)
             return
         hold = hold_of(self._lengths, request, 0)
         item = Waiting(event.entry, request, verdict, cost, now, output, hold, event.avoid)
-        self._lines.push(item)
+        self._queues_by_rank.push(item)
 
     @_apply.register
     def _(self, event: Announce, now: float) -> None:
@@ -200,7 +200,7 @@
 
     @_apply.register
     def _(self, event: Close, now: float) -> None:
-        item = self._lines.discard(event.request_id)
+        item = self._queues_by_rank.discard(event.request_id)
         if item is not None:
             self._limits.settle(item.request, item.cost, 0.0)
             return
@@ -251,7 +251,7 @@
     @_apply.register
     def _(self, event: EntryLost, now: float) -> None:
         lost = [one for one, grant in self._grants.items() if grant.entry == event.entry]
-        lost += self._lines.of_entry(event.entry)
+        lost += self._queues_by_rank.of_entry(event.entry)
         for request_id in lost:
             self._apply(Close(self.group, request_id, 0, finished=False), now)
 
@@ -275,7 +275,7 @@
         after = retry_after(wait_s, self._source)
         ticket = request.request_id
         until = now + after + GRACE_S
-        self._lines.keep_place(verdict.rank, ticket, request.workspace, cost, until)
+        self._queues_by_rank.keep_place(verdict.rank, ticket, request.workspace, cost, until)
         reason = f"{self.waiting} wait, the forecast wait is {wait_s:.1f} s"
         self._refuse(entry, request, CODE_REFUSED, after, ticket, reason)
 
@@ -287,9 +287,9 @@
 
     def _expire(self, now: float) -> None:
         """Refuse at once what has waited as long as the policy allows."""
-        for item in self._lines.expired(now):
+        for item in self._queues_by_rank.expired(now):
             self._limits.settle(item.request, item.cost, 0.0)
-            wait_s = self._lines.forecast(item.request, item.verdict, item.cost, now)
+            wait_s = self._queues_by_rank.forecast(item.request, item.verdict, item.cost, now)
             self._turn_away(item.entry, item.request, item.verdict, item.cost, wait_s, now)
 
     # Placement
@@ -322,7 +322,7 @@
         """Grant in order of rank until one has to wait."""
         if self._paused:
             self._resume(now)
-        for rank, queue in self._lines.in_order():
+        for rank, queue in self._queues_by_rank.in_order():
             while len(queue) and self._grant_next(queue, now):
                 pass
             if len(queue):
@@ -336,7 +336,7 @@
             choice = self._place(item, now)
             if choice is None:
                 continue
-            self._lines.serve(item, now)
+            self._queues_by_rank.serve(item, now)
             self._grant(item, choice, now)
             return True
         return False
@@ -470,7 +470,7 @@
 
     def _resume(self, now: float) -> None:
         """Resume paused generations where there is room, best rank and oldest first."""
-        blocked = self._lines.first_waiting_rank
+        blocked = self._queues_by_rank.first_waiting_rank
         order = sorted(self._paused.items(), key=lambda pair: (pair[1].verdict.rank, pair[1].since))
         for request_id, grant in order:
             runner = self._runners.get(grant.runner_id)
