--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -342,7 +342,7 @@
         self._sharing.take_cordons(summary.cordons)
         # A follower knows the platform's list better than any other collector.
         age_s = summary.platform_age_ms / MS
-        self._reporting.take_zone(summary)
+        self._reporting.record_zone_summary(summary)
         self._reliance.heard(age_s, self._state.now())
         self._sharing.newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if not self._roles.follows and age_s <= FRESH_S:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -168,7 +168,7 @@
             self._state.budget(count.service).told(report.sender, count, now)
         return not report.platform_ok and (before is None or before.report.platform_ok)
 
-    def take_zone(self, summary: ZoneSummary) -> None:
+    def record_zone_summary(self, summary: ZoneSummary) -> None:
         """Take in the sum of another zone."""
         now = self._state.now()
         name = f"{POOLED}{summary.zone}"
