--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -51,7 +51,7 @@
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
-    FleetPace,
+    DelegatedWatchPacing,
     RevisionPace,
     WatchDelegation,
 )
@@ -286,9 +286,9 @@
             "log_lines_dropped": self._log.dropped_in_all,
         }
 
-    def _fleet_pace(self, feed: str = "") -> FleetPace:
+    def _fleet_pace(self, feed: str = "") -> DelegatedWatchPacing:
         """Return the pace of a feed on which it depends who gets requests."""
-        return FleetPace(
+        return DelegatedWatchPacing(
             self._reliance,
             self._roles,
             self.state.now,
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -91,7 +91,7 @@
         return 0.0
 
 
-class FleetPace:
+class DelegatedWatchPacing:
     """Pace one feed of the platform by the fleet's size and the collectors' word."""
 
     def __init__(
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -18,7 +18,12 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReach, PlatformReach
 from driftstall.gateway.upstream_prober import Inquiry
-from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, FleetPace, WatchDelegation
+from driftstall.gateway.watch_delegation import (
+    FRESH_S,
+    TRUST_S,
+    DelegatedWatchPacing,
+    WatchDelegation,
+)
 from driftstall.platform.names import KIND_UPSTREAMS
 from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
 from features.steps.gateway_node_steps import wait_long
@@ -305,10 +310,10 @@
     context.routes.unanswered = False
 
 
-def pace_of(seed: int, roles: Roles) -> FleetPace:
+def pace_of(seed: int, roles: Roles) -> DelegatedWatchPacing:
     """Return the pace of one feed of one instance."""
     reliance = WatchDelegation(random.Random(seed))
-    return FleetPace(reliance, lambda: roles, lambda: 0.0, longest_wait=lambda: 1.6)
+    return DelegatedWatchPacing(reliance, lambda: roles, lambda: 0.0, longest_wait=lambda: 1.6)
 
 
 @given("6 instances of a small fleet that follow two feeds each")
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -20,7 +20,7 @@
     RoutingText,
 )
 from driftstall.gateway.sources import RoutingSource
-from driftstall.gateway.watch_delegation import FleetPace, WatchDelegation
+from driftstall.gateway.watch_delegation import DelegatedWatchPacing, WatchDelegation
 from driftstall.platform.dialect import PlatformDialect
 from driftstall.platform.documents import read_routing
 from driftstall.platform.feeds import upstream_feed
@@ -94,7 +94,7 @@
     """Follow a scripted feed to its end."""
     context.recorder = Recorder()
     feed = ScriptedFeed(list(steps))
-    pace = FleetPace(
+    pace = DelegatedWatchPacing(
         WatchDelegation(random.Random(1)), Roles, lambda: 0.0, longest_wait=lambda: 1.6
     )
     follower = Follower(feed, context.recorder, random.Random(1), pace, sleep=lambda _: None)
@@ -122,7 +122,7 @@
     """Follow it in a greenlet of its own, as instances do, until the script is at its end."""
     context.recorder = Recorder()
     feed = EndingFeed(context.steps)
-    pace = FleetPace(
+    pace = DelegatedWatchPacing(
         WatchDelegation(random.Random(1)), Roles, lambda: 0.0, longest_wait=lambda: 1.6
     )
     context.follower = Follower(
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -15,7 +15,12 @@
 from driftstall.gateway.loads import FLEET, POOLED, LoadBook, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import Intake, Sharing
-from driftstall.gateway.watch_delegation import SETTLE_S, FleetPace, RevisionPace, WatchDelegation
+from driftstall.gateway.watch_delegation import (
+    SETTLE_S,
+    DelegatedWatchPacing,
+    RevisionPace,
+    WatchDelegation,
+)
 from driftstall.peers.gateway_messages import FleetAsked, FleetOffered, ZoneSummary
 from features.steps.gateway_fleet_steps import tell
 from features.worlds.gateway_world import GatewayWorld
@@ -47,7 +52,7 @@
         self.clock = Clock()
         self.reliance = WatchDelegation(random.Random(seed))
         self.roles = roles
-        self.pace = FleetPace(
+        self.pace = DelegatedWatchPacing(
             self.reliance,
             lambda: self.roles,
             self.clock,
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -15,7 +15,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.feeds import Follower, ItemChange
 from driftstall.gateway.sources import UpstreamSource
-from driftstall.gateway.watch_delegation import FleetPace, WatchDelegation
+from driftstall.gateway.watch_delegation import DelegatedWatchPacing, WatchDelegation
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
 from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, Tell
@@ -87,7 +87,7 @@
         silence=lambda: context.pace.silence_s,
     )
     reliance = WatchDelegation(random.Random(1))
-    context.pace = FleetPace(reliance, Roles, world.state.now, longest_wait=lambda: 1.6)
+    context.pace = DelegatedWatchPacing(reliance, Roles, world.state.now, longest_wait=lambda: 1.6)
     feed = upstream_feed(context.store)
     context.follower = Follower(
         feed, context.source, random.Random(1), context.pace, sleep=lambda _: None
