--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -34,7 +34,7 @@
 count."""
 QUARANTINE_DURATIONS_S: Final = (30.0, 600.0, 3600.0)
 """How long a request is refused after its newest crash, with two, three, and more."""
-WELL_FOR_S: Final = 10.0
+SUCCESS_GRACE_S: Final = 10.0
 """A crash so soon after a good end of the same request is not put down to it."""
 SAME_CRASH_S: Final = 2.0
 """Runs that an instance sees end with one upstream within this time were beside one crash. What
@@ -124,7 +124,7 @@
     @property
     def counted(self) -> list[Crash]:
         """Return the crashes that a good end does not clear it of."""
-        return [one for one in self.crashes if one.at > self.well_at + WELL_FOR_S]
+        return [one for one in self.crashes if one.at > self.well_at + SUCCESS_GRACE_S]
 
     @property
     def weight(self) -> float:
@@ -228,7 +228,7 @@
             theirs_s = float("inf") if one.well_ago_ms is None else one.well_ago_ms / 1000
             newest_s = min(crash.ago_ms for crash in one.crashes) / 1000
             # It clears them of crashes until some seconds after it.
-            clears = newest_s > well_ago_s - WELL_FOR_S
+            clears = newest_s > well_ago_s - SUCCESS_GRACE_S
             if clears and theirs_s - well_ago_s > WELL_NEWS_S:
                 found.append(_told(one.fingerprint, record, now))
         return tuple(found)
