--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -25,7 +25,7 @@
 """Weight of full memory; beyond it the engine preempts."""
 CROSS_ZONE_PENALTY: Final = 0.03
 """Weight of another zone: its bytes are priced, and moves take twice as long."""
-FAR_MOVE_PENALTY: Final = 0.3
+CROSS_ZONE_MOVE_PENALTY: Final = 0.3
 """Weight of another zone for a move: the notice is short and the copy takes twice as long."""
 NOISE: Final = 0.01
 """Chance between upstreams that are about equal."""
@@ -177,7 +177,7 @@
     ]
 
     def cost(option: Option) -> float:
-        far = FAR_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
+        far = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, need.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
