--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -81,8 +81,8 @@
         self._source = source
         self._weights = weights or Weights()
         self._certain = certain
-        self._book = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
-        self._runners = self._book.runners
+        self._registry = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
+        self._runners = self._registry.runners
         self._queues_by_rank = RankQueues()
         self._grants: dict[str, OpenGrant] = {}
         self._paused: dict[str, OpenGrant] = {}
@@ -114,11 +114,11 @@
         """Take over the weights and the bound of a new policy."""
         self._weights = weights
         if not self._certain:
-            self._book.deviations = quantile(overflow)
+            self._registry.deviations = quantile(overflow)
 
     def load(self, now: float) -> float:
         """Return the forecast share of memory in use, from 0 to 1."""
-        return self._book.load(now)
+        return self._registry.load(now)
 
     def handle(self, event: GrantEvent, now: float) -> list[GrantAction]:
         """Take one event and return the actions it leads to."""
@@ -166,7 +166,7 @@
             self._refuse(event.entry, request, CODE_LIMITED, limited_s, "", reason)
             return
         if verdict.rank == 0:
-            self._book.count_first(cost, now)
+            self._registry.count_first(cost, now)
         wait_s = 0.0 if returned else self._queues_by_rank.forecast(request, verdict, cost, now)
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
@@ -229,9 +229,9 @@
     def _(self, event: RunnersChanged, now: float) -> None:
         wanted = {runner_id for runner_id, _, _ in event.runners}
         for runner_id in [one for one in self._runners if one not in wanted]:
-            self._let_leave(self._book.let_leave(runner_id), now)
+            self._let_leave(self._registry.let_leave(runner_id), now)
         for runner_id, memory, zone in event.runners:
-            self._book.welcome(runner_id, memory, zone, now)
+            self._registry.welcome(runner_id, memory, zone, now)
 
     @_apply.register
     def _(self, event: RunnersLimited, now: float) -> None:
@@ -243,7 +243,7 @@
         """Give a leaving runner no new work, but let what has yielded there end."""
         for request_id, grant in runner.grants.items():
             if grant.paused:
-                self._book.go_on(grant, now)
+                self._registry.go_on(grant, now)
                 del self._paused[request_id]
                 reason = "its runner is leaving"
                 self._actions.append(ResumeAsked(grant.entry, request_id, grant.runner_id, reason))
@@ -258,7 +258,7 @@
     @_apply.register
     def _(self, event: Tick, now: float) -> None:
         """Let time pass: renew forecasts, end grants whose entry has long been silent."""
-        self._book.refresh_due(now)
+        self._registry.refresh_due(now)
         if now - self._silence_at < SILENCE_CHECK_S:
             return
         self._silence_at = now
@@ -344,8 +344,8 @@
     def _place(self, item: Waiting, now: float) -> Choice | None:
         """Choose a runner with room, or none."""
         request, rank = item.request, item.verdict.rank
-        headroom = self._book.headroom(rank, now)
-        own_peak = item.hold.peak(self._book.deviations)
+        headroom = self._registry.headroom(rank, now)
+        own_peak = item.hold.peak(self._registry.deviations)
         members = self._long_set.members
         isolate = rank > 0 and self._long_set.applies(self._weights)
         views = []
@@ -356,7 +356,7 @@
             if not runner.may_begin(now):
                 continue
             limit = runner.memory - headroom - runner.unexplained
-            if not self._book.has_room(runner, item.hold, own_peak, limit, now):
+            if not self._registry.has_room(runner, item.hold, own_peak, limit, now):
                 continue
             uncached = request.input_tokens - runner.prefixes.match(request.prefix)
             if isolate and uncached >= LONG_PREFILL and runner.runner_id not in members:
@@ -417,7 +417,7 @@
         request_id = grant.request.request_id
         grant.heard_at = now
         self._grants[request_id] = grant
-        self._book.add(runner, grant, addition, now)
+        self._registry.add(runner, grant, addition, now)
 
     def _close(self, grant: OpenGrant, event: Close, now: float) -> None:
         """Free a grant's memory and learn from its length."""
@@ -429,7 +429,7 @@
         used = grant.request.input_tokens + event.produced
         self._limits.settle(grant.request, grant.reserved, used)
         reply = (event.reply,) if event.reply else ()
-        self._book.remove(grant, (*grant.request.prefix, *reply) if event.finished else ())
+        self._registry.remove(grant, (*grant.request.prefix, *reply) if event.finished else ())
 
     # Yielding
 
@@ -446,7 +446,7 @@
         if victim is None:
             return
         grant = self._grants[victim.grant_id]
-        self._book.pause(grant, now)
+        self._registry.pause(grant, now)
         self._paused[victim.grant_id] = grant
         reason = f"rank {item.verdict.rank} has waited {now - item.since:.1f} s"
         self._actions.append(YieldAsked(grant.entry, victim.grant_id, grant.runner_id, reason))
@@ -477,10 +477,10 @@
             if runner is None or grant.verdict.rank > blocked:
                 continue
             addition = hold_of(self._lengths, grant.request, grant.produced)
-            limit = runner.memory - self._book.headroom(grant.verdict.rank, now)
-            if not runner.hold.fits(addition, self._book.deviations, limit):
+            limit = runner.memory - self._registry.headroom(grant.verdict.rank, now)
+            if not runner.hold.fits(addition, self._registry.deviations, limit):
                 continue
-            self._book.go_on(grant, now)
+            self._registry.go_on(grant, now)
             del self._paused[request_id]
             reason = "there is room again"
             self._actions.append(ResumeAsked(grant.entry, request_id, grant.runner_id, reason))
