--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -356,7 +356,7 @@
         if self._roles.collects:
             # Its sender does not know yet that this instance collects now.
             return
-        self._reporting.take_summary(summary)
+        self._reporting.record_fleet_summary(summary)
         self._reliance.heard(summary.platform_age_ms / MS, self._state.now())
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
         self._sharing.newer_routing(RoutingNotice(summary.sender, summary.routing_version))
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -178,7 +178,7 @@
             budget = self._state.budget(count.service)
             budget.told(name, count, now, instances=summary.instances)
 
-    def take_summary(self, summary: FleetSummary) -> None:
+    def record_fleet_summary(self, summary: FleetSummary) -> None:
         """Take in the sum of all reports; what is ours in it is known better here."""
         now = self._state.now()
         self._summary, self._summary_at = summary, now
