--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -52,7 +52,7 @@
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     DelegatedWatchPacing,
-    RevisionPace,
+    RevisionWatchPacing,
     WatchDelegation,
 )
 from driftstall.helpers.log import BoundedWriter, log_event
@@ -155,7 +155,7 @@
         self.state.blame_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
         self._upstream_pace = self._fleet_pace()
-        policy_pace = RevisionPace(
+        policy_pace = RevisionWatchPacing(
             self._roles, lambda: self._peering.policy_revision > self._policies.revision
         )
         source = self.state.source
@@ -305,7 +305,7 @@
         if settings.bounds.cordon_s:
             # Beside the others in an outage: three feeds by turns would each wait for too long.
             return self._fleet_pace(CORDONS)
-        return RevisionPace(self._roles, lambda: False)
+        return RevisionWatchPacing(self._roles, lambda: False)
 
     def _longest_wait(self) -> float:
         """Return how long a question to the platform may wait, by the settings in force."""
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -172,7 +172,7 @@
         return self._roles().follows
 
 
-class RevisionPace:
+class RevisionWatchPacing:
     """Pace a feed that seldom changes: read again only what peers know to be newer."""
 
     def __init__(self, roles: Callable[[], Roles], behind: Callable[[], bool]) -> None:
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     DelegatedWatchPacing,
-    RevisionPace,
+    RevisionWatchPacing,
     WatchDelegation,
 )
 from driftstall.peers.gateway_messages import FleetAsked, FleetOffered, ZoneSummary
@@ -207,7 +207,7 @@
 def with_policy(context: Any) -> None:
     """Make its pace."""
     context.told_revision = 7
-    context.policy_pace = RevisionPace(lambda: MEMBER, lambda: context.told_revision > 7)
+    context.policy_pace = RevisionWatchPacing(lambda: MEMBER, lambda: context.told_revision > 7)
 
 
 @then("it leaves the policies alone until a collector tells of revision 9")
