--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -36,7 +36,7 @@
 """How long a request is refused after its newest crash, with two, three, and more."""
 SUCCESS_GRACE_S: Final = 10.0
 """A crash so soon after a good end of the same request is not put down to it."""
-SAME_CRASH_S: Final = 2.0
+SAME_CRASH_WINDOW_S: Final = 2.0
 """Runs that an instance sees end with one upstream within this time were beside one crash. What
 peers tell goes by the number of crashes alone: word that waited behind a cut or a frozen instance
 makes them look younger than they are."""
@@ -75,7 +75,9 @@
 
     def is_same(self, other: Crash) -> bool:
         """Tell whether what one instance has seen twice is the same crash."""
-        return self.upstream_id == other.upstream_id and abs(self.at - other.at) <= SAME_CRASH_S
+        return (
+            self.upstream_id == other.upstream_id and abs(self.at - other.at) <= SAME_CRASH_WINDOW_S
+        )
 
 
 @dataclass(frozen=True, slots=True)
