--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -37,7 +37,7 @@
 MAX_LOCAL_COST: Final = 0.40
 """Cost up to which a near engine is taken without a look at others: one that is less than
 half full and reads no other prompt. Beyond it, as many far ones are compared with it."""
-FAR_STREAM_PENALTY: Final = 0.08
+CROSS_ZONE_STREAM_PENALTY: Final = 0.08
 """Weight of another zone for a stream of a large fleet: what its bytes between zones cost,
 as seconds of waiting."""
 
@@ -122,7 +122,7 @@
         return near or far
     if near.is_ejected != far.is_ejected:
         return far if near.is_ejected else near
-    return near if cost(near) <= cost(far) + FAR_STREAM_PENALTY else far
+    return near if cost(near) <= cost(far) + CROSS_ZONE_STREAM_PENALTY else far
 
 
 def runs_share(options: Iterable[Option], engine: Engine) -> float:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -22,7 +22,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.loads import Share
 from driftstall.gateway.selection import (
-    FAR_STREAM_PENALTY,
+    CROSS_ZONE_STREAM_PENALTY,
     Need,
     Sampler,
     choose_backup,
@@ -97,7 +97,7 @@
         self._forget_expired()
         engine = service.engine
         # Whoever places for all knows all engines alike.
-        sampler = Sampler(self._state.source, cross_zone_penalty=FAR_STREAM_PENALTY)
+        sampler = Sampler(self._state.source, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         need = Need(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
         chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, sampler)
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -26,7 +26,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.selection import (
-    FAR_STREAM_PENALTY,
+    CROSS_ZONE_STREAM_PENALTY,
     SAMPLE_SIZE,
     Need,
     Option,
@@ -104,7 +104,7 @@
     """Place generations for some seconds, the first ten of which do not count."""
     source = random.Random(seed)
     sampler = (
-        Sampler(source, cross_zone_penalty=FAR_STREAM_PENALTY)
+        Sampler(source, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         if knows_all
         else Sampler(source, SAMPLE_SIZE)
     )
