--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -81,7 +81,7 @@
         elif self.allowance is None:
             self.allowance = Allowance(now)
 
-    def may_begin(self, now: float) -> bool:
+    def can_start(self, now: float) -> bool:
         """Tell whether a generation may begin now, by the limit that it names."""
         if self.per_s is None or self.allowance is None:
             return True
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -353,7 +353,7 @@
         for runner in self._runners.values():
             if runner.runner_id in item.avoid and len(self._runners) > len(item.avoid):
                 continue
-            if not runner.may_begin(now):
+            if not runner.can_start(now):
                 continue
             limit = runner.memory - headroom - runner.unexplained
             if not self._registry.has_room(runner, item.hold, own_peak, limit, now):
