--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -331,7 +331,7 @@
         self._placer.reported(report.sender)
         if self._reporting.take_report(report):
             self._sharing.repeat_changes(report.sender)
-        self._sharing.newer_routing(RoutingNotice(report.sender, report.routing_version))
+        self._sharing.request_newer_routing(RoutingNotice(report.sender, report.routing_version))
         if report.platform_ok:
             self._sharing.ask_unless_known(report.sender)
 
@@ -344,7 +344,7 @@
         age_s = summary.platform_age_ms / MS
         self._reporting.record_zone_summary(summary)
         self._reliance.heard(age_s, self._state.now())
-        self._sharing.newer_routing(RoutingNotice(summary.sender, summary.routing_version))
+        self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if not self._roles.follows and age_s <= FRESH_S:
             self._sharing.compare_fleet(summary)
 
@@ -359,7 +359,7 @@
         self._reporting.record_fleet_summary(summary)
         self._reliance.heard(summary.platform_age_ms / MS, self._state.now())
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
-        self._sharing.newer_routing(RoutingNotice(summary.sender, summary.routing_version))
+        self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if self._reliance.holds(self._state.now()):
             self._sharing.compare_fleet(summary)
 
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -162,7 +162,7 @@
 
     # What others tell this instance.
 
-    def newer_routing(self, notice: RoutingNotice) -> None:
+    def request_newer_routing(self, notice: RoutingNotice) -> None:
         """Ask for a newer document that a peer has, unless it comes by itself."""
         if notice.version > self._intake.routing()[0]:
             pause_s = ASK_AFTER_S * (1 + self._state.source.random())
