--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -77,7 +77,7 @@
         """Learn that calls are answered again; called before what they brought."""
 
 
-class Pace(Protocol):
+class WatchPacing(Protocol):
     """Tell a follower when to call, and how long a watch may wait."""
 
     def hold_s(self) -> float:
@@ -101,7 +101,7 @@
         feed: Feed[Item],
         listener: Listener[Item],
         source: random.Random,
-        pace: Pace,
+        pace: WatchPacing,
         sleep: Callable[[float], None] = gevent.sleep,
     ) -> None:
         """Take the feed, who listens, a random source, the pace and how to wait."""
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -23,7 +23,7 @@
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
-from driftstall.gateway.feeds import Feed, Follower, ItemChange, Pace
+from driftstall.gateway.feeds import Feed, Follower, ItemChange, WatchPacing
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.listeners import (
     CallerListener,
@@ -297,7 +297,7 @@
             feed=feed,
         )
 
-    def _cordon_pace(self, settings: GatewaySettings) -> Pace:
+    def _cordon_pace(self, settings: GatewaySettings) -> WatchPacing:
         """Return the pace at which cordoned zones are followed.
 
         Where the site sets no bound for them, none are expected: a look now and then is enough.
