--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -40,7 +40,7 @@
 """Runs that an instance sees end with one upstream within this time were beside one crash. What
 peers tell goes by the number of crashes alone: word that waited behind a cut or a frozen instance
 makes them look younger than they are."""
-KEPT_S: Final = 7200.0
+CRASH_RETENTION_S: Final = 7200.0
 """How long a crash is remembered: twice the longest rest."""
 NEWS_S: Final = 10.0
 """How long peers are told of what has changed, where it convicts nobody."""
@@ -238,7 +238,7 @@
     def forget_old(self, now: float) -> None:
         """Forget what has no effect any more."""
         for fingerprint, record in list(self._records.items()):
-            record.crashes = [one for one in record.crashes if now - one.at <= KEPT_S]
+            record.crashes = [one for one in record.crashes if now - one.at <= CRASH_RETENTION_S]
             if not record.crashes:
                 del self._records[fingerprint]
         self._beside.clear()
@@ -322,7 +322,7 @@
     found = []
     # The newest ones: what is known here was told or seen before.
     for one in sorted(told, key=lambda one: one.ago_ms):
-        if missing[one.upstream_id] > 0 and one.ago_ms <= KEPT_S * 1000:
+        if missing[one.upstream_id] > 0 and one.ago_ms <= CRASH_RETENTION_S * 1000:
             missing[one.upstream_id] -= 1
             found.append(Crash(one.upstream_id, now - one.ago_ms / 1000, one.under_way))
     return found
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from driftstall.const import PREFIX_ROUTING
-from driftstall.decisions.poison_detection import KEPT_S, Crash
+from driftstall.decisions.poison_detection import CRASH_RETENTION_S, Crash
 from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.model import Upstream
@@ -143,4 +143,6 @@
             return
         self._forgot_at = now
         self._state.blame.forget_old(now)
-        self._crashed_at = {one: at for one, at in self._crashed_at.items() if now - at < KEPT_S}
+        self._crashed_at = {
+            one: at for one, at in self._crashed_at.items() if now - at < CRASH_RETENTION_S
+        }
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from driftstall.decisions.poison_detection import (
-    KEPT_S,
+    CRASH_RETENTION_S,
     BlameTold,
     Crash,
     CrashTold,
@@ -115,9 +115,9 @@
 @then("two hours later nothing is remembered")
 def forgotten(context: Any) -> None:
     """Let time pass."""
-    context.book.forget_old(KEPT_S + 3.0)
+    context.book.forget_old(CRASH_RETENTION_S + 3.0)
     assert len(context.book) == 0
-    assert context.book.verdict(ONE, KEPT_S + 3.0) == Verdict()
+    assert context.book.verdict(ONE, CRASH_RETENTION_S + 3.0) == Verdict()
 
 
 @given("a modelled fleet: {load}")
