--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -27,7 +27,7 @@
 """Weight of another zone: its bytes are priced, and moves take twice as long."""
 CROSS_ZONE_MOVE_PENALTY: Final = 0.3
 """Weight of another zone for a move: the notice is short and the copy takes twice as long."""
-NOISE: Final = 0.01
+TIE_BREAK_JITTER: Final = 0.01
 """Chance between upstreams that are about equal."""
 FULL: Final = 0.92
 """Share of memory beyond which a new run would soon be preempted."""
@@ -89,7 +89,7 @@
 
     def jitter(self) -> float:
         """Return a small cost by which equal options are told apart."""
-        return NOISE * self.source.random()
+        return TIE_BREAK_JITTER * self.source.random()
 
 
 def choose_call(options: Iterable[Option], sampler: Sampler) -> Option | None:
