--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -87,7 +87,7 @@
             return True
         return not self.allowance.wait_s(self.per_s, now)
 
-    def begins(self, rank: int, now: float) -> None:
+    def record_start(self, rank: int, now: float) -> None:
         """Count a generation that begins now."""
         if self.per_s is not None and self.allowance is not None:
             self.allowance.ask(SendNeed(0.0, rank), self.per_s, now)
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -402,7 +402,7 @@
         grant.reserved = item.cost
         grant.rested_from = now
         self._open(runner, grant, item.hold, now)
-        runner.begins(item.verdict.rank, now)
+        runner.record_start(item.verdict.rank, now)
         runner.pending_prefill = runner.pending(now) + uncached
         reason = (
             f"cost {choice.cost:.3f} of {len(self._runners)} runners, "
