--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -333,7 +333,7 @@
             self._sharing.repeat_changes(report.sender)
         self._sharing.request_newer_routing(RoutingNotice(report.sender, report.routing_version))
         if report.platform_ok:
-            self._sharing.ask_unless_known(report.sender)
+            self._sharing.request_fleet_if_unknown(report.sender)
 
     @_take.register
     def _(self, summary: ZoneSummary) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -178,7 +178,7 @@
             self._different = 0
             self._send(summary.sender, FleetAsked(self._own_id))
 
-    def ask_unless_known(self, peer: str) -> None:
+    def request_fleet_if_unknown(self, peer: str) -> None:
         """Ask a peer for the upstreams if the platform has never told this instance any."""
         if not self._state.fleet.known:
             self._send(peer, FleetAsked(self._own_id))
