--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, WatchDelegation
 
 
-class Followed(Protocol):
+class FeedStatus(Protocol):
     """Tell how the questions of one feed are answered."""
 
     @property
@@ -39,7 +39,7 @@
 class FeedReach:
     """Hold what one feed's standing is read from."""
 
-    follower: Followed
+    follower: FeedStatus
     pace: Paced
 
     @property
