--- a/driftstall/decisions/leaving_signals.py
+++ b/driftstall/decisions/leaving_signals.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-KEPT_S: Final = 60.0
+SIGNAL_RETENTION_S: Final = 60.0
 """How long the signal of an upstream without an entry is kept: peers may tell of it before the
 store does, and an entry may come back after its removal."""
 MS: Final = 1000
@@ -63,5 +63,5 @@
         """Forget old signals of upstreams that are not known."""
         known = frozenset(known_ids)
         for upstream_id, since in list(self._since.items()):
-            if upstream_id not in known and now - since > KEPT_S:
+            if upstream_id not in known and now - since > SIGNAL_RETENTION_S:
                 del self._since[upstream_id]
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -13,7 +13,7 @@
 from typing import Final
 
 from driftstall.decisions.cold_starts import UNTOLD_S
-from driftstall.decisions.leaving_signals import KEPT_S
+from driftstall.decisions.leaving_signals import SIGNAL_RETENTION_S
 from driftstall.decisions.store_versions import DOUBT_S, LEFT_DOUBT_S, NO_VERSION, StoreVersion
 from driftstall.decisions.upstream_probes import DOUBTED_S
 from driftstall.gateway.fleet_events import (
@@ -136,7 +136,7 @@
     @_on.register
     def _(self, event: SignalledLeaving, now: float) -> None:
         entry = self._find(event.upstream_id)
-        if entry is None and event.ago_s > KEPT_S:
+        if entry is None and event.ago_s > SIGNAL_RETENTION_S:
             return
         since = now - event.ago_s
         if self._signalled.add(event.upstream_id, since) and entry is not None:
