--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -29,7 +29,7 @@
 """Weight of another zone for a move: the notice is short and the copy takes twice as long."""
 TIE_BREAK_JITTER: Final = 0.01
 """Chance between upstreams that are about equal."""
-FULL: Final = 0.92
+MEMORY_FULL_SHARE: Final = 0.92
 """Share of memory beyond which a new run would soon be preempted."""
 OVERFULL_PENALTY: Final = 5.0
 SAMPLE_SIZE: Final = 3
@@ -134,7 +134,7 @@
 def has_room(option: Option, engine: Engine, need: Need) -> bool:
     """Tell whether a generation fits an engine's memory, as far as can be forecast."""
     expected = need.prompt_tokens + need.output_tokens // 2
-    return _memory(option.use, engine, expected) <= FULL
+    return _memory(option.use, engine, expected) <= MEMORY_FULL_SHARE
 
 
 def choose_backup(
@@ -190,8 +190,8 @@
     cost = (use.prefill + need.prompt_tokens) / PREFILL_TOKENS_PER_S
     cost += STREAM_PENALTY * use.running / max(1, engine.slots)
     cost += MEMORY_PENALTY * memory * memory
-    if memory > FULL:
-        cost += OVERFULL_PENALTY * (memory - FULL)
+    if memory > MEMORY_FULL_SHARE:
+        cost += OVERFULL_PENALTY * (memory - MEMORY_FULL_SHARE)
     return cost + option.penalty
 
 
