--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -115,7 +115,7 @@
         self.long_held -= grant.long_tokens
         return True
 
-    def take_report(self, used: int, memory: int) -> None:
+    def apply_report(self, used: int, memory: int) -> None:
         """Learn from the runner's own, lagging report what our grants do not explain."""
         self.memory = memory or self.memory
         known = sum(one.held_tokens for one in self.grants.values() if not one.paused)
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -213,7 +213,7 @@
     def _(self, event: RunnerReport, now: float) -> None:
         runner = self._runners.get(event.runner_id)
         if runner is not None:
-            runner.take_report(event.used_tokens, event.memory_tokens)
+            runner.apply_report(event.used_tokens, event.memory_tokens)
 
     @_apply.register
     def _(self, event: CacheEvents, now: float) -> None:
