--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -330,7 +330,7 @@
         self._sharing.take_cordons(report.cordons)
         self._placer.reported(report.sender)
         if self._reporting.take_report(report):
-            self._sharing.repeat_changes(report.sender)
+            self._sharing.resend_changes(report.sender)
         self._sharing.request_newer_routing(RoutingNotice(report.sender, report.routing_version))
         if report.platform_ok:
             self._sharing.request_fleet_if_unknown(report.sender)
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -115,7 +115,7 @@
         for peer in peers:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.gone))
 
-    def repeat_changes(self, peer: str) -> None:
+    def resend_changes(self, peer: str) -> None:
         """Tell a peer that has just lost the platform what it may have missed."""
         for _, change in self._recent:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.gone))
