--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -23,7 +23,7 @@
         """Tell whether the newest question got no answer."""
 
 
-class Paced(Protocol):
+class FeedPacing(Protocol):
     """Tell who follows one feed, and how old the platform's last answer is."""
 
     @property
@@ -40,7 +40,7 @@
     """Hold what one feed's standing is read from."""
 
     follower: FeedStatus
-    pace: Paced
+    pace: FeedPacing
 
     @property
     def is_followed(self) -> bool:
