--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -42,7 +42,7 @@
 makes them look younger than they are."""
 CRASH_RETENTION_S: Final = 7200.0
 """How long a crash is remembered: twice the longest rest."""
-NEWS_S: Final = 10.0
+CHANGE_PUBLISH_S: Final = 10.0
 """How long peers are told of what has changed, where it convicts nobody."""
 WELL_NEWS_S: Final = 1.0
 """A good end is news to an instance that knew of none within this time before it."""
@@ -204,7 +204,7 @@
         known = [
             (fingerprint, record)
             for fingerprint, record in self._records.items()
-            if now - record.changed_at <= NEWS_S
+            if now - record.changed_at <= CHANGE_PUBLISH_S
             or sum(one.weight for one in record.crashes) >= QUARANTINE_WEIGHT
         ]
         known.sort(key=lambda one: (-one[1].weight, -one[1].changed_at))
