--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.dialect import MoveDone, MoveFailed, MoveResult
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import Copy, KeptCopy, LastStep, StreamRun
-from driftstall.gateway.selection import Need, choose_move
+from driftstall.gateway.selection import TokenRequirement, choose_move
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
@@ -40,7 +40,7 @@
         engine = run.admitted.service.engine
         if engine is None or not engine.can_move:
             return None
-        need = Need(run.held_tokens, 0)
+        need = TokenRequirement(run.held_tokens, 0)
         options = self._state.options(run.upstream.service, avoid | {run.upstream.upstream_id})
         chosen = choose_move(
             options, engine, need, run.upstream, self._state.sampler, most_memory=most_memory
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Engine, Upstream
 from driftstall.gateway.runs import Copy, StreamRun
-from driftstall.gateway.selection import Need, choose_backup, choose_stream, has_room
+from driftstall.gateway.selection import TokenRequirement, choose_backup, choose_stream, has_room
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 from driftstall.peers.gateway_messages import PlacementAsked
@@ -93,13 +93,13 @@
         next_run.tokens = run.tokens
         next_run.moves = run.moves + 1
         next_run.last_event_at = run.last_event_at
-        need = Need(run.held_tokens, max(0, self._expected_tokens() - run.tokens))
+        need = TokenRequirement(run.held_tokens, max(0, self._expected_tokens() - run.tokens))
         next_run.backup = self._choose_backup(copy.upstream, need, has_run_at)
         self._state.account(next_run)
         return next_run
 
     def _wait_for_room(
-        self, need: Need, avoid: frozenset[str], gone: Callable[[], bool]
+        self, need: TokenRequirement, avoid: frozenset[str], gone: Callable[[], bool]
     ) -> Place | None:
         """Choose the upstream; wait a little for one, and for room in its memory."""
         began = self._state.now()
@@ -119,7 +119,9 @@
             self._state.fleet_changed.wait(ASK_AGAIN_S if asks else ROOM_CHECK_S)
         return None
 
-    def _choose(self, need: Need, avoid: frozenset[str], *, taken_anyway: bool) -> Place | None:
+    def _choose(
+        self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
+    ) -> Place | None:
         """Ask who places for the zone, or choose here; None where no upstream takes requests."""
         asked = PlacementAsked(
             self._state.settings.instance_id,
@@ -147,7 +149,7 @@
         return backs_off or fleet.waits_for_cordons(service)
 
     def _choose_here(
-        self, need: Need, avoid: frozenset[str], *, taken_anyway: bool
+        self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Place | None:
         """Choose by what this instance knows."""
         service = self._admitted.service.name
@@ -168,7 +170,7 @@
         return Place(chosen.upstream, backup, room, settings.instance_id)
 
     def _choose_backup(
-        self, primary: Upstream, need: Need, avoid: frozenset[str]
+        self, primary: Upstream, need: TokenRequirement, avoid: frozenset[str]
     ) -> Upstream | None:
         """Choose where a copy of the run is kept."""
         if not self.engine.can_backup or not self._wants_backup():
@@ -181,9 +183,9 @@
         """Tell whether the output is long enough for a copy to pay."""
         return self._expected_tokens() >= BACKUP_FROM_TOKENS
 
-    def _need(self) -> Need:
+    def _need(self) -> TokenRequirement:
         """Forecast what the run will take."""
-        return Need(self._request.input_tokens, self._expected_tokens())
+        return TokenRequirement(self._request.input_tokens, self._expected_tokens())
 
     def _longest_s(self) -> float:
         """Forecast how long the stream may take, in seconds."""
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class TokenRequirement:
     """Hold what a generation will take."""
 
     prompt_tokens: int
@@ -103,7 +103,7 @@
 
 
 def choose_stream(
-    options: Iterable[Option], engine: Engine, need: Need, zone: str, sampler: Sampler
+    options: Iterable[Option], engine: Engine, need: TokenRequirement, zone: str, sampler: Sampler
 ) -> Option | None:
     """Return the upstream for a generation."""
 
@@ -131,14 +131,18 @@
     return sum(one.use.tokens for one in known) / max(1, engine.memory_tokens * len(known))
 
 
-def has_room(option: Option, engine: Engine, need: Need) -> bool:
+def has_room(option: Option, engine: Engine, need: TokenRequirement) -> bool:
     """Tell whether a generation fits an engine's memory, as far as can be forecast."""
     expected = need.prompt_tokens + need.output_tokens // 2
     return _memory(option.use, engine, expected) <= MEMORY_FULL_SHARE
 
 
 def choose_backup(
-    options: Iterable[Option], engine: Engine, need: Need, primary: Upstream, sampler: Sampler
+    options: Iterable[Option],
+    engine: Engine,
+    need: TokenRequirement,
+    primary: Upstream,
+    sampler: Sampler,
 ) -> Option | None:
     """Return the engine that keeps a copy of a run, or None where none has room."""
     known = list(options)
@@ -162,7 +166,7 @@
 def choose_move(
     options: Iterable[Option],
     engine: Engine,
-    need: Need,
+    need: TokenRequirement,
     primary: Upstream,
     sampler: Sampler,
     *,
@@ -183,7 +187,7 @@
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
-def _stream_cost(option: Option, engine: Engine, need: Need) -> float:
+def _stream_cost(option: Option, engine: Engine, need: TokenRequirement) -> float:
     """Return what a generation would suffer on an upstream, about in seconds."""
     use = option.use
     memory = _memory(use, engine, need.total)
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -23,8 +23,8 @@
 from driftstall.gateway.loads import Share
 from driftstall.gateway.selection import (
     CROSS_ZONE_STREAM_PENALTY,
-    Need,
     Sampler,
+    TokenRequirement,
     choose_backup,
     choose_stream,
     has_room,
@@ -98,7 +98,7 @@
         engine = service.engine
         # Whoever places for all knows all engines alike.
         sampler = Sampler(self._state.source, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
-        need = Need(asked.prompt_tokens, asked.output_tokens)
+        need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
         chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, sampler)
         if chosen is None:
--- a/features/worlds/upstream_samples.py
+++ b/features/worlds/upstream_samples.py
@@ -11,11 +11,11 @@
     UpstreamState,
 )
 from driftstall.gateway.selection import (
-    Need,
+    TokenRequirement,
 )
 
 ENGINE = Engine(64, 34_545, 18_432, 337_500_000.0, True, True, 4)
-NEED = Need(3_000, 500)
+NEED = TokenRequirement(3_000, 500)
 
 
 def entry_spec(address: str, service: str = "engines", **more: Any) -> dict[str, Any]:
--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -23,7 +23,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Engine, Upstream, UpstreamState
-from driftstall.gateway.selection import Need, Option, Sampler, choose_stream
+from driftstall.gateway.selection import Option, Sampler, TokenRequirement, choose_stream
 
 ENGINES: Final = 23
 REQUESTS_PER_S: Final = 24.0
@@ -44,7 +44,7 @@
 
     at: float
     engine: int
-    need: Need
+    need: TokenRequirement
     first_at: float
     ends_at: float
 
@@ -72,12 +72,12 @@
         return [*cuts, late, self.overfull]
 
 
-def draw_need(source: random.Random) -> Need:
+def draw_need(source: random.Random) -> TokenRequirement:
     """Draw a prompt and an output."""
     if source.random() < CHATS:
         prompt = min(6000.0, max(200.0, source.gauss(3000, 1050)))
-        return Need(int(prompt), int(4 * min(439.0, source.lognormvariate(4.97, 0.7))))
-    return Need(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
+        return TokenRequirement(int(prompt), int(4 * min(439.0, source.lognormvariate(4.97, 0.7))))
+    return TokenRequirement(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
 
 
 def seen_use(placed: list[Placed], engine: int, as_of: float) -> Use:
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -28,9 +28,9 @@
 from driftstall.gateway.selection import (
     CROSS_ZONE_STREAM_PENALTY,
     SAMPLE_SIZE,
-    Need,
     Option,
     Sampler,
+    TokenRequirement,
     choose_stream,
 )
 from measures.stale_sums import ENGINE, Placed, Row, seen_use
@@ -56,12 +56,12 @@
 )
 
 
-def draw_need(source: random.Random) -> Need:
+def draw_need(source: random.Random) -> TokenRequirement:
     """Draw a prompt and an output, in tokens."""
     if source.random() < CHATS:
         prompt = min(6000.0, max(200.0, source.gauss(3000, 1050)))
-        return Need(int(prompt), int(4 * min(562.0, source.lognormvariate(5.2, 0.74))))
-    return Need(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
+        return TokenRequirement(int(prompt), int(4 * min(562.0, source.lognormvariate(5.2, 0.74))))
+    return TokenRequirement(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
 
 
 def _options(placed: list[Placed], zone: str, now: float, *, knows_all: bool) -> list[Option]:
@@ -83,7 +83,7 @@
         self.placed: list[Placed] = []
         self._reads_until = [0.0] * ENGINES
 
-    def run(self, index: int, need: Need, now: float) -> tuple[float, bool]:
+    def run(self, index: int, need: TokenRequirement, now: float) -> tuple[float, bool]:
         """Run a generation on an engine; return the wait for its first token, and any overflow."""
         running = [one for one in self.placed if one.engine == index and one.ends_at > now]
         reads_s = (1 + 0.03 * len(running)) * need.prompt_tokens / READ_PER_S
