--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -73,7 +73,7 @@
     """Generations a second that may begin there; None where it names no limit."""
     allowance: Allowance | None = None
 
-    def limit(self, per_s: float | None, now: float) -> None:
+    def set_rate_limit(self, per_s: float | None, now: float) -> None:
         """Take in the limit that it names, or that it names none."""
         self.per_s = per_s
         if per_s is None:
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -237,7 +237,7 @@
     def _(self, event: RunnersLimited, now: float) -> None:
         limits = dict(event.limits)
         for runner in self._runners.values():
-            runner.limit(limits.get(runner.runner_id), now)
+            runner.set_rate_limit(limits.get(runner.runner_id), now)
 
     def _let_leave(self, runner: RunnerState, now: float) -> None:
         """Give a leaving runner no new work, but let what has yielded there end."""
