--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -257,7 +257,7 @@
             collectors=[one.instance_id for one in roles.own_collectors],
         )
         self._reporting.forget()
-        self._state.use_pooled_sums(roles.large)
+        self._state.set_load_pooling(roles.large)
         self._state.loads_changed.set()
 
     def _receive(self, _: str, message: GatewayMessage) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -142,7 +142,7 @@
             self._budgets[service] = found
         return found
 
-    def use_pooled_sums(self, pooled: bool) -> None:
+    def set_load_pooling(self, pooled: bool) -> None:
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
         self.sampler = Sampler(self.source, SAMPLE_SIZE if pooled else None)
 
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -69,7 +69,7 @@
     engines = [upstream_of(f"near-{index}") for index in range(5)]
     engines += [upstream_of(f"far-{index}", zone="b") for index in range(5)]
     state.fleet.handle(Listed(tuple(engines)), context.at)
-    state.use_pooled_sums(True)
+    state.set_load_pooling(True)
 
     def send(_: str, message: GatewayMessage) -> None:
         context.sent.append(message)
