--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -46,7 +46,7 @@
     UpstreamSource,
 )
 from driftstall.gateway.state import GatewayState
-from driftstall.gateway.store_reachability import FeedReach, PlatformReach
+from driftstall.gateway.store_reachability import FeedReachability, PlatformReach
 from driftstall.gateway.store_recovery import StoreReturn
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
@@ -167,8 +167,8 @@
         self._cordon_follower = Follower(
             access.cordons, self._cordons, source, self._cordon_pace(settings)
         )
-        self._routing_reach = FeedReach(self._routing_follower, self._routing_pace)
-        self._upstream_reach = FeedReach(self._upstream_follower, self._upstream_pace)
+        self._routing_reach = FeedReachability(self._routing_follower, self._routing_pace)
+        self._upstream_reach = FeedReachability(self._upstream_follower, self._upstream_pace)
         self._reach = PlatformReach(
             self._routing_reach,
             self._upstream_reach,
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FeedReach:
+class FeedReachability:
     """Hold what one feed's standing is read from."""
 
     follower: FeedStatus
@@ -53,8 +53,8 @@
 
     def __init__(
         self,
-        routing: FeedReach,
-        upstreams: FeedReach,
+        routing: FeedReachability,
+        upstreams: FeedReachability,
         reliance: WatchDelegation,
         *,
         now: Callable[[], float],
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.store_reachability import FeedReach, PlatformReach
+from driftstall.gateway.store_reachability import FeedReachability, PlatformReach
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
     FRESH_S,
@@ -220,8 +220,8 @@
         for number in range(1, 4)
     )
     context.reach = PlatformReach(
-        FeedReach(context.routes, context.routes),
-        FeedReach(context.list, context.list),
+        FeedReachability(context.routes, context.routes),
+        FeedReachability(context.list, context.list),
         WatchDelegation(random.Random(1)),
         now=lambda: 0.0,
         roles=Roles,
@@ -237,8 +237,8 @@
     reliance = WatchDelegation(random.Random(1))
     reliance.heard(0.0, 0.0)
     context.reach = PlatformReach(
-        FeedReach(context.routes, context.routes),
-        FeedReach(context.list, context.list),
+        FeedReachability(context.routes, context.routes),
+        FeedReachability(context.list, context.list),
         reliance,
         now=lambda: 0.1,
         roles=lambda: Roles(large=True, collects=True, follows=True),
