--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -44,7 +44,7 @@
 """How long a crash is remembered: twice the longest rest."""
 CHANGE_PUBLISH_S: Final = 10.0
 """How long peers are told of what has changed, where it convicts nobody."""
-WELL_NEWS_S: Final = 1.0
+MIN_SUCCESS_ADVANCE_S: Final = 1.0
 """A good end is news to an instance that knew of none within this time before it."""
 MOST_RECORDS: Final = 1_000
 """Requests that are remembered beside crashes, some 400 bytes each."""
@@ -231,7 +231,7 @@
             newest_s = min(crash.ago_ms for crash in one.crashes) / 1000
             # It clears them of crashes until some seconds after it.
             clears = newest_s > well_ago_s - SUCCESS_GRACE_S
-            if clears and theirs_s - well_ago_s > WELL_NEWS_S:
+            if clears and theirs_s - well_ago_s > MIN_SUCCESS_ADVANCE_S:
                 found.append(_told(one.fingerprint, record, now))
         return tuple(found)
 
@@ -255,7 +255,7 @@
         well_at = NEVER if told.well_ago_ms is None else now - told.well_ago_ms / 1000
         # Each hop makes a good end look younger by its delay. If that were taken in, it would clear
         # the request of later and later crashes.
-        changed = well_at > record.well_at + WELL_NEWS_S
+        changed = well_at > record.well_at + MIN_SUCCESS_ADVANCE_S
         if changed:
             record.well_at = well_at
         for crash in _more_than(record.crashes, told.crashes, now):
