--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -128,7 +128,7 @@
         source = run.upstream
         avoid: set[str] = set()
         for _ in range(TARGETS):
-            target = self._mover.choose_target(run, frozenset(avoid), most_memory=MOST_MEMORY)
+            target = self._mover.choose_target(run, frozenset(avoid), max_memory_share=MOST_MEMORY)
             if target is None:
                 return False
             failure = self._copy(run, target)
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -27,7 +27,7 @@
         self._state = state
 
     def choose_target(
-        self, run: StreamRun, avoid: frozenset[str], *, most_memory: float
+        self, run: StreamRun, avoid: frozenset[str], *, max_memory_share: float
     ) -> Upstream | None:
         """Choose where a run's memory is copied; where it already is, if that stays.
 
@@ -43,7 +43,12 @@
         need = TokenRequirement(run.held_tokens, 0)
         options = self._state.options(run.upstream.service, avoid | {run.upstream.upstream_id})
         chosen = choose_move(
-            options, engine, need, run.upstream, self._state.sampler, most_memory=most_memory
+            options,
+            engine,
+            need,
+            run.upstream,
+            self._state.sampler,
+            max_memory_share=max_memory_share,
         )
         return chosen.upstream if chosen else None
 
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -100,7 +100,7 @@
         """Copy one run."""
         upstream_id = run.upstream.upstream_id
         try:
-            target = self._mover.choose_target(run, frozenset(), most_memory=self._line(run))
+            target = self._mover.choose_target(run, frozenset(), max_memory_share=self._line(run))
             result = self._mover.copy(run, target) if target else None
             if result is None or isinstance(result, MoveFailed):
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -170,14 +170,14 @@
     primary: Upstream,
     sampler: Sampler,
     *,
-    most_memory: float,
+    max_memory_share: float,
 ) -> Option | None:
     """Return where a run's memory is copied; in the same zone if it can."""
     fitting = [
         one
         for one in options
         # What runs at a copy there is a request more to it.
-        if not one.cold_s and _memory(one.use, engine, need.total) <= most_memory
+        if not one.cold_s and _memory(one.use, engine, need.total) <= max_memory_share
     ]
 
     def cost(option: Option) -> float:
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -220,6 +220,6 @@
     ]
     sampler, primary = Sampler(random.Random(1)), upstream_of("primary")
     kept = choose_backup(options, ENGINE, NEED, primary, sampler)
-    moved = choose_move(options, ENGINE, NEED, primary, sampler, most_memory=1.0)
+    moved = choose_move(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
     for chosen in (kept, moved):
         assert chosen is not None and chosen.upstream.upstream_id == "warm", chosen
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -39,7 +39,7 @@
     """Make a copy, hold the next step up, break the stream off, then end the step."""
     world, engine = world_of(context), context.engine
     (run,) = world.state.runs.all
-    target = world.mover.choose_target(run, frozenset(), most_memory=1.0)
+    target = world.mover.choose_target(run, frozenset(), max_memory_share=1.0)
     assert target is not None
     world.mover.copy(run, target)
 
@@ -275,7 +275,7 @@
     """Copy the run, then tell only the books that its engine is leaving."""
     world = world_of(context)
     (run,) = world.state.runs.all
-    target = world.mover.choose_target(run, frozenset(), most_memory=1.0)
+    target = world.mover.choose_target(run, frozenset(), max_memory_share=1.0)
     assert target is not None
     world.mover.copy(run, target)
     leaving = replace(
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -79,7 +79,9 @@
     """Choose a move's target."""
     options = [option("far", 0, "b"), option("near", 8_600)]
     primary = upstream_of("u1")
-    chosen = choose_move(options, ENGINE, NEED, primary, Sampler(random.Random(1)), most_memory=1.0)
+    chosen = choose_move(
+        options, ENGINE, NEED, primary, Sampler(random.Random(1)), max_memory_share=1.0
+    )
     assert chosen is not None and chosen.upstream.upstream_id == "near"
 
 
@@ -216,5 +218,5 @@
     far, primary = engines_of("bbbb"), upstream_of("u1")
     for tokens, zone in ((20_000, "a"), (34_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
-        found = choose_move(options, ENGINE, NEED, primary, sampler, most_memory=1.0)
+        found = choose_move(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
         assert found is not None and found.upstream.zone == zone, found
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -7,13 +7,13 @@
 from unittest.mock import patch
 
 from behave import given, then, when
-from driftstall.decisions.upstream_probes import Word
 from hypothesis import given as for_all
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
 from driftstall.decisions.sends import KEPT_UP_AFTER_S
 from driftstall.decisions.store_versions import StoreVersion
+from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Doubted, Listed, Offered, UpstreamReplaced
 from driftstall.gateway.loads import Use
@@ -229,7 +229,7 @@
     """Have one made, and none kept up."""
     world = world_of(context)
     context.run.backup = None
-    target = world.mover.choose_target(context.run, frozenset(), most_memory=1.0)
+    target = world.mover.choose_target(context.run, frozenset(), max_memory_share=1.0)
     assert target is not None
     world.mover.copy(context.run, target)
     assert context.run.kept is not None
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from behave import given, then, when
-from driftstall.gateway.upstream_prober import Inquiry
 from eliot import add_destinations, remove_destination
 
 from driftstall.core import Instance
@@ -17,6 +16,7 @@
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import Copy, KeptCopy
+from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.peers.gateway_messages import PlacementAsked
 from features.worlds.gateway_world import runs, script_all, wait_for, world_of
 from stand_ins.routed import Script
@@ -132,7 +132,7 @@
     """Choose a target often."""
     mover = world_of(context).mover
     for _ in range(20):
-        target = mover.choose_target(context.run, frozenset(), most_memory=1.0)
+        target = mover.choose_target(context.run, frozenset(), max_memory_share=1.0)
         assert target == context.free, target
 
 
