--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -92,7 +92,7 @@
         if self.per_s is not None and self.allowance is not None:
             self.allowance.ask(SendNeed(0.0, rank), self.per_s, now)
 
-    def pending(self, now: float) -> float:
+    def decay_pending_prefill(self, now: float) -> float:
         """Return the prefill tokens that should still be pending."""
         done = (now - self.pending_at) * PREFILL_TOKENS_PER_S
         self.pending_prefill = max(0.0, self.pending_prefill - done)
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -362,7 +362,7 @@
             if isolate and uncached >= LONG_PREFILL and runner.runner_id not in members:
                 closed = True
                 continue
-            pending = runner.pending(now)
+            pending = runner.decay_pending_prefill(now)
             if rank > 0 and pending > 0 and pending + uncached > MAX_PENDING_PREFILL:
                 continue
             fill = runner.hold.means[0] / runner.memory
@@ -403,7 +403,7 @@
         grant.rested_from = now
         self._open(runner, grant, item.hold, now)
         runner.record_start(item.verdict.rank, now)
-        runner.pending_prefill = runner.pending(now) + uncached
+        runner.pending_prefill = runner.decay_pending_prefill(now) + uncached
         reason = (
             f"cost {choice.cost:.3f} of {len(self._runners)} runners, "
             f"{uncached} of {request.input_tokens} tokens to prefill"
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -126,7 +126,7 @@
         runner = self._runner_of(grant)
         if runner is not None:
             self._set_hold(runner, runner.hold.plus(self._hold_of(grant)))
-            runner.pending_prefill = runner.pending(now) + grant.request.input_tokens
+            runner.pending_prefill = runner.decay_pending_prefill(now) + grant.request.input_tokens
 
     def _runner_of(self, grant: OpenGrant) -> RunnerState | None:
         """Return a grant's runner, live or leaving."""
