--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -81,7 +81,7 @@
     instances: InstanceEntries
     crashes: KeptCrashes
     policy: KeptPolicy
-    hear_eras: Callable[[Callable[[int], None]], None]
+    subscribe_store_eras: Callable[[Callable[[int], None]], None]
     """Has somebody told of each new era of the platform's store."""
     use_address: Callable[[str], None]
     calls: Callable[[], int]
@@ -190,7 +190,7 @@
         )
         self._policy_keeper = PolicyKeeper(self._policies, access.policy)
         self.state.era_told = self._store_return.seen
-        access.hear_eras(self._store_return.seen)
+        access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
         self._store_return.one_writes_again("policy", self._policy_keeper.write_again)
         self._store_return.one_writes_again("crashes", self._crash_keeper.write_again)
--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -59,7 +59,7 @@
         ),
         crashes=StoredCrashes(store),
         policy=feeds.StoredPolicy(store),
-        hear_eras=store.hear_eras,
+        subscribe_store_eras=store.subscribe_store_eras,
         use_address=store.use_address,
         calls=lambda: store.calls,
         read_settings=read_settings,
--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -105,7 +105,7 @@
         """Return the newest era that an answer has named; zero where none has."""
         return self._era or NO_ERA
 
-    def hear_eras(self, era_seen: Callable[[int], None]) -> None:
+    def subscribe_store_eras(self, era_seen: Callable[[int], None]) -> None:
         """Have somebody told of each era that an answer is the first to name."""
         self._era_seen = era_seen
 
