--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -46,7 +46,7 @@
     UpstreamSource,
 )
 from driftstall.gateway.state import GatewayState
-from driftstall.gateway.store_reachability import FeedReachability, PlatformReach
+from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.store_recovery import StoreReturn
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
@@ -169,7 +169,7 @@
         )
         self._routing_reach = FeedReachability(self._routing_follower, self._routing_pace)
         self._upstream_reach = FeedReachability(self._upstream_follower, self._upstream_pace)
-        self._reach = PlatformReach(
+        self._reach = StoreReachability(
             self._routing_reach,
             self._upstream_reach,
             reliance,
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -48,7 +48,7 @@
         return self.pace.covered or self.follower.current
 
 
-class PlatformReach:
+class StoreReachability:
     """Read from the feeds on which requests depend how far the platform answers."""
 
     def __init__(
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.store_reachability import FeedReachability, PlatformReach
+from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.upstream_prober import Inquiry
 from driftstall.gateway.watch_delegation import (
     FRESH_S,
@@ -219,7 +219,7 @@
         Instance(f"other-{number}", f"127.0.0.1:{number}", f"127.0.0.1:{number + 9}", "a")
         for number in range(1, 4)
     )
-    context.reach = PlatformReach(
+    context.reach = StoreReachability(
         FeedReachability(context.routes, context.routes),
         FeedReachability(context.list, context.list),
         WatchDelegation(random.Random(1)),
@@ -236,7 +236,7 @@
     answered_instance(context)
     reliance = WatchDelegation(random.Random(1))
     reliance.heard(0.0, 0.0)
-    context.reach = PlatformReach(
+    context.reach = StoreReachability(
         FeedReachability(context.routes, context.routes),
         FeedReachability(context.list, context.list),
         reliance,
