--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -46,7 +46,7 @@
 """How long peers are told of what has changed, where it convicts nobody."""
 MIN_SUCCESS_ADVANCE_S: Final = 1.0
 """A good end is news to an instance that knew of none within this time before it."""
-MOST_RECORDS: Final = 1_000
+MAX_RECORDS: Final = 1_000
 """Requests that are remembered beside crashes, some 400 bytes each."""
 MOST_CRASHES: Final = 8
 """Crashes remembered of one request."""
@@ -297,7 +297,7 @@
 
     def _make_room(self) -> None:
         """Forget the weakest and oldest where there are too many."""
-        while len(self._records) > MOST_RECORDS:
+        while len(self._records) > MAX_RECORDS:
             self._drop(min(self._records, key=self._strength))
 
     def _strength(self, fingerprint: str) -> tuple[float, float]:
