--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.runs import StreamRun
-from driftstall.gateway.selection import runs_share
+from driftstall.gateway.selection import run_memory_share
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.tasks import keep_running
 
@@ -113,7 +113,7 @@
         if engine is None:
             return 0.0
         return ahead_line(
-            runs_share(self._state.options(run.upstream.service, heeds_backoff=False), engine)
+            run_memory_share(self._state.options(run.upstream.service, heeds_backoff=False), engine)
         )
 
     def _forget_ended(self) -> None:
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -125,7 +125,7 @@
     return near if cost(near) <= cost(far) + CROSS_ZONE_STREAM_PENALTY else far
 
 
-def runs_share(options: Iterable[Option], engine: Engine) -> float:
+def run_memory_share(options: Iterable[Option], engine: Engine) -> float:
     """Return the share of the engines' memory that runs take, without copies."""
     known = list(options)
     return sum(one.use.tokens for one in known) / max(1, engine.memory_tokens * len(known))
@@ -146,7 +146,7 @@
 ) -> Option | None:
     """Return the engine that keeps a copy of a run, or None where none has room."""
     known = list(options)
-    line = backup_line(runs_share(known, engine))
+    line = backup_line(run_memory_share(known, engine))
     fitting = [
         option
         for option in known
