--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -67,7 +67,7 @@
     yield_at: float = -1e9
     shared: float = 0.0
     """Tokens of open grants that the prefix cache holds anyway."""
-    unexplained: float = 0.0
+    unaccounted_tokens: float = 0.0
     """Memory the runner reports beyond our grants, in tokens."""
     per_s: float | None = None
     """Generations a second that may begin there; None where it names no limit."""
@@ -120,4 +120,6 @@
         self.memory = memory or self.memory
         known = sum(one.held_tokens for one in self.grants.values() if not one.paused)
         unexplained = max(0.0, used - known - self.pending_prefill)
-        self.unexplained = unexplained if unexplained >= UNEXPLAINED_SHARE * self.memory else 0.0
+        self.unaccounted_tokens = (
+            unexplained if unexplained >= UNEXPLAINED_SHARE * self.memory else 0.0
+        )
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -355,7 +355,7 @@
                 continue
             if not runner.can_start(now):
                 continue
-            limit = runner.memory - headroom - runner.unexplained
+            limit = runner.memory - headroom - runner.unaccounted_tokens
             if not self._registry.has_room(runner, item.hold, own_peak, limit, now):
                 continue
             uncached = request.input_tokens - runner.prefixes.match(request.prefix)
