--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -38,7 +38,7 @@
 from driftstall.gateway.policy_persistence import KeptPolicy, PolicyKeeper
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
-from driftstall.gateway.reports import LONGEST_AGE_S, MS, Standing
+from driftstall.gateway.reports import MAX_AGE_S, MS, Standing
 from driftstall.gateway.sharing import Intake
 from driftstall.gateway.sources import (
     PolicySource,
@@ -276,8 +276,8 @@
             "upstreams_leaving_by_signal": len(self.state.fleet.leaving_records(self.state.now())),
             "upstreams_in_backoff": len(self.state.backoff.active(self.state.now())),
             "cordoned_zones": len(self.state.cordons.zones),
-            "upstreams_age_seconds": min(LONGEST_AGE_S, self._upstream_pace.age_s),
-            "routing_age_seconds": min(LONGEST_AGE_S, self._routing_pace.age_s),
+            "upstreams_age_seconds": min(MAX_AGE_S, self._upstream_pace.age_s),
+            "routing_age_seconds": min(MAX_AGE_S, self._routing_pace.age_s),
             "platform_ok": float(self._upstream_reach.is_followed),
             "requests_refused_for_crashes": len(self.state.blame.refused(self.state.now())),
             "store_era": self.state.eras.era,
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -38,7 +38,7 @@
 """How often a collector sends sums; with two collectors a zone hears four a second."""
 REPORT_VALID_S: Final = 2.3
 """A peer that has not reported for two periods is not located any more."""
-LONGEST_AGE_S: Final = 60.0
+MAX_AGE_S: Final = 60.0
 """Ages beyond this make no difference."""
 MS: Final = 1000
 
@@ -293,4 +293,4 @@
 
 def _milliseconds(age_s: float) -> int:
     """Return an age as it travels."""
-    return int(min(age_s, LONGEST_AGE_S) * MS)
+    return int(min(age_s, MAX_AGE_S) * MS)
