--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -48,7 +48,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.store_recovery import StoreReturn
-from driftstall.gateway.upstream_prober import Inquiry
+from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     DelegatedWatchPacing,
@@ -133,7 +133,7 @@
         )
         self._peering = Peering(self.state, intake, standing=self._standing, reliance=reliance)
         self._reliance = reliance
-        self._inquiry = Inquiry(
+        self._inquiry = UpstreamProber(
             self.state,
             self._peering.own,
             askers=lambda: self._reach.askers(),
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -24,7 +24,7 @@
 """How often it is looked whether there is cause to ask."""
 
 
-class Inquiry:
+class UpstreamProber:
     """Ask engines whether they stay."""
 
     def __init__(
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -17,7 +17,7 @@
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
-from driftstall.gateway.upstream_prober import Inquiry
+from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.gateway.watch_delegation import (
     FRESH_S,
     TRUST_S,
@@ -95,7 +95,7 @@
         assert len(asked) <= 6, (one, asked)
 
 
-def inquiry_of(world: GatewayWorld) -> Inquiry:
+def inquiry_of(world: GatewayWorld) -> UpstreamProber:
     """Return who asks the engines, as the only instance."""
 
     def doubt(upstream_id: str) -> None:
@@ -103,7 +103,7 @@
             if isinstance(action, UpstreamLeaving):
                 world.evacuation.start(action.upstream)
 
-    return Inquiry(
+    return UpstreamProber(
         world.state,
         OWN,
         askers=lambda: (OWN,),
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import Copy, KeptCopy
-from driftstall.gateway.upstream_prober import Inquiry
+from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.peers.gateway_messages import PlacementAsked
 from features.worlds.gateway_world import runs, script_all, wait_for, world_of
 from stand_ins.routed import Script
@@ -156,7 +156,7 @@
     copy = Copy(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.kept = KeptCopy(copy, world.state.now(), 10)
     world.mover.drop_copy(context.run)
-    inquiry = Inquiry(
+    inquiry = UpstreamProber(
         world.state,
         Instance("instance-1", "", "", "a"),
         askers=tuple,
