--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -48,7 +48,7 @@
 """A good end is news to an instance that knew of none within this time before it."""
 MAX_RECORDS: Final = 1_000
 """Requests that are remembered beside crashes, some 400 bytes each."""
-MOST_CRASHES: Final = 8
+MAX_CRASHES_PER_REQUEST: Final = 8
 """Crashes remembered of one request."""
 MOST_WELL: Final = 2_000
 """Requests remembered for their good end alone, some 150 bytes each: a hundred seconds of the
@@ -274,7 +274,9 @@
 
         What is too old to be is no news: two instances would pass it to and fro for ever.
         """
-        record.crashes = sorted([*record.crashes, crash], key=lambda one: one.at)[-MOST_CRASHES:]
+        record.crashes = sorted([*record.crashes, crash], key=lambda one: one.at)[
+            -MAX_CRASHES_PER_REQUEST:
+        ]
         if crash not in record.crashes:
             return False
         self._beside.setdefault(crash.upstream_id, set()).add(fingerprint)
