--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """Hold where a stream may run."""
 
     upstream: Upstream
@@ -100,7 +100,7 @@
 
     def _wait_for_room(
         self, need: TokenRequirement, avoid: frozenset[str], gone: Callable[[], bool]
-    ) -> Place | None:
+    ) -> Placement | None:
         """Choose the upstream; wait a little for one, and for room in its memory."""
         began = self._state.now()
         target_s = self._admitted.route.target_s
@@ -121,7 +121,7 @@
 
     def _choose(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
-    ) -> Place | None:
+    ) -> Placement | None:
         """Ask who places for the zone, or choose here; None where no upstream takes requests."""
         asked = PlacementAsked(
             self._state.settings.instance_id,
@@ -139,7 +139,7 @@
         if given is None or upstream is None or self._state.backoff_s(upstream):
             return self._choose_here(need, avoid, taken_anyway=taken_anyway)
         backup = self._state.fleet.find(given.backup_id)
-        return Place(upstream, backup, given.has_room, given.sender)
+        return Placement(upstream, backup, given.has_room, given.sender)
 
     def _waits_in_vain(self) -> bool:
         """Tell whether all upstreams are in cordoned zones, or back off."""
@@ -150,7 +150,7 @@
 
     def _choose_here(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
-    ) -> Place | None:
+    ) -> Placement | None:
         """Choose by what this instance knows."""
         service = self._admitted.service.name
         options = self._state.options(service, avoid) or self._state.draining_options(
@@ -167,7 +167,7 @@
         room = has_room(chosen, self.engine, need)
         if room or taken_anyway:
             gate.took(chosen.upstream)
-        return Place(chosen.upstream, backup, room, settings.instance_id)
+        return Placement(chosen.upstream, backup, room, settings.instance_id)
 
     def _choose_backup(
         self, primary: Upstream, need: TokenRequirement, avoid: frozenset[str]
@@ -195,7 +195,7 @@
         """Forecast the output, in tokens."""
         return self._state.expected_tokens(self._request, self._admitted.marks.length_hint)
 
-    def _log_placed(self, run: StreamRun, place: Place) -> None:
+    def _log_placed(self, run: StreamRun, place: Placement) -> None:
         """Log where a stream was placed."""
         use = self._state.loads.use(run.upstream.upstream_id, self._state.now())
         log_event(
