--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -58,7 +58,7 @@
     prefixes: PrefixModel = field(default_factory=PrefixModel)
     hold: Hold = NOTHING
     peak: float = 0.0
-    hold_at: float = -1e9
+    forecast_at: float = -1e9
     pending_prefill: float = 0.0
     pending_at: float = 0.0
     first_rank: int = 0
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -72,7 +72,7 @@
 
     def hold(self, runner: RunnerState, now: float) -> Hold:
         """Return a runner's memory forecast; ticks keep it fresh, not decisions."""
-        if now - runner.hold_at >= STALE_S:
+        if now - runner.forecast_at >= STALE_S:
             self._refresh(runner, now)
         return runner.hold
 
@@ -92,7 +92,7 @@
     def refresh_due(self, now: float) -> None:
         """Renew the forecasts that are old enough."""
         for runner in self.runners.values():
-            if now - runner.hold_at >= REFRESH_S:
+            if now - runner.forecast_at >= REFRESH_S:
                 self._refresh(runner, now)
 
     def add(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
@@ -146,5 +146,5 @@
         running = (one for one in runner.grants.values() if not one.paused)
         generations = ((one.request, one.produced) for one in running)
         self._set_hold(runner, total(self._lengths, generations))
-        runner.hold_at = now
+        runner.forecast_at = now
         runner.prefixes.shrink(runner.memory - runner.hold.means[0] + runner.shared)
