--- a/driftstall/gateway/outcomes.py
+++ b/driftstall/gateway/outcomes.py
@@ -9,7 +9,7 @@
 SMOOTHING: Final = 0.15
 """Weight of the newest outcome; about a dozen outcomes are remembered."""
 FIRST_EJECTION_S: Final = 0.3
-LONGEST_EJECTION_S: Final = 4.0
+MAX_EJECTION_S: Final = 4.0
 """An upstream that does not answer is ejected for so long; each failure doubles it."""
 FAILURE_PENALTY: Final = 2.0
 """How much a failing upstream's load counts as higher, at all answers failed."""
@@ -72,7 +72,7 @@
             self._time(record, service, seconds)
         elif outcome in (Outcome.UNREACHABLE, Outcome.FULL, Outcome.BROKEN):
             record.ejected_until = now + record.ejection_s
-            record.ejection_s = min(LONGEST_EJECTION_S, record.ejection_s * 2)
+            record.ejection_s = min(MAX_EJECTION_S, record.ejection_s * 2)
 
     def is_ejected(self, upstream_id: str, now: float) -> bool:
         """Tell whether an upstream is avoided now for its failures."""
