--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -35,7 +35,7 @@
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.peering import Peering
-from driftstall.gateway.policy_persistence import KeptPolicy, PolicyKeeper
+from driftstall.gateway.policy_persistence import KeptPolicy, PolicyPersistence
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
 from driftstall.gateway.reports import MAX_AGE_S, MS, Standing
@@ -188,7 +188,7 @@
             doubts=self._upstreams.store_returned,
             settled=self._list_again,
         )
-        self._policy_keeper = PolicyKeeper(self._policies, access.policy)
+        self._policy_keeper = PolicyPersistence(self._policies, access.policy)
         self.state.era_told = self._store_return.seen
         access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -20,7 +20,7 @@
         """Store a policy, unless something else is there by now; return whether it is stored."""
 
 
-class PolicyKeeper:
+class PolicyPersistence:
     """Compare the policy in force with what the store holds after its return."""
 
     def __init__(self, policies: PolicySource, kept: KeptPolicy) -> None:
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -7,7 +7,6 @@
 
 import orjson
 from behave import given, then, when
-from driftstall.gateway.policy_persistence import PolicyKeeper
 
 from driftstall.decisions.store_versions import DOUBT_S, StoreEras, StoreVersion
 from driftstall.exceptions import HistoryGone, PlatformUnavailable
@@ -24,6 +23,7 @@
     UpstreamLeaving,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
+from driftstall.gateway.policy_persistence import PolicyPersistence
 from driftstall.gateway.sources import PolicySource
 from driftstall.platform.names import KIND_POLICY, KIND_UPSTREAMS
 from driftstall.platform.store import Store
@@ -362,7 +362,7 @@
     """Take it in, and compare."""
     context.kept = KeptHere(stored("first", "2.40"))
     context.policies.listed((context.kept.held,), version("2.41"))
-    PolicyKeeper(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).write_again()
 
 
 @then('"second" is in force, and is written again in its place')
@@ -376,10 +376,10 @@
 def third_holds(context: Any) -> None:
     """Submit it."""
     context.kept = KeptHere(stored("third", "2.45"))
-    PolicyKeeper(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).write_again()
     context.policies.listed((context.kept.held,), version("2.46"))
     assert context.world.state.policy.name == "third"
-    PolicyKeeper(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).write_again()
     assert context.kept.written == []
 
 
@@ -397,5 +397,5 @@
     """Compare with the same one and with another."""
     for held in (stored("first", "2.40"), stored("other", "2.70")):
         kept = KeptHere(held)
-        PolicyKeeper(context.policies, kept).write_again()
+        PolicyPersistence(context.policies, kept).write_again()
         assert kept.written == []
