--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -50,7 +50,7 @@
 """Requests that are remembered beside crashes, some 400 bytes each."""
 MAX_CRASHES_PER_REQUEST: Final = 8
 """Crashes remembered of one request."""
-MOST_WELL: Final = 2_000
+MAX_SUCCESSES: Final = 2_000
 """Requests remembered for their good end alone, some 150 bytes each: a hundred seconds of the
 enrolment desk."""
 MOST_TOLD: Final = 64
@@ -168,7 +168,7 @@
         """Take in a request's good end; return whether peers are to know of it."""
         self._well[fingerprint] = now
         self._well.move_to_end(fingerprint)
-        if len(self._well) > MOST_WELL:
+        if len(self._well) > MAX_SUCCESSES:
             self._well.popitem(last=False)
         record = self._records.get(fingerprint)
         if record is None:
