--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -81,7 +81,9 @@
         self._log_placed(run, place)
         return run
 
-    def next_run(self, run: StreamRun, copy: Copy, has_run_at: frozenset[str]) -> StreamRun:
+    def create_resumed_run(
+        self, run: StreamRun, copy: Copy, has_run_at: frozenset[str]
+    ) -> StreamRun:
         """Return the run as it goes on at another upstream.
 
         No engine where it has run is to keep its copy: there it could not go on at that.
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -52,7 +52,9 @@
             self._work.state.runs.drop(run)
             run.ended = True
             run.goes_on_elsewhere = True
-            next_run = self._work.placement.next_run(run, copy, self._work.history.has_run_at)
+            next_run = self._work.placement.create_resumed_run(
+                run, copy, self._work.history.has_run_at
+            )
             result = self._work.send(next_run)
             self._log_resumed(run, next_run, result, cause)
             if isinstance(result, Opened) and result.head.status == OK:
