--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -64,7 +64,7 @@
     first_rank: int = 0
     long_held: float = 0.0
     """Memory held by long prompts of lower ranks, in tokens of input."""
-    yield_at: float = -1e9
+    last_yield_at: float = -1e9
     shared: float = 0.0
     """Tokens of open grants that the prefix cache holds anyway."""
     unaccounted_tokens: float = 0.0
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -438,7 +438,9 @@
         item = next(queue.candidates())
         if now - item.since < YIELD_WAIT_S:
             return
-        runners = [one for one in self._runners.values() if now - one.yield_at >= YIELD_SPACING_S]
+        runners = [
+            one for one in self._runners.values() if now - one.last_yield_at >= YIELD_SPACING_S
+        ]
         candidates = [
             self._candidate(grant, now) for one in runners for grant in one.grants.values()
         ]
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -116,7 +116,7 @@
         grant.yields += 1
         runner = self._runner_of(grant)
         if runner is not None:
-            runner.yield_at = now
+            runner.last_yield_at = now
             self._set_hold(runner, runner.hold.minus(self._hold_of(grant)))
 
     def go_on(self, grant: OpenGrant, now: float) -> None:
