--- a/driftstall/gateway/outcomes.py
+++ b/driftstall/gateway/outcomes.py
@@ -16,7 +16,7 @@
 SLOWNESS_PENALTY: Final = 0.5
 """How much an upstream's load counts as higher for each time it is slower than usual."""
 USUAL_SMOOTHING: Final = 0.05
-HALF_FORGOTTEN_S: Final = 2.0
+EVIDENCE_HALF_LIFE_S: Final = 2.0
 """Time without an outcome in which half of what an upstream was seen to do is forgotten."""
 NEVER: Final = float("-inf")
 
@@ -93,7 +93,7 @@
         if usual and record.seconds:
             slower = max(0.0, record.seconds / usual - 1.0)
         seen_worse = FAILURE_PENALTY * record.failures + SLOWNESS_PENALTY * slower
-        return seen_worse * 0.5 ** (max(0.0, now - record.seen_at) / HALF_FORGOTTEN_S)
+        return seen_worse * 0.5 ** (max(0.0, now - record.seen_at) / EVIDENCE_HALF_LIFE_S)
 
     def keep_only(self, upstream_ids: set[str]) -> None:
         """Forget upstreams that are gone."""
