--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -10,7 +10,7 @@
 from driftstall.helpers.log import log_event
 
 
-class KeptPolicy(Protocol):
+class StoredPolicy(Protocol):
     """Hold what the platform keeps; each call may raise PlatformUnavailable."""
 
     def read(self) -> PolicyText | None:
@@ -23,7 +23,7 @@
 class PolicyPersistence:
     """Compare the policy in force with what the store holds after its return."""
 
-    def __init__(self, policies: PolicySource, kept: KeptPolicy) -> None:
+    def __init__(self, policies: PolicySource, kept: StoredPolicy) -> None:
         """Take the policy in force and the platform's access."""
         self._policies = policies
         self._kept = kept
