--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -53,7 +53,7 @@
 MAX_SUCCESSES: Final = 2_000
 """Requests remembered for their good end alone, some 150 bytes each: a hundred seconds of the
 enrolment desk."""
-MOST_TOLD: Final = 64
+MAX_REPORTS_PER_MESSAGE: Final = 64
 """Requests that peers are told of at once."""
 NEVER: Final = float("-inf")
 
@@ -208,7 +208,7 @@
             or sum(one.weight for one in record.crashes) >= QUARANTINE_WEIGHT
         ]
         known.sort(key=lambda one: (-one[1].weight, -one[1].changed_at))
-        return tuple(_told(*one, now) for one in known[:MOST_TOLD])
+        return tuple(_told(*one, now) for one in known[:MAX_REPORTS_PER_MESSAGE])
 
     def told_of(self, fingerprint: str, now: float) -> BlameTold | None:
         """Return what is known of one request; None if nothing is."""
