--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -33,14 +33,14 @@
         call: CallerRequest,
         admitted: Admitted,
         history: SendHistory,
-        caller_gone: Callable[[], bool],
+        is_caller_disconnected: Callable[[], bool],
     ) -> None:
         """Take the request and the history in which the fate of each send is kept."""
         self._state = state
         self._call = call
         self._admitted = admitted
         self._history = history
-        self._caller_gone = caller_gone
+        self._caller_gone = is_caller_disconnected
 
     def send(self, run: StreamRun) -> Opened | UpstreamError:
         """Send the request to the run's upstream, read the answer's head and keep its fate."""
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -46,7 +46,7 @@
     def _try_one(self, tries: _Tries) -> Opened | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         work = self._work
-        if work.left() <= 0 or work.caller_gone:
+        if work.left() <= 0 or work.is_caller_disconnected:
             return Problem(CODE_DEADLINE, 504, "the time is over", work.history.ran)
         refusal = work.refusal()
         if refusal is not None:
@@ -61,7 +61,7 @@
         if len(closed) == len(ready) and (ready or tries.denied):
             service = work.admitted.service.name
             return limits.refusal(service, ready or tries.denied, work.request_id)
-        run = work.placement.place(closed.union(tries.avoid), lambda: work.caller_gone)
+        run = work.placement.place(closed.union(tries.avoid), lambda: work.is_caller_disconnected)
         if run is None:
             return self._unserved(tries)
         refusal = work.refusal()
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -34,7 +34,11 @@
 
     def resume(self, run: StreamRun, cause: str) -> Opened | None:
         """Go on at a copy; return the opened answer, or None where there is no copy."""
-        while run.moves < MAX_RESUMES and self._work.left() > 0 and not self._work.caller_gone:
+        while (
+            run.moves < MAX_RESUMES
+            and self._work.left() > 0
+            and not self._work.is_caller_disconnected
+        ):
             if run.exchange is not None:
                 run.exchange.close()
             copy = self._take_copy(run)
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -34,14 +34,16 @@
         self.request_id = admitted.marks.request_id
         self.placement = StreamPlacement(state, call, admitted, self.request)
         self.history = SendHistory(admitted.route.most_runs)
-        self.sender = StreamSender(state, call, admitted, self.history, lambda: self.caller_gone)
+        self.sender = StreamSender(
+            state, call, admitted, self.history, lambda: self.is_caller_disconnected
+        )
         self.copies = CopyFinder(state, mover, self.history)
-        self.caller_gone = False
+        self.is_caller_disconnected = False
         self.run: StreamRun | None = None
 
     def caller_left(self) -> None:
         """Give the stream up: its upstream stops when the connection closes."""
-        self.caller_gone = True
+        self.is_caller_disconnected = True
         run = self.run
         if run is not None and run.exchange is not None:
             run.exchange.close()
@@ -69,7 +71,7 @@
 
     def broke(self, run: StreamRun, fault: Exception | None = None) -> None:
         """Have it found out whether a run broke off because its upstream has crashed."""
-        if self.caller_gone or run.moving is not None:
+        if self.is_caller_disconnected or run.moving is not None:
             return
         if isinstance(fault, TimeoutError):
             # What is silent has not ended; it may leave, or be cut off.
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -90,7 +90,7 @@
             broken = self._relay_events(run)
             if broken is None:
                 return self._complete(run)
-            if self._work.caller_gone:
+            if self._work.is_caller_disconnected:
                 return False
             self._work.broke(run, broken)
             resumed = self._resuming.resume(run, str(broken))
@@ -181,7 +181,7 @@
         if wanted:
             self._count(run, len(wanted))
             if not self._connection.write(chunk(b"".join(wanted))):
-                self._work.caller_gone = True
+                self._work.is_caller_disconnected = True
                 return UpstreamError("the caller has left", sent=True)
         return fault
 
@@ -241,7 +241,7 @@
 
     def _answer_problem(self, problem: Problem) -> bool:
         """Answer with a problem; return whether the connection can be kept."""
-        if self._head_sent or self._work.caller_gone:
+        if self._head_sent or self._work.is_caller_disconnected:
             return False
         if problem.ran is Ran.NOT_RUN and problem.retry_after_s is not None:
             self._state.stats.refused += 1
