--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -25,7 +25,7 @@
     verdict: Verdict
     runner_id: str
     since: float
-    shared: int
+    cached_tokens: int
     """Prompt tokens that the prefix cache held."""
     produced: int = 0
     yields: int = 0
@@ -103,7 +103,7 @@
         """Count an open grant."""
         self.grants[grant.request.request_id] = grant
         self.first_rank += grant.verdict.rank == 0
-        self.shared += grant.shared
+        self.shared += grant.cached_tokens
         self.long_held += grant.long_tokens
 
     def remove(self, grant: OpenGrant) -> bool:
@@ -111,7 +111,7 @@
         if self.grants.pop(grant.request.request_id, None) is None:
             return False
         self.first_rank -= grant.verdict.rank == 0
-        self.shared -= grant.shared
+        self.shared -= grant.cached_tokens
         self.long_held -= grant.long_tokens
         return True
 
