--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -12,7 +12,7 @@
 
 POOLED: Final = "*"
 """Begins the name under which the sum of several instances is kept."""
-FLEET: Final = f"{POOLED}fleet"
+FLEET_KEY: Final = f"{POOLED}fleet"
 """Stands for all other instances, where a collector tells their sum."""
 PEER_REPORT_S: Final = 3.0
 """A peer's sums count for so long; a live peer repeats them each second."""
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -17,7 +17,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import OwnReports, Roles, summed
-from driftstall.gateway.loads import FLEET, POOLED
+from driftstall.gateway.loads import FLEET_KEY, POOLED
 from driftstall.gateway.shared_budget import RepeatCount
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.tasks import keep_running
@@ -185,11 +185,11 @@
         own_id = self._own.instance_id
         number = next((one.number for one in summary.acks if one.instance_id == own_id), 0)
         uses, repeats = self._reports.others(number, summary.uses, summary.repeats)
-        self._state.loads.told(FLEET, uses, now)
+        self._state.loads.told(FLEET_KEY, uses, now)
         others = max(1, summary.instances - 1)
         for count in repeats:
             budget = self._state.budget(count.service)
-            budget.told(FLEET, count, now, instances=others)
+            budget.told(FLEET_KEY, count, now, instances=others)
 
     def forget(self) -> None:
         """Forget the sums: after a change of roles they come from others."""
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -10,7 +10,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.gateway.collectors import OwnReports, Roles, is_large, summed
-from driftstall.gateway.loads import FLEET, Use
+from driftstall.gateway.loads import FLEET_KEY, Use
 from driftstall.gateway.model import Bounds
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
 
@@ -117,7 +117,7 @@
     count = InstanceCount()
     count.seen(78, 0.0)
     context.budget = SharedRetryBudget("s", Bounds(retry_extra=196.0), count)
-    context.budget.told(FLEET, RepeatCount("s", 200, 20), 1.0, instances=77)
+    context.budget.told(FLEET_KEY, RepeatCount("s", 200, 20), 1.0, instances=77)
 
 
 @then("this instance may make more than its even part, and not all that is left")
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -12,7 +12,7 @@
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Listed, Offered
-from driftstall.gateway.loads import FLEET, POOLED, LoadBook, Share, Use
+from driftstall.gateway.loads import FLEET_KEY, POOLED, LoadBook, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import Intake, Sharing
 from driftstall.gateway.watch_delegation import (
@@ -350,5 +350,5 @@
 def after_change(context: Any) -> None:
     """Hear everything again from one collector."""
     context.book.forget_peers()
-    context.book.told(FLEET, (Use("u1", 6, 1010),), 2.0)
+    context.book.told(FLEET_KEY, (Use("u1", 6, 1010),), 2.0)
     assert context.book.use("u1", 2.1) == Use("u1", 7, 1110)
