--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -38,7 +38,7 @@
         """Remove what is kept of a request."""
 
 
-class CrashKeeper:
+class CrashPersistence:
     """Write and read what the platform keeps."""
 
     def __init__(self, state: GatewayState, kept: KeptCrashes, roles: Callable[[], Roles]) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
 from driftstall.gateway.crash_detector import CrashWatch
-from driftstall.gateway.crash_persistence import CrashKeeper, KeptCrashes
+from driftstall.gateway.crash_persistence import CrashPersistence, KeptCrashes
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
@@ -143,7 +143,7 @@
         )
         self.state.suspect = self._inquiry.suspect
         self.state.signals.leaving = self._signalled_leaving
-        self._crash_keeper = CrashKeeper(self.state, access.crashes, self._roles)
+        self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashWatch(
             self.state,
             gone=lambda upstream: self._inquiry.take_bad(upstream, Word.GONE),
