--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -110,7 +110,7 @@
     """The upstreams that have ended under it."""
 
     @property
-    def is_convicted(self) -> bool:
+    def is_poison(self) -> bool:
         """Tell whether it is held to have crashed them, also where it may be tried again."""
         return self.weight >= QUARANTINE_WEIGHT
 
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -294,7 +294,7 @@
     def _clear(self, call: CallerRequest) -> bytes:
         """Hold nothing more against a request, here and at the other instances."""
         fingerprint = call.path.rpartition("/")[2]
-        is_known = self._state.blame.verdict(fingerprint, self._state.now()).is_convicted
+        is_known = self._state.blame.verdict(fingerprint, self._state.now()).is_poison
         if is_known:
             log_event(PREFIX_ROUTING, f"Request {fingerprint} is cleared by an operator")
             self._state.ended_well(fingerprint)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -330,7 +330,7 @@
     def ended_well(self, fingerprint: str) -> None:
         """Take in that a request has ended well, which clears it of crashes."""
         now = self.now()
-        was_convicted = self.blame.verdict(fingerprint, now).is_convicted
+        was_convicted = self.blame.verdict(fingerprint, now).is_poison
         if fingerprint and self.blame.ended_well(fingerprint, now):
             self.blame_changed()
         if was_convicted:
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -233,7 +233,7 @@
     """Look at the book."""
     state = world_of(context).state
     assert context.answers["r1"].status == 200, context.answers["r1"]
-    assert state.blame.verdict(at_path("/stream/x"), state.now()).is_convicted
+    assert state.blame.verdict(at_path("/stream/x"), state.now()).is_poison
 
 
 @then("the metrics page counts one request that is refused")
