--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -92,7 +92,7 @@
         self._exchange: UpstreamExchange | None = None
         self._caller_gone = False
 
-    def caller_left(self) -> None:
+    def handle_disconnect(self) -> None:
         """Give the request up: its upstream stops when the connection closes."""
         self._caller_gone = True
         if self._exchange is not None:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -152,11 +152,11 @@
         """Serve an admitted request while watching whether its caller leaves."""
         if admitted.route.repeat is Repeat.STREAM:
             relay = StreamRelay(self._state, self._mover, connection, call, admitted, keep=keep)
-            return self._watched(connection, relay.caller_left, relay.serve)
+            return self._watched(connection, relay.handle_disconnect, relay.serve)
         call_relay = CallRelay(self._state, call, admitted)
         return self._watched(
             connection,
-            call_relay.caller_left,
+            call_relay.handle_disconnect,
             lambda: self._answer_call(connection, call_relay.serve(), admitted, keep=keep),
         )
 
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -41,7 +41,7 @@
         self.is_caller_disconnected = False
         self.run: StreamRun | None = None
 
-    def caller_left(self) -> None:
+    def handle_disconnect(self) -> None:
         """Give the stream up: its upstream stops when the connection closes."""
         self.is_caller_disconnected = True
         run = self.run
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -64,9 +64,9 @@
         self._longest_gap_s = 0.0
         self._keep = keep
 
-    def caller_left(self) -> None:
+    def handle_disconnect(self) -> None:
         """Give the stream up: its upstream stops when the connection closes."""
-        self._work.caller_left()
+        self._work.handle_disconnect()
 
     def serve(self) -> bool:
         """Serve the stream; return whether the caller's connection can be kept."""
