--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -65,7 +65,7 @@
     long_held: float = 0.0
     """Memory held by long prompts of lower ranks, in tokens of input."""
     last_yield_at: float = -1e9
-    shared: float = 0.0
+    cached_tokens: float = 0.0
     """Tokens of open grants that the prefix cache holds anyway."""
     unaccounted_tokens: float = 0.0
     """Memory the runner reports beyond our grants, in tokens."""
@@ -103,7 +103,7 @@
         """Count an open grant."""
         self.grants[grant.request.request_id] = grant
         self.first_rank += grant.verdict.rank == 0
-        self.shared += grant.cached_tokens
+        self.cached_tokens += grant.cached_tokens
         self.long_held += grant.long_tokens
 
     def remove(self, grant: OpenGrant) -> bool:
@@ -111,7 +111,7 @@
         if self.grants.pop(grant.request.request_id, None) is None:
             return False
         self.first_rank -= grant.verdict.rank == 0
-        self.shared -= grant.cached_tokens
+        self.cached_tokens -= grant.cached_tokens
         self.long_held -= grant.long_tokens
         return True
 
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -147,4 +147,4 @@
         generations = ((one.request, one.produced) for one in running)
         self._set_hold(runner, total(self._lengths, generations))
         runner.forecast_at = now
-        runner.prefixes.shrink(runner.memory - runner.hold.means[0] + runner.shared)
+        runner.prefixes.shrink(runner.memory - runner.hold.means[0] + runner.cached_tokens)
