--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -17,7 +17,7 @@
 
 from driftstall.const import PREFIX_RELAY
 from driftstall.gateway.dialect import MoveFailed
-from driftstall.gateway.loads import POOLED
+from driftstall.gateway.loads import POOLED_PREFIX
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.runs import StreamRun
@@ -96,7 +96,7 @@
         own = self._state.settings.instance_id
         started = self._state.now()
         exposed = self._state.loads.exposed_at_peers(upstream.upstream_id, started)
-        if any(peer.startswith(POOLED) for peer in exposed):
+        if any(peer.startswith(POOLED_PREFIX) for peer in exposed):
             in_all = sum(exposed.values())
             gevent.sleep(self._state.source.random() * in_all / COPY_TOKENS_PER_S)
             return
--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-POOLED: Final = "*"
+POOLED_PREFIX: Final = "*"
 """Begins the name under which the sum of several instances is kept."""
-FLEET_KEY: Final = f"{POOLED}fleet"
+FLEET_KEY: Final = f"{POOLED_PREFIX}fleet"
 """Stands for all other instances, where a collector tells their sum."""
 PEER_REPORT_S: Final = 3.0
 """A peer's sums count for so long; a live peer repeats them each second."""
@@ -136,7 +136,7 @@
         totals = dict(self._own)
         _join(totals, self._pending)
         for peer, sums in self._peers.items():
-            if now - sums.at > PEER_REPORT_S or (not pooled and peer.startswith(POOLED)):
+            if now - sums.at > PEER_REPORT_S or (not pooled and peer.startswith(POOLED_PREFIX)):
                 continue
             _join(totals, sums.uses)
         return totals
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -17,7 +17,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import OwnReports, Roles, summed
-from driftstall.gateway.loads import FLEET_KEY, POOLED
+from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX
 from driftstall.gateway.shared_budget import RepeatCount
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.tasks import keep_running
@@ -171,7 +171,7 @@
     def record_zone_summary(self, summary: ZoneSummary) -> None:
         """Take in the sum of another zone."""
         now = self._state.now()
-        name = f"{POOLED}{summary.zone}"
+        name = f"{POOLED_PREFIX}{summary.zone}"
         self._zones[summary.zone] = _HeardZone(summary, now)
         self._state.loads.told(name, summary.uses, now)
         for count in summary.repeats:
