--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -25,7 +25,7 @@
 """Tries while the platform is away, half a minute in all; peers know it besides."""
 
 
-class KeptCrashes(Protocol):
+class StoredCrashes(Protocol):
     """Hold what the platform keeps; each call may raise PlatformUnavailable."""
 
     def read(self) -> tuple[BlameTold, ...]:
@@ -41,7 +41,9 @@
 class CrashPersistence:
     """Write and read what the platform keeps."""
 
-    def __init__(self, state: GatewayState, kept: KeptCrashes, roles: Callable[[], Roles]) -> None:
+    def __init__(
+        self, state: GatewayState, kept: StoredCrashes, roles: Callable[[], Roles]
+    ) -> None:
         """Take the shared state, the platform's access and who collects."""
         self._state = state
         self._kept = kept
