--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -305,7 +305,7 @@
 
     @_take.register
     def _(self, message: PlacementGiven) -> None:
-        self._placer.take_answer(message)
+        self._placer.handle_placement(message)
 
     @_take.register
     def _(self, message: PermitAsked) -> None:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -72,7 +72,7 @@
             log_event(PREFIX_ROUTING, f"{placer} gives no place in time", request=asked.request_id)
         return given
 
-    def take_answer(self, given: PlacementGiven) -> None:
+    def handle_placement(self, given: PlacementGiven) -> None:
         """Take in an answer; one that comes late is of no use any more."""
         waiting = self._waiting.get(given.request_id)
         if waiting is not None:
