--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -62,7 +62,7 @@
     pending_prefill: float = 0.0
     pending_at: float = 0.0
     first_rank: int = 0
-    long_held: float = 0.0
+    long_prompt_tokens: float = 0.0
     """Memory held by long prompts of lower ranks, in tokens of input."""
     last_yield_at: float = -1e9
     cached_tokens: float = 0.0
@@ -104,7 +104,7 @@
         self.grants[grant.request.request_id] = grant
         self.first_rank += grant.verdict.rank == 0
         self.cached_tokens += grant.cached_tokens
-        self.long_held += grant.long_tokens
+        self.long_prompt_tokens += grant.long_tokens
 
     def remove(self, grant: OpenGrant) -> bool:
         """Count a grant out; return whether it was open here."""
@@ -112,7 +112,7 @@
             return False
         self.first_rank -= grant.verdict.rank == 0
         self.cached_tokens -= grant.cached_tokens
-        self.long_held -= grant.long_tokens
+        self.long_prompt_tokens -= grant.long_tokens
         return True
 
     def apply_report(self, used: int, memory: int) -> None:
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -310,7 +310,7 @@
                 one.runner_id,
                 one.memory,
                 one.hold.means[0] / max(1, one.memory),
-                one.long_held,
+                one.long_prompt_tokens,
                 one.first_rank,
             )
             for one in self._runners.values()
--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -99,7 +99,9 @@
         early = waited_s < _patience(loads, weights) or now - self._grown_at < GROW_SPACING_S
         if self._members and early:
             return False
-        chosen = min(outside, key=lambda one: (one.first_rank, -one.long_held, one.runner_id))
+        chosen = min(
+            outside, key=lambda one: (one.first_rank, -one.long_prompt_tokens, one.runner_id)
+        )
         self._members.add(chosen.runner_id)
         self._grown_at = now
         return True
@@ -109,9 +111,9 @@
         inside = [one for one in loads if one.runner_id in self._members]
         if len(inside) < 2:
             return
-        least = min(inside, key=lambda one: (one.long_held, one.runner_id))
+        least = min(inside, key=lambda one: (one.long_prompt_tokens, one.runner_id))
         room = sum(one.memory for one in inside) - least.memory
-        if sum(one.long_held for one in inside) > SHRINK_FILL * room:
+        if sum(one.long_prompt_tokens for one in inside) > SHRINK_FILL * room:
             self._roomy_since = None
             return
         if self._roomy_since is None:
