--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -78,7 +78,7 @@
     at: float
 
 
-class LoadBook:
+class LoadTable:
     """Hold the sums of this instance and of its peers."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -24,7 +24,7 @@
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.exchange import Head, OpenExchanges, UpstreamExchange
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.loads import LoadBook, Share, Use
+from driftstall.gateway.loads import LoadTable, Share, Use
 from driftstall.gateway.model import GatewaySettings, Service, Upstream
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.routes import RouteTable
@@ -62,7 +62,7 @@
         self.eras = StoreEras()
         self.cold = ColdStarts()
         self.exchanges = OpenExchanges()
-        self.loads = LoadBook()
+        self.loads = LoadTable()
         self.outcomes = OutlierDetector()
         self.lengths = LearnedLengths()
         self.runs = RunBook()
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -12,7 +12,7 @@
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Listed, Offered
-from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadBook, Share, Use
+from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import Intake, Sharing
 from driftstall.gateway.watch_delegation import (
@@ -326,7 +326,7 @@
 @given("a collector that hears two instances of its zone and the sum of another zone")
 def hears_sums(context: Any) -> None:
     """Fill the book."""
-    book = context.book = LoadBook()
+    book = context.book = LoadTable()
     book.put("r1", Share("u1", 100))
     book.told("peer-1", (Use("u1", 1, 10),), 1.0)
     book.told("peer-2", (Use("u2", 1, 20),), 1.0)
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from driftstall.gateway.loads import LoadBook, Share, Use
+from driftstall.gateway.loads import LoadTable, Share, Use
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.selection import (
     SAMPLE_SIZE,
@@ -25,7 +25,7 @@
 @given('a request of 1000 tokens on "u1" with a copy on "u2", and a peer\'s of 500 on "u1"')
 def loads(context: Any) -> None:
     """Fill a book."""
-    context.loads = LoadBook()
+    context.loads = LoadTable()
     context.loads.put("r1", Share("u1", 1000, 600, "u2"))
     context.loads.told("peer", (Use("u1", 1, 500, 0, 0, 500),), 10.0)
 
