--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -75,9 +75,9 @@
         else:
             gevent.spawn_later(LOOK_AGAIN_S, self._look_again, runner, fingerprint, at, under_way)
 
-    def ended_well(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, or that an operator clears it."""
-        if self.book.ended_well(fingerprint, self._hub.now()):
+        if self.book.record_success(fingerprint, self._hub.now()):
             self._sharing.changed()
 
     def _look_again(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -116,7 +116,7 @@
         if route == "GET /operator/crashes":
             return send_json(start, 200, {"crashes": self._crashes()})
         if route.startswith("DELETE /operator/crashes/"):
-            self._node.blame.ended_well(route.rpartition("/")[2])
+            self._node.blame.record_success(route.rpartition("/")[2])
             return send_json(start, 200, {"crashes": self._crashes()})
         if route == "POST /operator/drain":
             self._node.ask_stop()
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -315,7 +315,7 @@
             case Complete():
                 self._drop_stream()
                 if self.fingerprint:
-                    self._service.blame.ended_well(self.fingerprint)
+                    self._service.blame.record_success(self.fingerprint)
                 self._out.append(Whole(action.data))
             case Fail():
                 self._drop_stream()
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -144,7 +144,7 @@
             done = self._send(runner, context)
             if done.answer is not None and done.answer.status != HTTP_NOT_RUN:
                 if done.answer.status < HTTP_FAILED:
-                    self._blame.ended_well(fingerprint_of(context))
+                    self._blame.record_success(fingerprint_of(context))
                 return done.answer
             # A published 503 of these services says that the call was not run.
             maybe_ran = maybe_ran or (done.sent and done.answer is None)
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -164,7 +164,7 @@
         self._make_room()
         return True
 
-    def ended_well(self, fingerprint: str, now: float) -> bool:
+    def record_success(self, fingerprint: str, now: float) -> bool:
         """Take in a request's good end; return whether peers are to know of it."""
         self._well[fingerprint] = now
         self._well.move_to_end(fingerprint)
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -200,7 +200,7 @@
             tries.failure = result
             return None
         if outcome is Outcome.GOOD:
-            self._state.ended_well(self._admitted.fingerprint)
+            self._state.record_success(self._admitted.fingerprint)
         if outcome is Outcome.GOOD or self._admitted.route.repeat is not Repeat.SAFE:
             return result
         tries.answer = result
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -297,7 +297,7 @@
         is_known = self._state.blame.verdict(fingerprint, self._state.now()).is_poison
         if is_known:
             log_event(PREFIX_ROUTING, f"Request {fingerprint} is cleared by an operator")
-            self._state.ended_well(fingerprint)
+            self._state.record_success(fingerprint)
         return whole(200 if is_known else 404, (), b"", keep=call.keep_alive)
 
 
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -327,11 +327,11 @@
             return NO_LOAD
         return min(1.0, sum(one.use.tokens + one.use.copies for one in options) / total)
 
-    def ended_well(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, which clears it of crashes."""
         now = self.now()
         was_convicted = self.blame.verdict(fingerprint, now).is_poison
-        if fingerprint and self.blame.ended_well(fingerprint, now):
+        if fingerprint and self.blame.record_success(fingerprint, now):
             self.blame_changed()
         if was_convicted:
             self.crash_cleared(fingerprint)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -208,7 +208,7 @@
         self._work.saw(run, Outcome.GOOD)
         if run.exchange is not None and run.exchange.framed:
             # An answer without a length ends with its connection, as a crash does.
-            self._state.ended_well(self._admitted.fingerprint)
+            self._state.record_success(self._admitted.fingerprint)
         self._state.lengths.finished(self._work.request, run.tokens)
         self._state.stats.completed += 1
         self._state.stats.gap_s.observe({}, self._longest_gap_s)
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -58,7 +58,7 @@
 
 FACTS: Final[tuple[tuple[str, Callable[..., Any]], ...]] = (
     (r"(begun|under way) at (\w)", _crashed),
-    (r"well", lambda book, at: book.ended_well(ONE, at)),
+    (r"well", lambda book, at: book.record_success(ONE, at)),
     (r"a peer tells of (\d+) at (\w) (\d+) s ago", _told),
     (r"a peer tells of well (\d+) s ago", _told_well),
     (r"another was at (.+)", _another),
@@ -171,7 +171,7 @@
 class UnclearedBook(PoisonTracker):
     """Clear no request."""
 
-    def ended_well(self, fingerprint: str, now: float) -> bool:
+    def record_success(self, fingerprint: str, now: float) -> bool:
         """Take no good end in."""
         return False
 
@@ -222,7 +222,7 @@
 def well_before(context: Any) -> None:
     """Let both know of the crashes."""
     context.books = [PoisonTracker(), PoisonTracker()]
-    context.books[0].ended_well(ONE, 0.0)
+    context.books[0].record_success(ONE, 0.0)
     for book in context.books:
         for upstream_id in ("a", "b", "c"):
             book.crashed(ONE, Crash(upstream_id, 20.0, under_way=False))
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -192,7 +192,7 @@
             return
         run.is_over = True
         self._runs[run.engine].discard(run.number)
-        if self._books[run.instance].ended_well(run.fingerprint, self._now):
+        if self._books[run.instance].record_success(run.fingerprint, self._now):
             self._tell(run.instance)
 
     def _crash(self, fatal: _Run) -> None:
