--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -43,7 +43,7 @@
     runs: list[BrokenRun]
 
 
-class CrashWatch:
+class CrashDetector:
     """Look at upstreams where runs have broken off."""
 
     def __init__(
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
-from driftstall.gateway.crash_detector import CrashWatch
+from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.crash_persistence import CrashPersistence, StoredCrashes
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
@@ -144,7 +144,7 @@
         self.state.suspect = self._inquiry.suspect
         self.state.signals.leaving = self._signalled_leaving
         self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
-        watch = CrashWatch(
+        watch = CrashDetector(
             self.state,
             gone=lambda upstream: self._inquiry.take_bad(upstream, Word.GONE),
             changed=self._peering.publish_poison_evidence,
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -14,7 +14,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, BlameTold, CrashTold
 from driftstall.gateway import crash_detector
-from driftstall.gateway.crash_detector import CrashWatch
+from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import MetricsAnswers, SmallListener, fingerprint_of
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
@@ -59,7 +59,7 @@
     crash_detector.LOOK_AGAIN_S = 0.01  # type: ignore[misc]
     context.add_cleanup(setattr, crash_detector, "LOOK_AGAIN_S", usual)
     context.convicted = []
-    watch = CrashWatch(
+    watch = CrashDetector(
         world.state,
         gone=lambda _: None,
         changed=lambda: None,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -12,7 +12,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.upstream_probes import ASKERS, Word, asks
 from driftstall.gateway.collectors import Roles
-from driftstall.gateway.crash_detector import CrashWatch
+from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
 from driftstall.gateway.model import Upstream
@@ -184,7 +184,7 @@
     world = world_of(context)
     inquiry = inquiry_of(world)
     world.state.suspect = inquiry.suspect
-    watch = CrashWatch(
+    watch = CrashDetector(
         world.state,
         gone=lambda upstream: inquiry.take_bad(upstream, Word.GONE),
         changed=lambda: None,
