--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -301,7 +301,7 @@
 
     @_take.register
     def _(self, message: PlacementAsked) -> None:
-        self._placer.answer(message)
+        self._placer.handle_request(message)
 
     @_take.register
     def _(self, message: PlacementGiven) -> None:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -78,7 +78,7 @@
         if waiting is not None:
             waiting.set(given)
 
-    def answer(self, asked: PlacementAsked) -> None:
+    def handle_request(self, asked: PlacementAsked) -> None:
         """Give another instance a place; who knows no configuration yet says nothing."""
         given = self._choose(asked)
         if given is not None:
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -89,7 +89,7 @@
     """Ask from so many instances before any of them reports."""
     first = len(context.sent)
     for number in range(first, first + count):
-        context.placer.answer(asked_by(f"member-{number}", f"r-{number}", **more))
+        context.placer.handle_request(asked_by(f"member-{number}", f"r-{number}", **more))
 
 
 @when("{count:d} instances ask it for a place at once")
@@ -117,7 +117,7 @@
 def asks_again(context: Any) -> None:
     """Leave one engine of the zone."""
     avoid = tuple(f"near-{index}" for index in range(4))
-    context.placer.answer(asked_by("member-1", "r-1", avoid=avoid))
+    context.placer.handle_request(asked_by("member-1", "r-1", avoid=avoid))
 
 
 @then("the fifth one was given")
@@ -130,7 +130,7 @@
 @when("an instance was given a place for 3000 tokens")
 def given_place(context: Any) -> None:
     """Ask once."""
-    context.placer.answer(asked_by("member-1", "r-1"))
+    context.placer.handle_request(asked_by("member-1", "r-1"))
     (context.given,) = context.sent
 
 
@@ -157,8 +157,8 @@
 def forgotten(context: Any, seconds: float) -> None:
     """Let time pass; the next question clears up."""
     context.at += seconds
-    context.placer.answer(asked_by("member-2", "r-2", service="portal"))
-    context.placer.answer(asked_by("member-2", "r-2"))
+    context.placer.handle_request(asked_by("member-2", "r-2", service="portal"))
+    context.placer.handle_request(asked_by("member-2", "r-2"))
     loads = context.state.loads
     assert sum(use.running for use in loads.all_sums(context.at)) == 1
 
@@ -181,13 +181,13 @@
 @when("an instance asks it for a place at once")
 def one_asks(context: Any) -> None:
     """Ask without taking what has no room."""
-    context.placer.answer(asked_by("member-1", "r-1"))
+    context.placer.handle_request(asked_by("member-1", "r-1"))
 
 
 @when("an instance asks it for a place that it takes anyway")
 def one_takes(context: Any) -> None:
     """Ask at the end of its patience."""
-    context.placer.answer(asked_by("member-1", "r-1", taken_anyway=True))
+    context.placer.handle_request(asked_by("member-1", "r-1", taken_anyway=True))
 
 
 @then("it is told that there is no room, and {what} counts")
