--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -41,7 +41,7 @@
         return self.request.input_tokens + self.produced
 
     @property
-    def long_tokens(self) -> int:
+    def long_prompt_tokens(self) -> int:
         """Return the prompt tokens of a long prefill of a lower rank, else zero."""
         tokens = self.request.input_tokens
         return tokens if self.verdict.rank > 0 and tokens >= LONG_PREFILL else 0
@@ -104,7 +104,7 @@
         self.grants[grant.request.request_id] = grant
         self.first_rank += grant.verdict.rank == 0
         self.cached_tokens += grant.cached_tokens
-        self.long_prompt_tokens += grant.long_tokens
+        self.long_prompt_tokens += grant.long_prompt_tokens
 
     def remove(self, grant: OpenGrant) -> bool:
         """Count a grant out; return whether it was open here."""
@@ -112,7 +112,7 @@
             return False
         self.first_rank -= grant.verdict.rank == 0
         self.cached_tokens -= grant.cached_tokens
-        self.long_prompt_tokens -= grant.long_tokens
+        self.long_prompt_tokens -= grant.long_prompt_tokens
         return True
 
     def apply_report(self, used: int, memory: int) -> None:
