--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -38,7 +38,7 @@
 from driftstall.gateway.policy_persistence import PolicyPersistence, StoredPolicy
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
-from driftstall.gateway.reports import MAX_AGE_S, MS, Standing
+from driftstall.gateway.reports import MAX_AGE_S, MS, PlatformStatus
 from driftstall.gateway.sharing import Intake
 from driftstall.gateway.sources import (
     PolicySource,
@@ -340,9 +340,9 @@
         """Return who collects."""
         return self._peering.roles
 
-    def _standing(self) -> Standing:
+    def _standing(self) -> PlatformStatus:
         """Return what this instance knows of the platform."""
-        return Standing(
+        return PlatformStatus(
             self._routing.version,
             self._policies.revision,
             self._reach.is_answered,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -32,7 +32,7 @@
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.reports import MS, Reporting, Standing
+from driftstall.gateway.reports import MS, PlatformStatus, Reporting
 from driftstall.gateway.sharing import Intake, RoutingNotice, Sharing
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
@@ -72,7 +72,7 @@
         state: GatewayState,
         intake: Intake,
         *,
-        standing: Callable[[], Standing],
+        standing: Callable[[], PlatformStatus],
         reliance: WatchDelegation,
     ) -> None:
         """Take the shared state, how things are taken in, the standing, and the reliance."""
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class PlatformStatus:
     """Hold what this instance knows of the platform, for its reports."""
 
     routing_version: int
@@ -82,7 +82,7 @@
         *,
         roles: Callable[[], Roles],
         live: Callable[[], tuple[Instance, ...]],
-        standing: Callable[[], Standing],
+        standing: Callable[[], PlatformStatus],
         broadcast: Broadcast,
     ) -> None:
         """Take the shared state, readers of the fleet and of the standing, and how to send."""
@@ -249,7 +249,7 @@
             self._state.fleet.leaving_records(self._state.now()),
         )
 
-    def _least_age(self, standing: Standing) -> float:
+    def _least_age(self, standing: PlatformStatus) -> float:
         """Return how long ago the platform last answered any collector, in seconds."""
         now = self._state.now()
         ages = [now - one.at + one.summary.platform_age_ms / MS for one in self._zones.values()]
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -23,7 +23,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordons import Cordons
-from driftstall.gateway.reports import Reporting, Standing
+from driftstall.gateway.reports import PlatformStatus, Reporting
 from driftstall.gateway.state import GatewayState
 from driftstall.peers.gateway_messages import GatewayReport
 from features.worlds.gateway_world import WAIT_S, GatewayWorld, runs, script_all, world_of
@@ -138,7 +138,7 @@
         Instance("instance-1", "", "", "a"),
         roles=Roles,
         live=tuple,
-        standing=lambda: Standing(1, StoreVersion(1), True, 0.0),
+        standing=lambda: PlatformStatus(1, StoreVersion(1), True, 0.0),
         broadcast=lambda *_: None,
     )
     reporting.take_report(GatewayReport("peer", True, True, 1, (), (), 1, Cordons(), (), 0, ()))
