--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -210,7 +210,7 @@
         known.sort(key=lambda one: (-one[1].weight, -one[1].changed_at))
         return tuple(_told(*one, now) for one in known[:MAX_REPORTS_PER_MESSAGE])
 
-    def told_of(self, fingerprint: str, now: float) -> BlameTold | None:
+    def report_for(self, fingerprint: str, now: float) -> BlameTold | None:
         """Return what is known of one request; None if nothing is."""
         record = self._records.get(fingerprint)
         return _told(fingerprint, record, now) if record is not None else None
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -83,7 +83,7 @@
 
     def _keep(self, fingerprint: str) -> None:
         """Write what is known now."""
-        told = self._state.blame.told_of(fingerprint, self._state.now())
+        told = self._state.blame.report_for(fingerprint, self._state.now())
         if told is not None:
             self._kept.keep(told)
 
