--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -47,7 +47,7 @@
 )
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
-from driftstall.gateway.store_recovery import StoreReturn
+from driftstall.gateway.store_recovery import StoreRecovery
 from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
@@ -181,7 +181,7 @@
         self._registration = Registration(
             self.state, self._peering.own, access.instances, self._peering.found
         )
-        self._store_return = StoreReturn(
+        self._store_return = StoreRecovery(
             self.state,
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -33,7 +33,7 @@
 """Tries while the store is away, half a minute in all."""
 
 
-class StoreReturn:
+class StoreRecovery:
     """Do what follows from a new era of the store."""
 
     def __init__(
