--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -328,7 +328,7 @@
         self._state.era_told(report.store_era)
         self._take_signals(report.rate_limits, report.leaving)
         self._sharing.take_cordons(report.cordons)
-        self._placer.reported(report.sender)
+        self._placer.handle_report(report.sender)
         if self._reporting.take_report(report):
             self._sharing.resend_changes(report.sender)
         self._sharing.request_newer_routing(RoutingNotice(report.sender, report.routing_version))
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -84,7 +84,7 @@
         if given is not None:
             self._send(asked.sender, given)
 
-    def reported(self, member: str) -> None:
+    def handle_report(self, member: str) -> None:
         """Learn that a member has reported all that it runs."""
         for request_id in self._pending.reported(member, self._state.now()):
             self._state.loads.drop_pending(request_id)
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -139,7 +139,7 @@
     """Report the request as its own instance counts it."""
     context.at += 0.2
     use = Use(context.given.upstream_id, running=1, tokens=HELD_TOKENS, prefill=PROMPT_TOKENS)
-    context.placer.reported("member-1")
+    context.placer.handle_report("member-1")
     context.state.loads.told("member-1", [use], context.at)
 
 
