--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -29,7 +29,7 @@
     """Prompt tokens that the prefix cache held."""
     produced: int = 0
     yields: int = 0
-    rested_from: float = 0.0
+    running_since: float = 0.0
     heard_at: float = 0.0
     paused: bool = False
     reserved: float = 0.0
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -183,7 +183,7 @@
             return
         grant = OpenGrant(event.entry, event.request, event.verdict, event.runner_id, now, 0)
         grant.produced = event.produced
-        grant.rested_from = now
+        grant.running_since = now
         addition = hold_of(self._lengths, event.request, event.produced)
         self._open(runner, grant, addition, now)
 
@@ -400,7 +400,7 @@
         uncached = request.input_tokens - shared
         grant = OpenGrant(item.entry, request, item.verdict, runner.runner_id, now, shared)
         grant.reserved = item.cost
-        grant.rested_from = now
+        grant.running_since = now
         self._open(runner, grant, item.hold, now)
         runner.record_start(item.verdict.rank, now)
         runner.pending_prefill = runner.decay_pending_prefill(now) + uncached
@@ -467,7 +467,7 @@
             held,
             max(remaining, ahead * 2.0 * chance),
             grant.yields,
-            now - grant.rested_from,
+            now - grant.running_since,
         )
 
     def _resume(self, now: float) -> None:
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -122,7 +122,7 @@
     def go_on(self, grant: OpenGrant, now: float) -> None:
         """Count in the memory of a generation that goes on, and its prefill."""
         grant.paused = False
-        grant.rested_from = now
+        grant.running_since = now
         runner = self._runner_of(grant)
         if runner is not None:
             self._set_hold(runner, runner.hold.plus(self._hold_of(grant)))
