--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -39,7 +39,7 @@
 from driftstall.gateway.protection import Protection
 from driftstall.gateway.registration import InstanceEntries, Registration
 from driftstall.gateway.reports import MAX_AGE_S, MS, PlatformStatus
-from driftstall.gateway.sharing import Intake
+from driftstall.gateway.sharing import PeerUpdateHandlers
 from driftstall.gateway.sources import (
     PolicySource,
     RoutingSource,
@@ -122,7 +122,7 @@
             announce=lambda: self._peering.publish_cordons(),
         )
         reliance = WatchDelegation(self.state.source)
-        intake = Intake(
+        intake = PeerUpdateHandlers(
             routing=lambda: (self._routing.version, self._routing.text),
             take_routing=self._routing.offered,
             take_news=self._upstreams.told,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -33,7 +33,7 @@
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.reports import MS, PlatformStatus, Reporting
-from driftstall.gateway.sharing import Intake, RoutingNotice, Sharing
+from driftstall.gateway.sharing import PeerUpdateHandlers, RoutingNotice, Sharing
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
 from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
@@ -70,7 +70,7 @@
     def __init__(
         self,
         state: GatewayState,
-        intake: Intake,
+        intake: PeerUpdateHandlers,
         *,
         standing: Callable[[], PlatformStatus],
         reliance: WatchDelegation,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Intake:
+class PeerUpdateHandlers:
     """Hold how this instance reads and takes in what is shared."""
 
     routing: Callable[[], tuple[int, str]]
@@ -80,7 +80,7 @@
     def __init__(
         self,
         state: GatewayState,
-        intake: Intake,
+        intake: PeerUpdateHandlers,
         *,
         roles: Callable[[], Roles],
         live: Callable[[], tuple[Instance, ...]],
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.fleet_events import Changed, Listed, Offered
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.sharing import Intake, Sharing
+from driftstall.gateway.sharing import PeerUpdateHandlers, Sharing
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     DelegatedWatchPacing,
@@ -261,7 +261,7 @@
     def take_fleet(upstreams: tuple[Upstream, ...], at: int) -> None:
         state.fleet.handle(Offered(upstreams, StoreVersion(at)), 1.0)
 
-    intake = Intake(
+    intake = PeerUpdateHandlers(
         routing=lambda: (1, ""),
         take_routing=lambda _: None,
         take_news=lambda _: None,
