--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -219,7 +219,7 @@
         """Take in what a peer knows; return whether anything of it is news."""
         return any([self._take(one, now) for one in told])
 
-    def clearing(self, told: Iterable[BlameTold], now: float) -> tuple[BlameTold, ...]:
+    def find_exonerations(self, told: Iterable[BlameTold], now: float) -> tuple[BlameTold, ...]:
         """Return what clears requests of crashes that a peer holds against them."""
         found = []
         for one in told:
--- a/driftstall/helpers/blame_sharing.py
+++ b/driftstall/helpers/blame_sharing.py
@@ -92,7 +92,7 @@
             self._fleet.send(message.sender, BlamesTold(self._own_id, known, asks=False))
             return
         # One that has seen no good end of a request may refuse what others serve all the time.
-        clearing = book.clearing(message.records, now)
+        clearing = book.find_exonerations(message.records, now)
         if clearing:
             self._fleet.send(message.sender, BlamesTold(self._own_id, clearing, asks=False))
 
