--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -28,7 +28,7 @@
     PlatformBack,
     PlatformLost,
     SignalledLeaving,
-    StoreReturned,
+    StoreRestored,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -162,7 +162,7 @@
             self._back_at = now
 
     @_on.register
-    def _(self, event: StoreReturned, now: float) -> None:
+    def _(self, event: StoreRestored, now: float) -> None:
         self._returned_at = now
 
     @_on.register
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreReturned:
+class StoreRestored:
     """Learn that the platform's store has come back from an older copy."""
 
 
@@ -91,7 +91,7 @@
     | Doubted
     | SignalledLeaving
     | Cordoned
-    | StoreReturned
+    | StoreRestored
     | PlatformLost
     | PlatformBack
     | Period
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -25,7 +25,7 @@
     PlatformBack,
     PlatformLost,
     SignalledLeaving,
-    StoreReturned,
+    StoreRestored,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -287,7 +287,7 @@
 
     def store_returned(self) -> None:
         """Learn that the store has come back from an older copy."""
-        self._apply(StoreReturned())
+        self._apply(StoreRestored())
         self._announce()
 
     def period(self) -> None:
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -16,7 +16,7 @@
     Offered,
     Period,
     SignalledLeaving,
-    StoreReturned,
+    StoreRestored,
 )
 from driftstall.gateway.model import UpstreamState
 from features.steps.gateway_fleet_steps import DRAIN_S, tell
@@ -42,7 +42,7 @@
         "a newer list": [listed(20)],
         "a peer's list": [Offered(listed(20).upstreams, StoreVersion(20))],
         "a peer's entry": [Changed(upstream_of("u1", 20), False, from_peer=True)],
-        "a list after the store's return": [StoreReturned(), listed(20)],
+        "a list after the store's return": [StoreRestored(), listed(20)],
         "its entry that is leaving": [
             Changed(upstream_of("u1", 20, UpstreamState.LEAVING), False),
         ],
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -19,7 +19,7 @@
     Listed,
     Offered,
     Period,
-    StoreReturned,
+    StoreRestored,
     UpstreamLeaving,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
@@ -164,7 +164,7 @@
 def lists_one(context: Any) -> None:
     """Take it in."""
     context.actions = []
-    feed(context, StoreReturned(), RETURNED_AT)
+    feed(context, StoreRestored(), RETURNED_AT)
     feed(context, Listed((entry("u1", "2.40"),), version("2.50")), RETURNED_AT)
     feed(context, Period(), RETURNED_AT + 0.5)
 
@@ -173,7 +173,7 @@
 def lists_both(context: Any) -> None:
     """Take it in."""
     context.actions = []
-    feed(context, StoreReturned(), RETURNED_AT)
+    feed(context, StoreRestored(), RETURNED_AT)
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
     feed(context, Listed(both, version("2.50")), RETURNED_AT)
 
