--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -10,7 +10,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.gateway.dialect import MoveDone, MoveFailed, MoveResult
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.runs import Copy, KeptCopy, LastStep, StreamRun
+from driftstall.gateway.runs import Copy, LastStep, Replica, StreamRun
 from driftstall.gateway.selection import TokenRequirement, choose_move
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -52,14 +52,14 @@
         )
         return chosen.upstream if chosen else None
 
-    def kept(self, run: StreamRun) -> KeptCopy | None:
+    def kept(self, run: StreamRun) -> Replica | None:
         """Return the run's copy if it is young enough and its engine stays."""
         kept = run.kept
         if kept is None or self._is_old(kept):
             return None
         return kept if self._takes_on(kept) else None
 
-    def _takes_on(self, kept: KeptCopy) -> bool:
+    def _takes_on(self, kept: Replica) -> bool:
         """Tell whether a copy's engine takes requests, and the one that named it has not ended.
 
         A later start of that one counts its names anew: the same name may be another run's copy.
@@ -68,7 +68,7 @@
         is_named = not fleet.is_replaced(kept.copy.named_by)
         return is_named and fleet.takes_requests(kept.copy.upstream.upstream_id)
 
-    def is_usable(self, moved: KeptCopy) -> bool:
+    def is_usable(self, moved: Replica) -> bool:
         """Tell whether a stopped run can go on at its copy: nowhere else can it.
 
         So an engine that is leaving serves as well, for as long as it is to be sent anything.
@@ -79,7 +79,7 @@
             return False
         return self._state.fleet.serves(engine_id, now, drain_s)
 
-    def _is_old(self, kept: KeptCopy) -> bool:
+    def _is_old(self, kept: Replica) -> bool:
         """Tell whether an engine may have dropped a copy."""
         return self._state.now() - kept.at > COPY_KEPT_S
 
@@ -96,7 +96,7 @@
             self._hold(run, None)
             return result
         copy = Copy(target, result.copy_of, named_by=run.upstream.upstream_id)
-        run.kept = KeptCopy(copy, self._state.now(), tokens)
+        run.kept = Replica(copy, self._state.now(), tokens)
         # A further step brings the same copy up to date: where the stream goes on elsewhere, it
         # may be just there, or need it yet. What is not needed, engines drop by themselves.
         if run.ended and not run.goes_on_elsewhere:
@@ -123,10 +123,10 @@
         moving.set(LastStep(kept, result.may_have_stopped))
         return False
 
-    def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> KeptCopy:
+    def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
         """Return the copy of a run that has stopped."""
         copy = Copy(holder, copy_of, named_by=run.upstream.upstream_id)
-        return KeptCopy(copy, self._state.now(), run.held_tokens)
+        return Replica(copy, self._state.now(), run.held_tokens)
 
     def drop_copy(self, run: StreamRun) -> None:
         """Free the memory of a copy that is not needed any more."""
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptCopy:
+class Replica:
     """Hold a copy of a running run: where it is and how old."""
 
     copy: Copy
@@ -39,7 +39,7 @@
 class LastStep:
     """Tell how the last step of a move ended."""
 
-    moved: KeptCopy | None
+    moved: Replica | None
     """Where the run goes on, if its engine has told."""
     may_have_stopped: bool
     """Whether the run may have been stopped by it; it was not if the engine refused the step."""
@@ -80,7 +80,7 @@
     """Set while a step of a copy is taken; an engine takes one at a time of a run."""
     copy_target: Upstream | None = None
     """The engine that a copy is made on, from the first step on."""
-    kept: KeptCopy | None = None
+    kept: Replica | None = None
     """The copy made of the run while it goes on."""
     ended: bool = False
     goes_on_elsewhere: bool = False
