--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -30,7 +30,7 @@
     produced: int = 0
     yields: int = 0
     running_since: float = 0.0
-    heard_at: float = 0.0
+    last_report_at: float = 0.0
     paused: bool = False
     reserved: float = 0.0
     """Tokens reserved from the workspace's limit."""
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -192,7 +192,7 @@
         grant = self._grants.get(event.request_id)
         if grant is None:
             return
-        grant.heard_at = now
+        grant.last_report_at = now
         if event.produced <= grant.produced:
             return
         self._lengths.progressed(grant.request, grant.produced, event.produced)
@@ -263,7 +263,7 @@
             return
         self._silence_at = now
         for request_id, grant in list(self._grants.items()):
-            if now - grant.heard_at >= SILENCE_S:
+            if now - grant.last_report_at >= SILENCE_S:
                 self._apply(Close(self.group, request_id, 0, finished=False), now)
 
     # Admission
@@ -415,7 +415,7 @@
     def _open(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
         """Add a grant, and the memory it is forecast to hold, to a runner's state."""
         request_id = grant.request.request_id
-        grant.heard_at = now
+        grant.last_report_at = now
         self._grants[request_id] = grant
         self._registry.add(runner, grant, addition, now)
 
