--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -33,7 +33,7 @@
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.reports import MS, PlatformStatus, Reporting
-from driftstall.gateway.sharing import PeerUpdateHandlers, RoutingNotice, Sharing
+from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing, RoutingNotice
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
 from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
@@ -103,7 +103,7 @@
             standing=standing,
             broadcast=self._broadcast,
         )
-        self._sharing = Sharing(
+        self._sharing = PlatformDataSharing(
             state,
             intake,
             roles=lambda: self._roles,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -74,7 +74,7 @@
     """Take in that an upstream has signalled that it leaves; return whether it was new."""
 
 
-class Sharing:
+class PlatformDataSharing:
     """Share routing documents and upstreams with peers."""
 
     def __init__(
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.fleet_events import Changed, Listed, Offered
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.sharing import PeerUpdateHandlers, Sharing
+from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
 from driftstall.gateway.watch_delegation import (
     SETTLE_S,
     DelegatedWatchPacing,
@@ -271,7 +271,7 @@
         take_leaving=lambda _: False,
     )
     roles = Roles(large=True, collects=True, follows=False)
-    context.sharing = Sharing(
+    context.sharing = PlatformDataSharing(
         state,
         intake,
         roles=lambda: roles,
