--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -199,7 +199,7 @@
         found = {one: self.verdict(one, now) for one in self._records}
         return {one: verdict for one, verdict in found.items() if verdict.wait_s}
 
-    def told(self, now: float) -> tuple[BlameTold, ...]:
+    def reports(self, now: float) -> tuple[BlameTold, ...]:
         """Return what peers are to know, the strongest first."""
         known = [
             (fingerprint, record)
--- a/driftstall/helpers/blame_sharing.py
+++ b/driftstall/helpers/blame_sharing.py
@@ -81,7 +81,7 @@
     def take(self, message: BlamesTold) -> None:
         """Take in what another instance knows, and answer with what it lacks."""
         now, book = self._now(), self._book
-        known = book.told(now)
+        known = book.reports(now)
         refused = set(book.refused(now))
         if book.take(message.records, now):
             for one in set(book.refused(now)) - refused:
@@ -102,7 +102,7 @@
             self._news.wait()
             gevent.sleep(PAUSE_S)
             self._news.clear()
-            told = BlamesTold(self._own_id, self._book.told(self._now()), asks=False)
+            told = BlamesTold(self._own_id, self._book.reports(self._now()), asks=False)
             self._fleet.broadcast(self._fleet.hearers(), told)
 
     def _exchange(self) -> None:
@@ -110,7 +110,7 @@
         while True:
             is_fresh = self._now() - self._started_at < FRESH_S
             gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_EVERY_S)
-            told = self._book.told(self._now())
+            told = self._book.reports(self._now())
             if not told and not is_fresh:
                 continue
             live = self._fleet.live()
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -108,7 +108,7 @@
 @then("at most {most:d} are told, it among them")
 def told_bounded(context: Any, most: int) -> None:
     """Look at what peers are told."""
-    told = context.book.told(3.0)
+    told = context.book.reports(3.0)
     assert len(told) <= most and told[0].fingerprint == ONE, told[:2]
 
 
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -299,7 +299,7 @@
 def knowing_peer_asks(context: Any) -> None:
     """Take its question in."""
     state = world_of(context).state
-    known = replace(BlamesTold("peer", (), asks=True), records=state.blame.told(state.now()))
+    known = replace(BlamesTold("peer", (), asks=True), records=state.blame.reports(state.now()))
     sharing_of(context).take(known)
 
 
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -230,7 +230,7 @@
         """Tell one other instance; word from or to one that is cut off is lost."""
         if max(self._cut_until[sender], self._cut_until[receiver]) > self._now:
             return
-        told = self._books[sender].told(self._now)
+        told = self._books[sender].reports(self._now)
         self._after(HOP_S, lambda: self._take(receiver, told))
 
     def _take(self, receiver: int, told: tuple[BlameTold, ...]) -> None:
