--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -44,7 +44,7 @@
         return bool(self.cordoned or self.lifted)
 
 
-class CordonBook:
+class CordonRegistry:
     """Hold what is known of cordons."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -20,7 +20,7 @@
 from driftstall.decisions.store_versions import StoreEras
 from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
 from driftstall.gateway.cold_gate import ColdGate
-from driftstall.gateway.cordons import CordonBook
+from driftstall.gateway.cordons import CordonRegistry
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.exchange import Head, OpenExchanges, UpstreamExchange
 from driftstall.gateway.fleet import FleetController
@@ -58,7 +58,7 @@
         self.policy = policy
         self.table: RouteTable | None = None
         self.fleet = FleetController()
-        self.cordons = CordonBook()
+        self.cordons = CordonRegistry()
         self.eras = StoreEras()
         self.cold = ColdStarts()
         self.exchanges = OpenExchanges()
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -15,7 +15,7 @@
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.cordon_source import CordonSource
-from driftstall.gateway.cordons import Cordon, CordonBook, Cordons
+from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.exchange import UpstreamExchange
 from driftstall.gateway.fleet_events import Cordoned, Listed
 from driftstall.platform.feeds import cordon_feed
@@ -47,7 +47,7 @@
         """Start with none."""
         self._history: list[dict[str, int]] = [{}, {}]
         """The cordons by revision, each with the revision at which it was made."""
-        self._books = [CordonBook() for _ in range(BOOKS)]
+        self._books = [CordonRegistry() for _ in range(BOOKS)]
         self._read_to = [0] * BOOKS
 
     def write(self, zone: str) -> None:
@@ -123,7 +123,7 @@
 @given('a book that knows of a cordon of "a" at revision 7')
 def book_with_cordon(context: Any) -> None:
     """List it."""
-    context.book = CordonBook()
+    context.book = CordonRegistry()
     context.book.take(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
     assert context.book.zones == {"a"}
 
@@ -157,7 +157,7 @@
 @given('a store that lists a cordon of "a" whose content is a text')
 def unreadable_cordon(context: Any) -> None:
     """Read the list."""
-    context.book = CordonBook()
+    context.book = CordonRegistry()
     listed = cordon_feed(CordonStore("127.0.0.1:1")).list()
     context.book.take(Cordons(listed.at, listed.items))
 
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -10,7 +10,7 @@
 
 from driftstall.decisions.store_versions import DOUBT_S, StoreEras, StoreVersion
 from driftstall.exceptions import HistoryGone, PlatformUnavailable
-from driftstall.gateway.cordons import Cordon, CordonBook, Cordons
+from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
     Changed,
@@ -295,7 +295,7 @@
 @given('a book that knows zone "a" as cordoned at 1.90 of 1.100')
 def cordoned(context: Any) -> None:
     """Note it."""
-    context.book = CordonBook()
+    context.book = CordonRegistry()
     context.book.take(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
 
 
