--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -10,7 +10,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.gateway.dialect import MoveDone, MoveFailed, MoveResult
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.runs import Copy, LastStep, Replica, StreamRun
+from driftstall.gateway.runs import LastStep, Replica, ReplicaRef, StreamRun
 from driftstall.gateway.selection import TokenRequirement, choose_move
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -95,7 +95,7 @@
         if isinstance(result, MoveFailed):
             self._hold(run, None)
             return result
-        copy = Copy(target, result.copy_of, named_by=run.upstream.upstream_id)
+        copy = ReplicaRef(target, result.copy_of, named_by=run.upstream.upstream_id)
         run.kept = Replica(copy, self._state.now(), tokens)
         # A further step brings the same copy up to date: where the stream goes on elsewhere, it
         # may be just there, or need it yet. What is not needed, engines drop by themselves.
@@ -125,7 +125,7 @@
 
     def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
         """Return the copy of a run that has stopped."""
-        copy = Copy(holder, copy_of, named_by=run.upstream.upstream_id)
+        copy = ReplicaRef(holder, copy_of, named_by=run.upstream.upstream_id)
         return Replica(copy, self._state.now(), run.held_tokens)
 
     def drop_copy(self, run: StreamRun) -> None:
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -12,7 +12,7 @@
 from driftstall.gateway.drain import FIRST_EVENT_S, TOKEN_S
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Engine, Upstream
-from driftstall.gateway.runs import Copy, StreamRun
+from driftstall.gateway.runs import ReplicaRef, StreamRun
 from driftstall.gateway.selection import TokenRequirement, choose_backup, choose_stream, has_room
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -82,7 +82,7 @@
         return run
 
     def create_resumed_run(
-        self, run: StreamRun, copy: Copy, has_run_at: frozenset[str]
+        self, run: StreamRun, copy: ReplicaRef, has_run_at: frozenset[str]
     ) -> StreamRun:
         """Return the run as it goes on at another upstream.
 
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -9,7 +9,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.decisions.sends import CopyKind, SendHistory
 from driftstall.gateway.moves import Mover
-from driftstall.gateway.runs import Copy, LastStep, StreamRun
+from driftstall.gateway.runs import LastStep, ReplicaRef, StreamRun
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
@@ -26,7 +26,7 @@
         self._mover = mover
         self._history = history
 
-    def take(self, run: StreamRun, left_s: float) -> Copy | None:
+    def take(self, run: StreamRun, left_s: float) -> ReplicaRef | None:
         """Return the copy to go on at, and hold it no longer: a copy serves once.
 
         The newest comes first: that of a move, then the one that the run's engine keeps
@@ -57,16 +57,16 @@
         """Tell whether the copy that the run's engine keeps up must be there by now."""
         return self._kept_up(run) is not None
 
-    def _kept_up(self, run: StreamRun) -> Copy | None:
+    def _kept_up(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy that the run's engine keeps up, if it must be there by now."""
         backup = run.backup
         if backup is None or not self._state.fleet.takes_requests(backup.upstream_id):
             return None
         copy_of = self._state.dialect.backup_copy(backup, run.request_id)
-        copy = Copy(backup, copy_of, CopyKind.KEPT_UP)
+        copy = ReplicaRef(backup, copy_of, CopyKind.KEPT_UP)
         return copy if self._allows(copy, run) else None
 
-    def _allows(self, copy: Copy, run: StreamRun) -> bool:
+    def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
         """Ask whether the request may be sent to go on at a copy, after all that was sent."""
         engine_id = copy.upstream.upstream_id
         return self._history.may_go_on(copy.kind, engine_id, copy.copy_of, run.making_s)
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class ReplicaRef:
     """Name a copy of a run's memory, and the engine to go on at."""
 
     upstream: Upstream
@@ -29,7 +29,7 @@
 class Replica:
     """Hold a copy of a running run: where it is and how old."""
 
-    copy: Copy
+    copy: ReplicaRef
     at: float
     tokens: int
     """Tokens of the run that were copied."""
@@ -74,7 +74,7 @@
     """Set from the run's last step to another engine on; gives a LastStep."""
     step_awaited_until: float | None = None
     """Until when the answer of the last step is waited for, once it is."""
-    resumed_from: Copy | None = None
+    resumed_from: ReplicaRef | None = None
     """The copy that this run has gone on from."""
     copying: bool = False
     """Set while a step of a copy is taken; an engine takes one at a time of a run."""
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -9,7 +9,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.runs import Copy, StreamRun
+from driftstall.gateway.runs import ReplicaRef, StreamRun
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.stream_work import StreamWork
 from driftstall.helpers.log import log_event
@@ -71,7 +71,7 @@
             run = next_run
         return None
 
-    def _take_copy(self, run: StreamRun) -> Copy | None:
+    def _take_copy(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy to go on at; where all engines with one back off, wait for the first."""
         state, deferred = self._work.state, []
         while (copy := self._work.copies.take(run, self._work.left())) is not None:
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.upstream_signals import BackoffSignal
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.runs import Copy, Replica
+from driftstall.gateway.runs import Replica, ReplicaRef
 from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.peers.gateway_messages import PlacementAsked
 from features.worlds.gateway_world import runs, script_all, wait_for, world_of
@@ -153,7 +153,7 @@
     assert isinstance(world.mover.copy(context.run, context.free), MoveFailed)
     assert not world.mover.take_last_step(context.run, context.free)
     context.run.moving = None
-    copy = Copy(context.free, "x/y", named_by=context.run.upstream.upstream_id)
+    copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.kept = Replica(copy, world.state.now(), 10)
     world.mover.drop_copy(context.run)
     inquiry = UpstreamProber(
@@ -178,7 +178,7 @@
     context.run.backup = first
     by_id = {one.upstream_id: one for one in world.engines}
     by_id[second.upstream_id].copies["named"] = 4
-    copy = Copy(second, f"{second.address}/named", named_by=context.run.upstream.upstream_id)
+    copy = ReplicaRef(second, f"{second.address}/named", named_by=context.run.upstream.upstream_id)
     context.run.kept = Replica(copy, world.state.now(), 10)
     world.pass_time(KEPT_UP_AFTER_S)
     context.run.making_s = 2 * KEPT_UP_AFTER_S
