--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -231,7 +231,7 @@
         for runner_id in [one for one in self._runners if one not in wanted]:
             self._let_leave(self._registry.let_leave(runner_id), now)
         for runner_id, memory, zone in event.runners:
-            self._registry.welcome(runner_id, memory, zone, now)
+            self._registry.add_runner(runner_id, memory, zone, now)
 
     @_apply.register
     def _(self, event: RunnersLimited, now: float) -> None:
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -38,7 +38,7 @@
         self._first_arrivals = ServiceRate()
         self._first_held = FIRST_HELD
 
-    def welcome(self, runner_id: str, memory: int, zone: str, now: float) -> None:
+    def add_runner(self, runner_id: str, memory: int, zone: str, now: float) -> None:
         """Take a runner in, or back with what still runs there."""
         if runner_id not in self.runners:
             fresh = RunnerState(runner_id, memory, zone, pending_at=now)
