--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -14,7 +14,7 @@
 )
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
 from driftstall.filters.chain import run_chain
-from driftstall.gateway.model import CallerMarks, Route, Service
+from driftstall.gateway.model import CallerMetadata, Route, Service
 from driftstall.gateway.routes import RouteTable, pick_service
 from driftstall.policy.evaluate import evaluate
 from driftstall.policy.model import DEFAULT_VERDICT, Facts, Policy
@@ -29,7 +29,7 @@
 
     host: str
     path: str
-    marks: CallerMarks
+    marks: CallerMetadata
     started_at: float
     """Seconds on the steady clock."""
     route: Route | None = None
@@ -44,7 +44,7 @@
 class Admitted:
     """Hold a request that is to be served."""
 
-    marks: CallerMarks
+    marks: CallerMetadata
     route: Route
     service: Service
     workspace: str
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -10,7 +10,7 @@
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.gateway.model import (
     AnswerMarks,
-    CallerMarks,
+    CallerMetadata,
     Headers,
     RoutingDocument,
     SendMarks,
@@ -60,7 +60,7 @@
     observe_signals: SignalObserver
     """Takes what engines signal with responses to the calls below."""
 
-    def read_caller(self, found: Headers) -> CallerMarks:
+    def read_caller(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
 
     def write_send(self, passed: Headers, send: SendMarks) -> Headers:
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerMarks:
+class CallerMetadata:
     """Hold what a caller's headers say of its request."""
 
     request_id: str
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.dialect import MoveResult, SignalObserver, ignore_signals
 from driftstall.gateway.model import (
     AnswerMarks,
-    CallerMarks,
+    CallerMetadata,
     Headers,
     RoutingDocument,
     SendMarks,
@@ -27,7 +27,7 @@
         """Start with nobody who takes signals."""
         self.observe_signals: SignalObserver = ignore_signals
 
-    def read_caller(self, found: Headers) -> CallerMarks:
+    def read_caller(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
         return headers.read_caller(found)
 
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.model import (
     AnswerMarks,
-    CallerMarks,
+    CallerMetadata,
     Header,
     Headers,
     PromptPart,
@@ -38,14 +38,14 @@
 """Headers of an upstream's answer that do not go on to the caller."""
 
 
-def read_caller(headers: Headers) -> CallerMarks:
+def read_caller(headers: Headers) -> CallerMetadata:
     """Decode a caller's headers; raise BadHeaders where they contradict themselves."""
     counts = Counter(name.lower() for name, _ in headers)
     if any(counts[name] > 1 for name in ONLY_ONCE):
         raise BadHeaders("a header that may stand once stands twice")
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     input_tokens, max_tokens = _token_counts(first.get(names.HEADER_TOKENS, b""))
-    return CallerMarks(
+    return CallerMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
         deadline_s=_seconds(first.get(names.HEADER_DEADLINE_MS)),
         key=_bearer(first.get(names.HEADER_KEY, b"")),
