--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -215,7 +215,7 @@
         record = self._records.get(fingerprint)
         return _told(fingerprint, record, now) if record is not None else None
 
-    def take(self, told: Iterable[BlameTold], now: float) -> bool:
+    def merge(self, told: Iterable[BlameTold], now: float) -> bool:
         """Take in what a peer knows; return whether anything of it is news."""
         return any([self._take(one, now) for one in told])
 
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -75,7 +75,7 @@
     def _take(self) -> None:
         """Take in what the platform keeps, and have peers told."""
         told = self._kept.read()
-        if self._state.blame.take(told, self._state.now()):
+        if self._state.blame.merge(told, self._state.now()):
             log_event(
                 PREFIX_ROUTING, f"The platform keeps {len(told)} requests that crash upstreams"
             )
--- a/driftstall/helpers/blame_sharing.py
+++ b/driftstall/helpers/blame_sharing.py
@@ -83,7 +83,7 @@
         now, book = self._now(), self._book
         known = book.reports(now)
         refused = set(book.refused(now))
-        if book.take(message.records, now):
+        if book.merge(message.records, now):
             for one in set(book.refused(now)) - refused:
                 log_refusal(one, book.verdict(one, now), peer=message.sender)
             if self._fleet.passes_on():
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -42,12 +42,12 @@
         CrashTold(upstream_id, int(ago) * 1000 + 3000 * index, under_way=False)
         for index in range(int(count))
     )
-    book.take([BlameTold(ONE, crashes, None)], at)
+    book.merge([BlameTold(ONE, crashes, None)], at)
 
 
 def _told_well(book: PoisonTracker, at: float, ago: str) -> None:
     """Take in that a peer has seen a good end."""
-    book.take([BlameTold(ONE, (), int(ago) * 1000)], at)
+    book.merge([BlameTold(ONE, (), int(ago) * 1000)], at)
 
 
 def _another(book: PoisonTracker, at: float, upstreams: str) -> None:
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -186,14 +186,14 @@
 def told_well(context: Any) -> None:
     """Take in a peer's word."""
     state = world_of(context).state
-    state.blame.take([BlameTold(at_path("/stream/x"), (), 0)], state.now())
+    state.blame.merge([BlameTold(at_path("/stream/x"), (), 0)], state.now())
 
 
 def tell_crashes(context: Any, ago_s: float = 0.0) -> None:
     """Take in a peer's word of two crashes."""
     state, ago_ms = world_of(context).state, int(ago_s * 1000)
     crashes = tuple(CrashTold(name, ago_ms, under_way=False) for name in ("e-8", "e-9"))
-    state.blame.take([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
+    state.blame.merge([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
 
 
 @given('a peer tells of two crashes under "/stream/x"')
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -235,7 +235,7 @@
 
     def _take(self, receiver: int, told: tuple[BlameTold, ...]) -> None:
         """Let an instance hear of another one."""
-        self._books[receiver].take(told, self._now)
+        self._books[receiver].merge(told, self._now)
 
     def _exchange(self) -> None:
         """Let each instance exchange what it knows with another one."""
