--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -19,7 +19,6 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     Cordoned,
-    Doubted,
     FleetAction,
     FleetEvent,
     Listed,
@@ -33,6 +32,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.upstream_registry import Entry, Tombstone, UpstreamRegistry
@@ -124,7 +124,7 @@
             self._add_tombstone(upstream, upstream.revision, now)
 
     @_on.register
-    def _(self, event: Doubted, now: float) -> None:
+    def _(self, event: UpstreamSuspected, now: float) -> None:
         entry = self._find(event.upstream_id)
         if entry is None or not entry.is_listed:
             return
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubted:
+class UpstreamSuspected:
     """Learn that an upstream says itself that it leaves, or that nobody listens there."""
 
     upstream_id: str
@@ -88,7 +88,7 @@
     Listed
     | Offered
     | Changed
-    | Doubted
+    | UpstreamSuspected
     | SignalledLeaving
     | Cordoned
     | StoreRestored
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -16,7 +16,6 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     Cordoned,
-    Doubted,
     FleetAction,
     FleetEvent,
     Listed,
@@ -30,6 +29,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamSuspected,
 )
 from driftstall.gateway.model import PolicyText, RoutingText, Upstream
 from driftstall.gateway.routes import RouteTable
@@ -256,7 +256,7 @@
 
     def doubted(self, upstream_id: str) -> None:
         """Take in that an upstream says itself that it leaves, or that it is gone."""
-        self._apply(Doubted(upstream_id))
+        self._apply(UpstreamSuspected(upstream_id))
 
     def signalled_leaving(self, upstream_id: str, ago_s: float = 0.0) -> bool:
         """Take in that an upstream has signalled that it leaves; return whether it was new.
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
-from driftstall.gateway.fleet_events import Changed, Doubted, Period, UpstreamLeaving
+from driftstall.gateway.fleet_events import Changed, Period, UpstreamLeaving, UpstreamSuspected
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.upstream_prober import UpstreamProber
@@ -41,7 +41,7 @@
 def says_itself(context: Any, name: str) -> None:
     """Tell the fleet twice, as two instances ask."""
     for _ in range(2):
-        tell(context, Doubted(name), DOUBTED_AT)
+        tell(context, UpstreamSuspected(name), DOUBTED_AT)
 
 
 @when('the platform lists "{name}" as ready, with a newer revision')
@@ -99,7 +99,7 @@
     """Return who asks the engines, as the only instance."""
 
     def doubt(upstream_id: str) -> None:
-        for action in world.state.fleet.handle(Doubted(upstream_id), world.state.now()):
+        for action in world.state.fleet.handle(UpstreamSuspected(upstream_id), world.state.now()):
             if isinstance(action, UpstreamLeaving):
                 world.evacuation.start(action.upstream)
 
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -15,7 +15,13 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Doubted, Listed, Offered, UpstreamReplaced
+from driftstall.gateway.fleet_events import (
+    Changed,
+    Listed,
+    Offered,
+    UpstreamReplaced,
+    UpstreamSuspected,
+)
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.outcomes import Outcome
@@ -89,7 +95,7 @@
         """Let a peer doubt an older start."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
         if entry.born < self._told_born:
-            self._tell(Doubted(entry.upstream_id), None)
+            self._tell(UpstreamSuspected(entry.upstream_id), None)
 
     def _tell(self, event: Any, entry: Upstream | None) -> None:
         if entry is not None:
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -10,13 +10,13 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet_events import (
     Changed,
-    Doubted,
     FleetEvent,
     Listed,
     Offered,
     Period,
     SignalledLeaving,
     StoreRestored,
+    UpstreamSuspected,
 )
 from driftstall.gateway.model import UpstreamState
 from features.steps.gateway_fleet_steps import DRAIN_S, tell
@@ -70,7 +70,7 @@
 @when('a probe finds "{name}" leaving at {at:g} s')
 def probe_finds(context: Any, name: str, at: float) -> None:
     """Hand over what a probe has found."""
-    tell(context, Doubted(name), at)
+    tell(context, UpstreamSuspected(name), at)
 
 
 @when("time passes until {at:g} s")
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -7,19 +7,18 @@
 from enum import StrEnum
 from typing import Final
 
-from driftstall.decisions.upstream_probes import DOUBTED_S
-
 from driftstall.decisions.store_versions import StoreVersion
+from driftstall.decisions.upstream_probes import DOUBTED_S
 from driftstall.gateway.fleet import LAPSE_GRACE_S, FleetController
 from driftstall.gateway.fleet_events import (
     Changed,
-    Doubted,
     FleetEvent,
     Listed,
     Offered,
     Period,
     PlatformBack,
     PlatformLost,
+    UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
 from features.worlds.upstream_samples import upstream_of
@@ -216,7 +215,7 @@
 
     def _doubt(self, drawn: Drawn) -> None:
         self._doubted_at[drawn.name] = self._now
-        self._handle(Doubted(drawn.name))
+        self._handle(UpstreamSuspected(drawn.name))
 
     def _pass_time(self, drawn: Drawn) -> None:
         self._now += drawn.seconds
