--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -10,7 +10,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.gateway.dialect import MoveDone, MoveFailed, MoveResult
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.runs import LastStep, Replica, ReplicaRef, StreamRun
+from driftstall.gateway.runs import FinalCopy, Replica, ReplicaRef, StreamRun
 from driftstall.gateway.selection import TokenRequirement, choose_move
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -116,11 +116,11 @@
         if isinstance(result, MoveDone):
             self._state.stats.streams_moved += 1
             run.kept = None
-            moving.set(LastStep(self._stopped(target, result.copy_of, run), True))
+            moving.set(FinalCopy(self._stopped(target, result.copy_of, run), True))
             return True
         # The source keeps what it has made: the run goes on there if it still can.
         kept = self._stopped(run.upstream, result.copy_of, run) if result.copy_of else None
-        moving.set(LastStep(kept, result.may_have_stopped))
+        moving.set(FinalCopy(kept, result.may_have_stopped))
         return False
 
     def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -9,7 +9,7 @@
 from driftstall.const import PREFIX_RELAY
 from driftstall.decisions.sends import CopyKind, SendHistory
 from driftstall.gateway.moves import Mover
-from driftstall.gateway.runs import LastStep, ReplicaRef, StreamRun
+from driftstall.gateway.runs import FinalCopy, ReplicaRef, StreamRun
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
@@ -73,12 +73,12 @@
 
     def _await_last_step(
         self, run: StreamRun, moving: AsyncResult, left_s: float
-    ) -> LastStep | None:
+    ) -> FinalCopy | None:
         """Wait for the end of the last step, once for each run; None where it is late."""
         now = self._state.now()
         if run.step_awaited_until is None:
             run.step_awaited_until = now + min(MOVE_WAIT_S, left_s)
-        step: LastStep | None = moving.wait(timeout=max(0.0, run.step_awaited_until - now))
+        step: FinalCopy | None = moving.wait(timeout=max(0.0, run.step_awaited_until - now))
         return step
 
     def log_no_copy(self, run: StreamRun, cause: str) -> None:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LastStep:
+class FinalCopy:
     """Tell how the last step of a move ended."""
 
     moved: Replica | None
