--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -229,7 +229,7 @@
     def _(self, event: RunnersChanged, now: float) -> None:
         wanted = {runner_id for runner_id, _, _ in event.runners}
         for runner_id in [one for one in self._runners if one not in wanted]:
-            self._let_leave(self._registry.let_leave(runner_id), now)
+            self._let_leave(self._registry.retire_runner(runner_id), now)
         for runner_id, memory, zone in event.runners:
             self._registry.add_runner(runner_id, memory, zone, now)
 
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -44,7 +44,7 @@
             fresh = RunnerState(runner_id, memory, zone, pending_at=now)
             self.runners[runner_id] = self._leaving.pop(runner_id, fresh)
 
-    def let_leave(self, runner_id: str) -> RunnerState:
+    def retire_runner(self, runner_id: str) -> RunnerState:
         """Give a runner no new work; what is open there is still counted."""
         runner = self._leaving[runner_id] = self.runners.pop(runner_id)
         return runner
