--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -28,7 +28,7 @@
 from driftstall.gateway.exchange import End, Head, Piece, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.loads import Share
-from driftstall.gateway.model import Headers, Repeat, SendMarks, Upstream
+from driftstall.gateway.model import Headers, Repeat, SendMetadata, Upstream
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.runs import BrokenRun
 from driftstall.gateway.selection import Option, choose_call
@@ -243,7 +243,7 @@
 
     def _read_answer(self, upstream: Upstream, exchange: UpstreamExchange) -> WholeAnswer | Failure:
         """Send, then read the answer that carries the request's id."""
-        send = SendMarks(
+        send = SendMetadata(
             upstream_name=upstream.name,
             remaining_s=self._left(),
             workspace=self._admitted.workspace,
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -13,7 +13,7 @@
     CallerMetadata,
     Headers,
     RoutingDocument,
-    SendMarks,
+    SendMetadata,
     Upstream,
 )
 
@@ -63,7 +63,7 @@
     def read_caller(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
 
-    def write_send(self, passed: Headers, send: SendMarks) -> Headers:
+    def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
 
     def read_answer(self, status: int, found: Headers) -> AnswerMarks:
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -203,7 +203,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendMarks:
+class SendMetadata:
     """Hold what the gateway itself tells an upstream with a request."""
 
     upstream_name: str
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.exchange import Head, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.model import AnswerMarks, SendMarks, Upstream
+from driftstall.gateway.model import AnswerMarks, SendMetadata, Upstream
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.state import GatewayState
 
@@ -58,7 +58,7 @@
 
     def _exchange(self, run: StreamRun, copy_of: str) -> Opened | UpstreamError:
         """Open a connection, send the request and read the answer's head."""
-        marks = SendMarks(
+        marks = SendMetadata(
             upstream_name=run.upstream.name,
             remaining_s=self._left(),
             workspace=self._admitted.workspace,
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -14,7 +14,7 @@
     CallerMetadata,
     Headers,
     RoutingDocument,
-    SendMarks,
+    SendMetadata,
     Upstream,
 )
 from driftstall.platform import documents, engine_calls, headers, names
@@ -31,7 +31,7 @@
         """Decode a caller's headers, or raise BadHeaders."""
         return headers.read_caller(found)
 
-    def write_send(self, passed: Headers, send: SendMarks) -> Headers:
+    def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
         return headers.write_send(passed, send)
 
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -23,7 +23,7 @@
     Header,
     Headers,
     PromptPart,
-    SendMarks,
+    SendMetadata,
     UpstreamLoad,
 )
 from driftstall.platform import names
@@ -59,7 +59,7 @@
     )
 
 
-def write_send(passed: Headers, send: SendMarks) -> Headers:
+def write_send(passed: Headers, send: SendMetadata) -> Headers:
     """Return the headers of a request to an upstream."""
     own: list[Header] = [
         (b"X-Driftstall-Deadline-Ms", b"%d" % max(1, int(send.remaining_s * 1000))),
