--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -194,7 +194,7 @@
         wait_s = max(0.0, max(one.at for one in counted) + rest_s - now)
         return Verdict(wait_s, weight, tuple(one.upstream_id for one in counted))
 
-    def refused(self, now: float) -> dict[str, Verdict]:
+    def quarantined(self, now: float) -> dict[str, Verdict]:
         """Return the requests that are sent to no upstream now."""
         found = {one: self.verdict(one, now) for one in self._records}
         return {one: verdict for one, verdict in found.items() if verdict.wait_s}
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -63,7 +63,7 @@
 
     def write_again(self) -> None:
         """Write down all requests that are sent to no upstream: the store may have lost them."""
-        for fingerprint in self._state.blame.refused(self._state.now()):
+        for fingerprint in self._state.blame.quarantined(self._state.now()):
             self.convicted(fingerprint)
 
     def _read(self) -> None:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -279,7 +279,7 @@
 
     def _crashes(self, call: CallerRequest) -> bytes:
         """Name the requests that are sent to no upstream."""
-        found = self._state.blame.refused(self._state.now())
+        found = self._state.blame.quarantined(self._state.now())
         rows = [
             {
                 "fingerprint": fingerprint,
--- a/driftstall/helpers/blame_sharing.py
+++ b/driftstall/helpers/blame_sharing.py
@@ -82,9 +82,9 @@
         """Take in what another instance knows, and answer with what it lacks."""
         now, book = self._now(), self._book
         known = book.reports(now)
-        refused = set(book.refused(now))
+        refused = set(book.quarantined(now))
         if book.merge(message.records, now):
-            for one in set(book.refused(now)) - refused:
+            for one in set(book.quarantined(now)) - refused:
                 log_refusal(one, book.verdict(one, now), peer=message.sender)
             if self._fleet.passes_on():
                 self.changed()
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -102,7 +102,7 @@
 def bounded(context: Any, most: int) -> None:
     """Count."""
     assert len(context.book) <= most, len(context.book)
-    assert list(context.book.refused(3.0)) == [ONE]
+    assert list(context.book.quarantined(3.0)) == [ONE]
 
 
 @then("at most {most:d} are told, it among them")
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -241,7 +241,7 @@
     """Serve the page and read it."""
     state = world_of(context).state
     page = MetricsAnswers(
-        state, lambda: {"requests_refused_for_crashes": len(state.blame.refused(state.now()))}
+        state, lambda: {"requests_refused_for_crashes": len(state.blame.quarantined(state.now()))}
     )
     listener = SmallListener(state.settings.metrics_listen, page)
     listener.start()
