--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -22,7 +22,7 @@
     FleetAction,
     FleetEvent,
     Listed,
-    Offered,
+    ListedByPeer,
     Period,
     PlatformBack,
     PlatformLost,
@@ -85,7 +85,7 @@
                 self._remove(name, revision, now, since, may_lack=self._in_doubt(now))
 
     @_on.register
-    def _(self, event: Offered, now: float) -> None:
+    def _(self, event: ListedByPeer, now: float) -> None:
         self._read = True
         offered = {one.name for one in event.upstreams}
         if event.at >= self._offered_to:
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
+class ListedByPeer:
     """Take in the list of a peer that follows the platform: all that take requests."""
 
     upstreams: tuple[Upstream, ...]
@@ -86,7 +86,7 @@
 
 FleetEvent = (
     Listed
-    | Offered
+    | ListedByPeer
     | Changed
     | UpstreamSuspected
     | SignalledLeaving
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -19,7 +19,7 @@
     FleetAction,
     FleetEvent,
     Listed,
-    Offered,
+    ListedByPeer,
     Period,
     PlatformBack,
     PlatformLost,
@@ -251,7 +251,7 @@
 
     def offered(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Take in a peer's list of all that take requests, as of a revision."""
-        self._apply(Offered(items, at), from_peer=True)
+        self._apply(ListedByPeer(items, at), from_peer=True)
         self._state.check_configured()
 
     def doubted(self, upstream_id: str) -> None:
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -14,7 +14,7 @@
 from driftstall.decisions.cold_starts import UNTOLD_S, ColdPart, ColdSlots, ColdStarts
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, Offered, UpstreamCold
+from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, ListedByPeer, UpstreamCold
 from driftstall.gateway.loads import Use
 from driftstall.gateway.selection import Option, Sampler, choose_backup, choose_move
 from features.worlds.gateway_world import GatewayWorld, document, world_of
@@ -161,7 +161,7 @@
 @when("a peer offers its entry of then once more")
 def offered_again(context: Any) -> None:
     """Offer it."""
-    context.told = context.fleet.handle(Offered((context.entry,), StoreVersion(2)), 1.5)
+    context.told = context.fleet.handle(ListedByPeer((context.entry,), StoreVersion(2)), 1.5)
 
 
 @then("nobody is told that it is cold")
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Listed, Offered
+from driftstall.gateway.fleet_events import Changed, Listed, ListedByPeer
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, Share, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
@@ -227,7 +227,7 @@
 @when('a collector that has seen revision {at:d} offers only "{first}" and "{second}"')
 def offers(context: Any, at: int, first: str, second: str) -> None:
     """Take in the collector's list."""
-    tell(context, Offered((upstream_of(first), upstream_of(second)), StoreVersion(at)), 3.0)
+    tell(context, ListedByPeer((upstream_of(first), upstream_of(second)), StoreVersion(at)), 3.0)
 
 
 @then("another fleet that learned of them in another order has the same digest")
@@ -259,7 +259,7 @@
     state.fleet.handle(Listed(known), 0.0)
 
     def take_fleet(upstreams: tuple[Upstream, ...], at: int) -> None:
-        state.fleet.handle(Offered(upstreams, StoreVersion(at)), 1.0)
+        state.fleet.handle(ListedByPeer(upstreams, StoreVersion(at)), 1.0)
 
     intake = PeerUpdateHandlers(
         routing=lambda: (1, ""),
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     Listed,
-    Offered,
+    ListedByPeer,
     UpstreamReplaced,
     UpstreamSuspected,
 )
@@ -89,7 +89,7 @@
     def offer(self, back: int) -> None:
         """Let a peer offer its list of then."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
-        self._tell(Offered((entry,), entry.revision), entry)
+        self._tell(ListedByPeer((entry,), entry.revision), entry)
 
     def doubt(self, back: int) -> None:
         """Let a peer doubt an older start."""
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -17,7 +17,7 @@
     FleetAction,
     FleetEvent,
     Listed,
-    Offered,
+    ListedByPeer,
     Period,
     StoreRestored,
     UpstreamLeaving,
@@ -282,7 +282,7 @@
 def peer_offers(context: Any) -> None:
     """Take its list and its word in."""
     both = (entry("u1", "1.90"), entry("u2", "1.119"))
-    feed(context, Offered(both, version("1.120")), RETURNED_AT + 1.1)
+    feed(context, ListedByPeer(both, version("1.120")), RETURNED_AT + 1.1)
     feed(context, Changed(both[1], False, from_peer=True), RETURNED_AT + 1.2)
 
 
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -14,7 +14,7 @@
     Changed,
     FleetEvent,
     Listed,
-    Offered,
+    ListedByPeer,
     Period,
     PlatformBack,
     PlatformLost,
@@ -195,7 +195,7 @@
         if drawn.other_way:
             # The peer has read this list, and seen no change since.
             at = max((one.revision for one in self._entries(at)), default=0)
-        self._handle(Offered(ready, StoreVersion(at)))
+        self._handle(ListedByPeer(ready, StoreVersion(at)))
         offered = {one.upstream_id: one.revision for one in ready}
         for name in NAMES:
             if name in offered:
