--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -135,7 +135,7 @@
             if failure is None:
                 if run.ended or run.upstream.upstream_id != source.upstream_id:
                     return True
-                return self._mover.take_last_step(run, target)
+                return self._mover.make_final_copy(run, target)
             if failure.no_such_run:
                 return False
             avoid.add(target.upstream_id)
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -109,7 +109,7 @@
             run.copy_target = target
             self._state.account(run)
 
-    def take_last_step(self, run: StreamRun, target: Upstream) -> bool:
+    def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
         """Stop the run and copy what is left; its relay goes on with the result."""
         moving = run.moving = AsyncResult()
         result = self._step(run, target, last=True)
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -151,7 +151,7 @@
     for name in ("move", "ask_word", "drop_copy"):
         setattr(dialect, name, lambda *_, name=name, **__: calls.append(name))
     assert isinstance(world.mover.copy(context.run, context.free), MoveFailed)
-    assert not world.mover.take_last_step(context.run, context.free)
+    assert not world.mover.make_final_copy(context.run, context.free)
     context.run.moving = None
     copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.kept = Replica(copy, world.state.now(), 10)
