--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -243,7 +243,7 @@
         """Give a leaving runner no new work, but let what has yielded there end."""
         for request_id, grant in runner.grants.items():
             if grant.paused:
-                self._registry.go_on(grant, now)
+                self._registry.resume(grant, now)
                 del self._paused[request_id]
                 reason = "its runner is leaving"
                 self._actions.append(ResumeAsked(grant.entry, request_id, grant.runner_id, reason))
@@ -482,7 +482,7 @@
             limit = runner.memory - self._registry.headroom(grant.verdict.rank, now)
             if not runner.hold.fits(addition, self._registry.deviations, limit):
                 continue
-            self._registry.go_on(grant, now)
+            self._registry.resume(grant, now)
             del self._paused[request_id]
             reason = "there is room again"
             self._actions.append(ResumeAsked(grant.entry, request_id, grant.runner_id, reason))
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -119,7 +119,7 @@
             runner.last_yield_at = now
             self._set_hold(runner, runner.hold.minus(self._hold_of(grant)))
 
-    def go_on(self, grant: OpenGrant, now: float) -> None:
+    def resume(self, grant: OpenGrant, now: float) -> None:
         """Count in the memory of a generation that goes on, and its prefill."""
         grant.paused = False
         grant.running_since = now
