--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -9,9 +9,9 @@
 from driftstall.decisions.upstream_probes import Word
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.gateway.model import (
-    AnswerMarks,
     CallerMetadata,
     Headers,
+    ResponseMetadata,
     RoutingDocument,
     SendMetadata,
     Upstream,
@@ -66,7 +66,7 @@
     def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
 
-    def read_answer(self, status: int, found: Headers) -> AnswerMarks:
+    def read_answer(self, status: int, found: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's answer."""
 
     def read_routing(self, text: str) -> RoutingDocument:
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -227,7 +227,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """Hold what the headers of an upstream's answer say."""
 
     request_id: str
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.exchange import Head, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.model import AnswerMarks, SendMetadata, Upstream
+from driftstall.gateway.model import ResponseMetadata, SendMetadata, Upstream
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.state import GatewayState
 
@@ -21,7 +21,7 @@
     """Hold an answer whose head was read."""
 
     head: Head
-    marks: AnswerMarks
+    marks: ResponseMetadata
 
 
 class StreamSender:
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -10,9 +10,9 @@
 from driftstall.decisions.upstream_probes import Word
 from driftstall.gateway.dialect import MoveResult, SignalObserver, ignore_signals
 from driftstall.gateway.model import (
-    AnswerMarks,
     CallerMetadata,
     Headers,
+    ResponseMetadata,
     RoutingDocument,
     SendMetadata,
     Upstream,
@@ -35,7 +35,7 @@
         """Return the headers of a request to an upstream."""
         return headers.write_send(passed, send)
 
-    def read_answer(self, status: int, found: Headers) -> AnswerMarks:
+    def read_answer(self, status: int, found: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's answer."""
         return headers.read_answer(status, found)
 
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -18,11 +18,11 @@
 )
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.model import (
-    AnswerMarks,
     CallerMetadata,
     Header,
     Headers,
     PromptPart,
+    ResponseMetadata,
     SendMetadata,
     UpstreamLoad,
 )
@@ -78,7 +78,7 @@
     return (*passed, *own)
 
 
-def read_answer(status: int, headers: Headers) -> AnswerMarks:
+def read_answer(status: int, headers: Headers) -> ResponseMetadata:
     """Decode the status and headers of an upstream's answer.
 
     An upstream that is not the one the request was meant for may say so by the status alone.
@@ -86,7 +86,7 @@
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     listed = _listed(first.get(b"connection", b""))
     dropped = names.CONNECTION_HEADERS | listed | FOR_US
-    return AnswerMarks(
+    return ResponseMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
         not_run=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
         load=_load(first.get(names.HEADER_LOAD, b"")),
