--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -92,7 +92,7 @@
             f"Runner {runner.runner_id} has crashed with a run of this instance",
             fingerprint=fingerprint,
         )
-        if self.book.crashed(fingerprint, crash):
+        if self.book.record_crash(fingerprint, crash):
             verdict = self.book.verdict(fingerprint, self._hub.now())
             if verdict.wait_s:
                 log_refusal(fingerprint, verdict)
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -148,7 +148,7 @@
         """Return how many requests are remembered beside crashes."""
         return len(self._records)
 
-    def crashed(self, fingerprint: str, crash: Crash) -> bool:
+    def record_crash(self, fingerprint: str, crash: Crash) -> bool:
         """Take in a crash beside which a request ran; return whether it is news."""
         record = self._records.get(fingerprint)
         if record is None:
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -124,7 +124,7 @@
         )
         for run in doubt.runs:
             if run.fingerprint:
-                blame.crashed(run.fingerprint, Crash(upstream_id, doubt.at, run.under_way))
+                blame.record_crash(run.fingerprint, Crash(upstream_id, doubt.at, run.under_way))
                 self._log_verdict(run)
         self._changed()
         self._forget_old()
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -33,7 +33,7 @@
 
 def _crashed(book: PoisonTracker, at: float, how: str, upstream_id: str) -> None:
     """Take in a crash."""
-    book.crashed(ONE, Crash(upstream_id, at, how == "under way"))
+    book.record_crash(ONE, Crash(upstream_id, at, how == "under way"))
 
 
 def _told(book: PoisonTracker, at: float, count: str, upstream_id: str, ago: str) -> None:
@@ -53,7 +53,7 @@
 def _another(book: PoisonTracker, at: float, upstreams: str) -> None:
     """Let another request have been beside crashes."""
     for index, upstream_id in enumerate(re.findall(r"\b[abc]\b(?!nd)", upstreams)):
-        book.crashed(ANOTHER, Crash(upstream_id, float(index), under_way=False))
+        book.record_crash(ANOTHER, Crash(upstream_id, float(index), under_way=False))
 
 
 FACTS: Final[tuple[tuple[str, Callable[..., Any]], ...]] = (
@@ -93,9 +93,9 @@
     """Fill a book."""
     book = context.book = PoisonTracker()
     for at, upstream_id in enumerate("ab"):
-        book.crashed(ONE, Crash(upstream_id, float(at), under_way=False))
+        book.record_crash(ONE, Crash(upstream_id, float(at), under_way=False))
     for number in range(count):
-        book.crashed(f"made-up-{number}", Crash(f"u{number % 50}", 2.0, under_way=False))
+        book.record_crash(f"made-up-{number}", Crash(f"u{number % 50}", 2.0, under_way=False))
 
 
 @then("at most {most:d} requests are remembered, and the one with two crashes is still refused")
@@ -200,7 +200,7 @@
     later = [(f"u{number}", float(number)) for number in range(3, 10)]
     for book, first in zip(context.books, (("u1", "u2"), ("u2", "u1")), strict=True):
         for upstream_id, at in [(first[0], 1.0), (first[1], 1.2), *later]:
-            book.crashed(ONE, Crash(upstream_id, at, under_way=False))
+            book.record_crash(ONE, Crash(upstream_id, at, under_way=False))
 
 
 @when("they tell each other what they know {times:d} times")
@@ -225,7 +225,7 @@
     context.books[0].record_success(ONE, 0.0)
     for book in context.books:
         for upstream_id in ("a", "b", "c"):
-            book.crashed(ONE, Crash(upstream_id, 20.0, under_way=False))
+            book.record_crash(ONE, Crash(upstream_id, 20.0, under_way=False))
 
 
 @when("they tell each other what they know {times:d} times, each word 50 ms on its way")
--- a/features/worlds/blame_world.py
+++ b/features/worlds/blame_world.py
@@ -210,7 +210,7 @@
             run.is_over = True
             under_way = self._now - run.began >= FIRST_EVENT_S + UNDER_WAY_S
             crash = Crash(upstream_id, self._now, under_way)
-            self._books[run.instance].crashed(run.fingerprint, crash)
+            self._books[run.instance].record_crash(run.fingerprint, crash)
             tellers.add(run.instance)
             if run is not fatal and not run.fingerprint.startswith("fatal"):
                 self.outcome.broken += 1
