--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -25,7 +25,7 @@
     ListedByPeer,
     Period,
     PlatformBack,
-    PlatformLost,
+    PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
     UpstreamCold,
@@ -152,7 +152,7 @@
                 self._actions.append(UpstreamCold(upstream, UNTOLD_S, is_assumed=True))
 
     @_on.register
-    def _(self, event: PlatformLost, now: float) -> None:
+    def _(self, event: PlatformUnreachable, now: float) -> None:
         self._down = True
 
     @_on.register
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformLost:
+class PlatformUnreachable:
     """Learn that the platform does not answer."""
 
 
@@ -92,7 +92,7 @@
     | SignalledLeaving
     | Cordoned
     | StoreRestored
-    | PlatformLost
+    | PlatformUnreachable
     | PlatformBack
     | Period
 )
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -22,7 +22,7 @@
     ListedByPeer,
     Period,
     PlatformBack,
-    PlatformLost,
+    PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
     UpstreamCold,
@@ -276,7 +276,7 @@
     def platform_lost(self, cause: str) -> None:
         """Learn that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of upstreams is out of reach: {cause}")
-        self._apply(PlatformLost())
+        self._apply(PlatformUnreachable())
         self._announce()
 
     def platform_back(self) -> None:
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -14,7 +14,7 @@
     Listed,
     Period,
     PlatformBack,
-    PlatformLost,
+    PlatformUnreachable,
     UpstreamLeaving,
 )
 from driftstall.gateway.model import (
@@ -103,7 +103,7 @@
 @when('the platform was away and lists only "{first}" and "{second}" on its return')
 def lists_less(context: Any, first: str, second: str) -> None:
     """Let an outage end."""
-    tell(context, PlatformLost(), 1.0)
+    tell(context, PlatformUnreachable(), 1.0)
     tell(context, PlatformBack(), 6.0)
     tell(context, Listed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0)
     context.back_at = 6.0
@@ -112,7 +112,7 @@
 @when('the platform is away and a peer tells that "{name}" is gone')
 def peer_tells(context: Any, name: str) -> None:
     """Let a peer pass a removal on during an outage."""
-    tell(context, PlatformLost(), 1.0)
+    tell(context, PlatformUnreachable(), 1.0)
     tell(context, Changed(upstream_of(name, 5), True, from_peer=True), 1.5)
 
 
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -17,7 +17,7 @@
     ListedByPeer,
     Period,
     PlatformBack,
-    PlatformLost,
+    PlatformUnreachable,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
@@ -206,7 +206,7 @@
     def _lose(self) -> None:
         if not self._down:
             self._down = True
-            self._handle(PlatformLost())
+            self._handle(PlatformUnreachable())
 
     def _return(self) -> None:
         if self._down:
