--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -111,7 +111,7 @@
 
     def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
         """Stop the run and copy what is left; its relay goes on with the result."""
-        moving = run.moving = AsyncResult()
+        moving = run.pending_final_copy = AsyncResult()
         result = self._step(run, target, last=True)
         if isinstance(result, MoveDone):
             self._state.stats.streams_moved += 1
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -66,7 +66,12 @@
             return []
         found: list[StreamRun] = []
         for run in self._state.runs.all:
-            if run.events < MIN_EVENTS or run.ended or run.copying or run.moving is not None:
+            if (
+                run.events < MIN_EVENTS
+                or run.ended
+                or run.copying
+                or run.pending_final_copy is not None
+            ):
                 continue
             if now < self._not_before.get(run.request_id, 0.0):
                 continue
@@ -86,7 +91,7 @@
         """Drop copies on engines whose memory is nearly full; runs go first."""
         for run in self._state.runs.all:
             kept, engine = run.kept, run.admitted.service.engine
-            if kept is None or engine is None or run.copying or run.moving is not None:
+            if kept is None or engine is None or run.copying or run.pending_final_copy is not None:
                 continue
             if not self._state.fleet.stays(run.upstream.upstream_id):
                 # Its engine is leaving: the copy is where the run goes on soon.
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -32,10 +32,10 @@
         The newest comes first: that of a move, then the one that the run's engine keeps
         up, then the last one made beforehand.
         """
-        if run.moving is not None:
-            step = self._await_last_step(run, run.moving, left_s)
+        if run.pending_final_copy is not None:
+            step = self._await_last_step(run, run.pending_final_copy, left_s)
             moved = step.moved if step is not None else None
-            run.moving = None
+            run.pending_final_copy = None
             if moved is not None and self._mover.is_usable(moved) and self._allows(moved.copy, run):
                 return moved.copy
         kept_up = self._kept_up(run)
@@ -48,9 +48,9 @@
 
     def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
         """Tell whether a run may have ended because it was stopped for a move."""
-        if run.moving is None:
+        if run.pending_final_copy is None:
             return False
-        step = self._await_last_step(run, run.moving, left_s)
+        step = self._await_last_step(run, run.pending_final_copy, left_s)
         return step is None or step.may_have_stopped
 
     def has_kept_up(self, run: StreamRun) -> bool:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -70,7 +70,7 @@
     events: int = 0
     tokens: int = 0
     """Tokens delivered so far."""
-    moving: AsyncResult | None = None
+    pending_final_copy: AsyncResult | None = None
     """Set from the run's last step to another engine on; gives a LastStep."""
     step_awaited_until: float | None = None
     """Until when the answer of the last step is waited for, once it is."""
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -71,7 +71,7 @@
 
     def broke(self, run: StreamRun, fault: Exception | None = None) -> None:
         """Have it found out whether a run broke off because its upstream has crashed."""
-        if self.is_caller_disconnected or run.moving is not None:
+        if self.is_caller_disconnected or run.pending_final_copy is not None:
             return
         if isinstance(fault, TimeoutError):
             # What is silent has not ended; it may leave, or be cut off.
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -188,7 +188,10 @@
     world = world_of(context)
     (run,) = world.state.runs.all
     world.give_notice(context.engine)
-    wait_for("the last step", lambda: run.moving is not None and run.moving.ready())
+    wait_for(
+        "the last step",
+        lambda: run.pending_final_copy is not None and run.pending_final_copy.ready(),
+    )
     if drop_copies:
         run.kept = None
     world.pass_time(after_s)
@@ -206,7 +209,10 @@
 
     def end_after_refusal() -> None:
         (run,) = world.state.runs.all
-        wait_for("the last step", lambda: run.moving is not None and run.moving.ready())
+        wait_for(
+            "the last step",
+            lambda: run.pending_final_copy is not None and run.pending_final_copy.ready(),
+        )
         context.script.gate.set()
 
     gevent.spawn(end_after_refusal)
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -152,7 +152,7 @@
         setattr(dialect, name, lambda *_, name=name, **__: calls.append(name))
     assert isinstance(world.mover.copy(context.run, context.free), MoveFailed)
     assert not world.mover.make_final_copy(context.run, context.free)
-    context.run.moving = None
+    context.run.pending_final_copy = None
     copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.kept = Replica(copy, world.state.now(), 10)
     world.mover.drop_copy(context.run)
