--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -166,7 +166,7 @@
             self._refuse(event.entry, request, CODE_LIMITED, limited_s, "", reason)
             return
         if verdict.rank == 0:
-            self._registry.count_first(cost, now)
+            self._registry.record_first_rank_arrival(cost, now)
         wait_s = 0.0 if returned else self._queues_by_rank.forecast(request, verdict, cost, now)
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -57,7 +57,7 @@
         used = sum(self.hold(one, now).means[0] for one in self.runners.values())
         return min(1.0, used / memory)
 
-    def count_first(self, cost: float, now: float) -> None:
+    def record_first_rank_arrival(self, cost: float, now: float) -> None:
         """Learn how much memory the first rank asks for."""
         self._first_arrivals.add(1.0, now)
         self._first_held += LEARNING_RATE * (cost - self._first_held)
