--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -100,7 +100,7 @@
 
     def serve(self) -> WholeAnswer | Problem:
         """Return the answer, or the problem where there is none."""
-        tries = _Tries(SendHistory(self._admitted.route.most_runs))
+        tries = _Tries(SendHistory(self._admitted.route.max_runs))
         while True:
             problem = self._stop_reason(tries)
             if problem is not None:
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -58,7 +58,7 @@
     """The longest pause between events of an answer in time; zero if not a stream."""
 
     @property
-    def most_runs(self) -> int:
+    def max_runs(self) -> int:
         """Return the most runs that one request may begin."""
         return self.max_upstreams if self.repeat is Repeat.SAFE else 1
 
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -33,7 +33,7 @@
         self.request = request_of(admitted)
         self.request_id = admitted.marks.request_id
         self.placement = StreamPlacement(state, call, admitted, self.request)
-        self.history = SendHistory(admitted.route.most_runs)
+        self.history = SendHistory(admitted.route.max_runs)
         self.sender = StreamSender(
             state, call, admitted, self.history, lambda: self.is_caller_disconnected
         )
