--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -96,7 +96,7 @@
             verdict = self.book.verdict(fingerprint, self._hub.now())
             if verdict.wait_s:
                 log_refusal(fingerprint, verdict)
-            self.book.forget_old(self._hub.now())
+            self.book.forget_expired(self._hub.now())
             self._sharing.changed()
 
     def _told(self, _: str, message: BlamesTold) -> None:
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -235,7 +235,7 @@
                 found.append(_told(one.fingerprint, record, now))
         return tuple(found)
 
-    def forget_old(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Forget what has no effect any more."""
         for fingerprint, record in list(self._records.items()):
             record.crashes = [one for one in record.crashes if now - one.at <= CRASH_RETENTION_S]
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -142,7 +142,7 @@
         if now - self._forgot_at < FORGET_EVERY_S:
             return
         self._forgot_at = now
-        self._state.blame.forget_old(now)
+        self._state.blame.forget_expired(now)
         self._crashed_at = {
             one: at for one, at in self._crashed_at.items() if now - at < CRASH_RETENTION_S
         }
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -115,7 +115,7 @@
 @then("two hours later nothing is remembered")
 def forgotten(context: Any) -> None:
     """Let time pass."""
-    context.book.forget_old(CRASH_RETENTION_S + 3.0)
+    context.book.forget_expired(CRASH_RETENTION_S + 3.0)
     assert len(context.book) == 0
     assert context.book.verdict(ONE, CRASH_RETENTION_S + 3.0) == Verdict()
 
