--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -24,7 +24,7 @@
     Listed,
     ListedByPeer,
     Period,
-    PlatformBack,
+    PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
@@ -156,7 +156,7 @@
         self._down = True
 
     @_on.register
-    def _(self, event: PlatformBack, now: float) -> None:
+    def _(self, event: PlatformReachable, now: float) -> None:
         if self._down:
             self._down = False
             self._back_at = now
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformBack:
+class PlatformReachable:
     """Learn that the platform answers again."""
 
 
@@ -93,7 +93,7 @@
     | Cordoned
     | StoreRestored
     | PlatformUnreachable
-    | PlatformBack
+    | PlatformReachable
     | Period
 )
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -21,7 +21,7 @@
     Listed,
     ListedByPeer,
     Period,
-    PlatformBack,
+    PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
@@ -282,7 +282,7 @@
     def platform_back(self) -> None:
         """Learn that the platform answers again."""
         log_event(PREFIX_ROUTING, "The platform's list of upstreams is in reach")
-        self._apply(PlatformBack())
+        self._apply(PlatformReachable())
         self._announce()
 
     def store_returned(self) -> None:
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -13,7 +13,7 @@
     FleetAction,
     Listed,
     Period,
-    PlatformBack,
+    PlatformReachable,
     PlatformUnreachable,
     UpstreamLeaving,
 )
@@ -104,7 +104,7 @@
 def lists_less(context: Any, first: str, second: str) -> None:
     """Let an outage end."""
     tell(context, PlatformUnreachable(), 1.0)
-    tell(context, PlatformBack(), 6.0)
+    tell(context, PlatformReachable(), 6.0)
     tell(context, Listed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0)
     context.back_at = 6.0
 
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -16,7 +16,7 @@
     Listed,
     ListedByPeer,
     Period,
-    PlatformBack,
+    PlatformReachable,
     PlatformUnreachable,
     UpstreamSuspected,
 )
@@ -211,7 +211,7 @@
     def _return(self) -> None:
         if self._down:
             self._down, self._back_at = False, self._now
-            self._handle(PlatformBack())
+            self._handle(PlatformReachable())
 
     def _doubt(self, drawn: Drawn) -> None:
         self._doubted_at[drawn.name] = self._now
