--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -113,7 +113,7 @@
 
     def _is_movable(self, run: StreamRun) -> bool:
         """Tell whether a running stream has no engine that keeps up a copy."""
-        if not run.events or run.ended or run.copying or run.pending_final_copy is not None:
+        if not run.events or run.ended or run.is_copying or run.pending_final_copy is not None:
             return False
         backup = run.backup
         return backup is None or not self._state.fleet.takes_requests(backup.upstream_id)
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -87,11 +87,11 @@
         """Copy a run's memory while it goes on."""
         tokens = run.held_tokens
         self._hold(run, target)
-        run.copying = True
+        run.is_copying = True
         try:
             result = self._step(run, target, last=False)
         finally:
-            run.copying = False
+            run.is_copying = False
         if isinstance(result, MoveFailed):
             self._hold(run, None)
             return result
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -69,7 +69,7 @@
             if (
                 run.events < MIN_EVENTS
                 or run.ended
-                or run.copying
+                or run.is_copying
                 or run.pending_final_copy is not None
             ):
                 continue
@@ -91,7 +91,12 @@
         """Drop copies on engines whose memory is nearly full; runs go first."""
         for run in self._state.runs.all:
             kept, engine = run.kept, run.admitted.service.engine
-            if kept is None or engine is None or run.copying or run.pending_final_copy is not None:
+            if (
+                kept is None
+                or engine is None
+                or run.is_copying
+                or run.pending_final_copy is not None
+            ):
                 continue
             if not self._state.fleet.stays(run.upstream.upstream_id):
                 # Its engine is leaving: the copy is where the run goes on soon.
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -76,7 +76,7 @@
     """Until when the answer of the last step is waited for, once it is."""
     resumed_from: ReplicaRef | None = None
     """The copy that this run has gone on from."""
-    copying: bool = False
+    is_copying: bool = False
     """Set while a step of a copy is taken; an engine takes one at a time of a run."""
     copy_target: Upstream | None = None
     """The engine that a copy is made on, from the first step on."""
