--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -322,7 +322,7 @@
         """Grant in order of rank until one has to wait."""
         if self._paused:
             self._resume(now)
-        for rank, queue in self._queues_by_rank.in_order():
+        for rank, queue in self._queues_by_rank.queues_by_rank():
             while len(queue) and self._grant_next(queue, now):
                 pass
             if len(queue):
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -43,7 +43,7 @@
         """Return the best rank of which a request waits, or one behind all ranks."""
         return min((rank for rank, queue in self._queues.items() if len(queue)), default=NO_RANK)
 
-    def in_order(self) -> Iterator[tuple[int, FairQueue]]:
+    def queues_by_rank(self) -> Iterator[tuple[int, FairQueue]]:
         """Yield the queues, best rank first."""
         for rank in sorted(self._queues):
             yield rank, self._queues[rank]
