--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -16,7 +16,9 @@
     Nothing of the request may have run.
     """
     now, service = state.now(), admitted.service.name
-    ready = state.fleet.ready(service) or state.fleet.draining(service, now, state.safe_drain_s)
+    ready = state.fleet.ready(service) or state.fleet.draining(
+        service, now, state.max_new_request_drain_s
+    )
     first = min(ready, key=state.backoff_s, default=None)
     if first is None or not state.backoff_s(first):
         return None
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -241,7 +241,7 @@
         now = self.now()
         return [
             self._option(one, self.loads.use(one.upstream_id, now), now)
-            for one in self.fleet.draining(service, now + for_s, self.safe_drain_s)
+            for one in self.fleet.draining(service, now + for_s, self.max_new_request_drain_s)
             if one.upstream_id not in avoid and not self.backoff_s(one)
         ]
 
@@ -266,10 +266,10 @@
             return True
         if self.options(upstream.service, tried | {upstream_id}):
             return False
-        return self.fleet.serves(upstream_id, self.now(), self.safe_drain_s)
+        return self.fleet.serves(upstream_id, self.now(), self.max_new_request_drain_s)
 
     @property
-    def safe_drain_s(self) -> float:
+    def max_new_request_drain_s(self) -> float:
         """Return for how long an upstream that leaves is sent something new at most."""
         return self.settings.bounds.drain_s - NOTICE_AGE_S
 
