--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -32,7 +32,7 @@
 """Pause after which peers are told again of a bad word that still holds; a message may be lost."""
 
 
-class Word(StrEnum):
+class ReportedState(StrEnum):
     """Tell what an engine says of itself."""
 
     STAYS = "stays"
@@ -47,7 +47,7 @@
     @property
     def is_bad(self) -> bool:
         """Tell whether an engine is to be sent nothing new."""
-        return self in (Word.LEAVES, Word.GONE)
+        return self in (ReportedState.LEAVES, ReportedState.GONE)
 
 
 def asks(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -15,7 +15,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.decisions.poison_detection import CRASH_RETENTION_S, Crash
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import BrokenRun
@@ -85,18 +85,18 @@
         """Ask an upstream, and once more if it answers."""
         try:
             word = self._ask(upstream)
-            if word is not Word.GONE:
+            if word is not ReportedState.GONE:
                 gevent.sleep(LOOK_AGAIN_S)
                 word = self._ask(upstream)
         finally:
             doubt = self._doubts.pop(upstream.upstream_id)
-        if word is not Word.GONE:
+        if word is not ReportedState.GONE:
             return
         self._crashed_at[upstream.upstream_id] = self._state.now()
         self._blame(doubt)
         self._gone(upstream)
 
-    def _ask(self, upstream: Upstream) -> Word:
+    def _ask(self, upstream: Upstream) -> ReportedState:
         """Return what an engine says of itself; of others, whether they listen."""
         service = self._state.table.service(upstream.service) if self._state.table else None
         is_engine = service is not None and service.engine is not None
@@ -106,10 +106,10 @@
             address = split_address(upstream.address)
             socket.create_connection(address, CONNECT_TIMEOUT_S).close()
         except ConnectionRefusedError:
-            return Word.GONE
+            return ReportedState.GONE
         except OSError:
-            return Word.NONE
-        return Word.STAYS
+            return ReportedState.NONE
+        return ReportedState.STAYS
 
     def _blame(self, doubt: _Doubt) -> None:
         """Put a crash down to all that ran there, and tell peers."""
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.gateway.model import (
     CallerMetadata,
@@ -80,7 +80,7 @@
     ) -> MoveResult:
         """Copy a run's memory to another engine; with last, the run stops first."""
 
-    def ask_word(self, engine: Upstream) -> Word:
+    def ask_word(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
 
     def drop_copy(self, holder: Upstream, copy_of: str) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -13,7 +13,7 @@
 from driftstall.const import PREFIX_CONFIGURATION, PREFIX_DRAIN, PREFIX_MEMBERSHIP
 from driftstall.decisions.freshness import longest_wait_s
 from driftstall.decisions.leaving_signals import LeavingRecord
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.exceptions import SettingsError
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.cordon_source import CordonSource
@@ -146,7 +146,7 @@
         self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
             self.state,
-            gone=lambda upstream: self._inquiry.take_bad(upstream, Word.GONE),
+            gone=lambda upstream: self._inquiry.take_bad(upstream, ReportedState.GONE),
             changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
         )
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -14,7 +14,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import ASK_EVERY_S, TOLD_AGAIN_S, Word, asks
+from driftstall.decisions.upstream_probes import ASK_EVERY_S, TOLD_AGAIN_S, ReportedState, asks
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -91,14 +91,16 @@
         if word.is_bad:
             self.take_bad(upstream, word)
 
-    def take_bad(self, upstream: Upstream, word: Word) -> None:
+    def take_bad(self, upstream: Upstream, word: ReportedState) -> None:
         """Send an engine nothing new for a while, and have the others do the same."""
         engine_id, now = upstream.upstream_id, self._state.now()
         self._doubt(engine_id)
         if now - self._told_at.get(engine_id, float("-inf")) < TOLD_AGAIN_S:
             return
         self._told_at[engine_id] = now
-        finding = "says itself that it leaves" if word is Word.LEAVES else "refuses connections"
+        finding = (
+            "says itself that it leaves" if word is ReportedState.LEAVES else "refuses connections"
+        )
         log_event(
             PREFIX_ROUTING,
             f"Upstream {engine_id} {finding}",
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -7,7 +7,7 @@
 import gevent
 import orjson
 
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.gateway.dialect import MoveResult, SignalObserver, ignore_signals
 from driftstall.gateway.model import (
     CallerMetadata,
@@ -53,7 +53,7 @@
         """Copy a run's memory to another engine; with last, the run stops first."""
         return engine_calls.move(source, request_id, target, self.observe_signals, last=last)
 
-    def ask_word(self, engine: Upstream) -> Word:
+    def ask_word(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
         return engine_calls.ask_word(engine, self.observe_signals)
 
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -8,7 +8,7 @@
 import orjson
 
 from driftstall.const import PREFIX_RELAY
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.dialect import (
     MoveDone,
@@ -81,26 +81,26 @@
     )
 
 
-def ask_word(engine: Upstream, observe: SignalObserver = ignore_signals) -> Word:
+def ask_word(engine: Upstream, observe: SignalObserver = ignore_signals) -> ReportedState:
     """Ask an engine whether it stays; what it says is some hundred milliseconds old."""
     sent_at = clock.now()
     try:
         exchange = Exchange.open(engine.address, "GET", names.PATH_REPORT, {}, b"", WORD_TIMEOUT_S)
         report = orjson.loads(exchange.read())
     except UpstreamError as fault:
-        return Word.GONE if fault.refused else Word.NONE
+        return ReportedState.GONE if fault.refused else ReportedState.NONE
     except orjson.JSONDecodeError:
-        return Word.NONE
+        return ReportedState.NONE
     born = report.get("born") if isinstance(report, dict) else None
     if type(born) is int and engine.born and born != engine.born:
         # Another start answers there: what was asked for has ended.
-        return Word.GONE
+        return ReportedState.GONE
     observe(engine, read_signals(exchange.status, exchange.headers), sent_at)
     if not isinstance(report, dict) or report.get("state") not in STATES:
-        return Word.NONE
+        return ReportedState.NONE
     # The time it has left is told only by one whose end is fixed; others drain until the
     # platform has taken their notice.
-    return Word.LEAVES if report.get("leaves_ms") is not None else Word.STAYS
+    return ReportedState.LEAVES if report.get("leaves_ms") is not None else ReportedState.STAYS
 
 
 def backup_copy(backup: Upstream, request_id: str) -> str:
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import ASKERS, Word, asks
+from driftstall.decisions.upstream_probes import ASKERS, ReportedState, asks
 from driftstall.gateway.collectors import Roles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
@@ -140,7 +140,7 @@
     asked: list[str] = []
     ask = world.state.dialect.ask_word
 
-    def noting(engine: Upstream) -> Word:
+    def noting(engine: Upstream) -> ReportedState:
         word = ask(engine)
         asked.append(engine.upstream_id)
         return word
@@ -186,7 +186,7 @@
     world.state.suspect = inquiry.suspect
     watch = CrashDetector(
         world.state,
-        gone=lambda upstream: inquiry.take_bad(upstream, Word.GONE),
+        gone=lambda upstream: inquiry.take_bad(upstream, ReportedState.GONE),
         changed=lambda: None,
         convicted=lambda _: None,
     )
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -13,7 +13,7 @@
 
 from driftstall.decisions.sends import KEPT_UP_AFTER_S
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.decisions.upstream_probes import Word
+from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
     Changed,
@@ -331,5 +331,5 @@
 @then("its word is that the start that was asked for is gone")
 def word_gone(context: Any) -> None:
     """Ask of both starts."""
-    assert engine_calls.ask_word(context.asked_of) is Word.GONE
-    assert engine_calls.ask_word(context.same) is Word.STAYS
+    assert engine_calls.ask_word(context.asked_of) is ReportedState.GONE
+    assert engine_calls.ask_word(context.same) is ReportedState.STAYS
