--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roles:
+class FleetRoles:
     """Tell who collects, as one instance sees the fleet."""
 
     large: bool = False
@@ -55,7 +55,7 @@
     """Who places streams for the fleet, best first: the first collectors of some zones."""
 
     @classmethod
-    def from_fleet(cls, own: Instance, live: Iterable[Instance]) -> Roles:
+    def from_fleet(cls, own: Instance, live: Iterable[Instance]) -> FleetRoles:
         """Return the roles in a fleet; the same everywhere while all know the same fleet."""
         fleet = tuple(live)
         if not is_large(fleet):
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -14,7 +14,7 @@
 from driftstall.const import PREFIX_ROUTING
 from driftstall.decisions.poison_detection import BlameTold
 from driftstall.exceptions import PlatformUnavailable
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
@@ -42,7 +42,7 @@
     """Write and read what the platform keeps."""
 
     def __init__(
-        self, state: GatewayState, kept: StoredCrashes, roles: Callable[[], Roles]
+        self, state: GatewayState, kept: StoredCrashes, roles: Callable[[], FleetRoles]
     ) -> None:
         """Take the shared state, the platform's access and who collects."""
         self._state = state
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.leaving_signals import LeavingRecord
 from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.exceptions import SettingsError
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
 from driftstall.gateway.crash_detector import CrashDetector
@@ -336,7 +336,7 @@
         """Tell the zone who joined or leaves, if this instance collects for it."""
         self._peering.publish_action(action, from_peer=from_peer)
 
-    def _roles(self) -> Roles:
+    def _roles(self) -> FleetRoles:
         """Return who collects."""
         return self._peering.roles
 
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -28,7 +28,7 @@
 from driftstall.decisions.leaving_signals import LeavingRecord
 from driftstall.decisions.rate_limits import RateLimit
 from driftstall.decisions.store_versions import NO_VERSION
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
@@ -94,7 +94,7 @@
         self._links = PeerLinks(
             settings.instance_id, settings.peer_listen, key, kinds, self._receive
         )
-        self._roles = Roles()
+        self._roles = FleetRoles()
         self._reporting = Reporting(
             state,
             self.own,
@@ -138,7 +138,7 @@
         """The newest revision of the policy that a collector has told of."""
 
     @property
-    def roles(self) -> Roles:
+    def roles(self) -> FleetRoles:
         """Return who collects, as far as is known."""
         return self._roles
 
@@ -242,10 +242,10 @@
                 if self._state.rate_limiting.limited or self._state.fleet.has_leaving_records:
                     # One that has just started is to know what upstreams signal before it is ready.
                     self._state.loads_changed.set()
-                self._take_roles(Roles.from_fleet(self.own, live))
+                self._take_roles(FleetRoles.from_fleet(self.own, live))
             gevent.sleep(PERIOD_S)
 
-    def _take_roles(self, roles: Roles) -> None:
+    def _take_roles(self, roles: FleetRoles) -> None:
         """Take over the roles; after a change of the own one, sums come from others."""
         before, self._roles = self._roles, roles
         if (before.large, before.collects) == (roles.large, roles.collects):
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -16,7 +16,7 @@
 from driftstall.const import PREFIX_MEMBERSHIP
 from driftstall.core import Instance
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import OwnReports, Roles, summed
+from driftstall.gateway.collectors import FleetRoles, OwnReports, summed
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX
 from driftstall.gateway.shared_budget import RepeatCount
 from driftstall.gateway.state import GatewayState
@@ -80,7 +80,7 @@
         state: GatewayState,
         own: Instance,
         *,
-        roles: Callable[[], Roles],
+        roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
         standing: Callable[[], PlatformStatus],
         broadcast: Broadcast,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -18,7 +18,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.leaving_signals import LeavingRecord
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import (
@@ -82,7 +82,7 @@
         state: GatewayState,
         intake: PeerUpdateHandlers,
         *,
-        roles: Callable[[], Roles],
+        roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
         send: Callable[[str, GatewayMessage], None],
         broadcast: Callable[[Iterable[Instance], GatewayMessage], None],
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from driftstall.core import Instance
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, WatchDelegation
 
 
@@ -58,7 +58,7 @@
         reliance: WatchDelegation,
         *,
         now: Callable[[], float],
-        roles: Callable[[], Roles],
+        roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
         lacking: Callable[[], tuple[str, ...]],
     ) -> None:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -19,7 +19,7 @@
     PlacerOrder,
 )
 from driftstall.gateway.cold_gate import ColdGate
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.loads import Share
 from driftstall.gateway.selection import (
     CROSS_ZONE_STREAM_PENALTY,
@@ -41,7 +41,7 @@
         self,
         state: GatewayState,
         *,
-        roles: Callable[[], Roles],
+        roles: Callable[[], FleetRoles],
         send: Callable[[str, GatewayMessage], None],
     ) -> None:
         """Take the shared state, the roles as they are now, and how to send."""
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 
 SELDOM_WATCH_S: Final = 25.0
 """How long a watch of what seldom changes and has no bound in time waits: policies. Where its
@@ -97,7 +97,7 @@
     def __init__(
         self,
         reliance: WatchDelegation,
-        roles: Callable[[], Roles],
+        roles: Callable[[], FleetRoles],
         now: Callable[[], float],
         *,
         longest_wait: Callable[[], float],
@@ -175,7 +175,7 @@
 class RevisionWatchPacing:
     """Pace a feed that seldom changes: read again only what peers know to be newer."""
 
-    def __init__(self, roles: Callable[[], Roles], behind: Callable[[], bool]) -> None:
+    def __init__(self, roles: Callable[[], FleetRoles], behind: Callable[[], bool]) -> None:
         """Take the roles as they are now, and a reader of whether a newer one is known of."""
         self._roles = roles
         self._behind = behind
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -11,7 +11,7 @@
 
 from driftstall.core import Instance
 from driftstall.decisions.upstream_probes import ASKERS, ReportedState, asks
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.fleet_events import Changed, Period, UpstreamLeaving, UpstreamSuspected
@@ -224,7 +224,7 @@
         FeedReachability(context.list, context.list),
         WatchDelegation(random.Random(1)),
         now=lambda: 0.0,
-        roles=Roles,
+        roles=FleetRoles,
         live=lambda: context.others,
         lacking=lambda: context.lacking,
     )
@@ -241,7 +241,7 @@
         FeedReachability(context.list, context.list),
         reliance,
         now=lambda: 0.1,
-        roles=lambda: Roles(large=True, collects=True, follows=True),
+        roles=lambda: FleetRoles(large=True, collects=True, follows=True),
         live=lambda: context.others,
         lacking=lambda: (),
     )
@@ -310,7 +310,7 @@
     context.routes.unanswered = False
 
 
-def pace_of(seed: int, roles: Roles) -> DelegatedWatchPacing:
+def pace_of(seed: int, roles: FleetRoles) -> DelegatedWatchPacing:
     """Return the pace of one feed of one instance."""
     reliance = WatchDelegation(random.Random(seed))
     return DelegatedWatchPacing(reliance, lambda: roles, lambda: 0.0, longest_wait=lambda: 1.6)
@@ -319,7 +319,7 @@
 @given("6 instances of a small fleet that follow two feeds each")
 def twelve_feeds(context: Any) -> None:
     """Make the paces."""
-    context.paces = [pace_of(seed, Roles()) for seed in range(12)]
+    context.paces = [pace_of(seed, FleetRoles()) for seed in range(12)]
 
 
 @when("all their questions begin at one moment, 100 times")
@@ -339,7 +339,7 @@
 @then("a collector of a large fleet waits for 0.8 s each time")
 def collector_waits(context: Any) -> None:
     """Ask it."""
-    pace = pace_of(1, Roles(large=True, collects=True, follows=True))
+    pace = pace_of(1, FleetRoles(large=True, collects=True, follows=True))
     assert {pace.watch_s() for _ in range(10)} == {0.8}
 
 
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -9,7 +9,7 @@
 
 from driftstall.core import Instance
 from driftstall.decisions.instance_count import InstanceCount
-from driftstall.gateway.collectors import OwnReports, Roles, is_large, summed
+from driftstall.gateway.collectors import FleetRoles, OwnReports, is_large, summed
 from driftstall.gateway.loads import FLEET_KEY, Use
 from driftstall.gateway.model import Bounds
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
@@ -49,7 +49,7 @@
     for seed, own in enumerate(context.fleet):
         shuffled = list(context.fleet)
         random.Random(seed).shuffle(shuffled)
-        roles = Roles.from_fleet(own, shuffled)
+        roles = FleetRoles.from_fleet(own, shuffled)
         assert roles.large
         of_zone = ids(roles.own_collectors) | ({own.instance_id} if roles.collects else set())
         assert context.collectors.setdefault(own.zone, of_zone) == of_zone
@@ -61,9 +61,9 @@
 @then("3 of them follow the platform, of 3 zones")
 def three_follow(context: Any) -> None:
     """Count those that follow."""
-    follow = [one for one in context.fleet if Roles.from_fleet(one, context.fleet).follows]
+    follow = [one for one in context.fleet if FleetRoles.from_fleet(one, context.fleet).follows]
     assert len(follow) == 3 and {one.zone for one in follow} == set("abc"), follow
-    assert all(Roles.from_fleet(one, context.fleet).collects for one in follow)
+    assert all(FleetRoles.from_fleet(one, context.fleet).collects for one in follow)
 
 
 @then("each instance is told by a collector of its zone")
@@ -71,7 +71,7 @@
     """Every instance collects or is a member in the eyes of a collector of its zone."""
     told: set[str] = set()
     for own in context.fleet:
-        roles = Roles.from_fleet(own, context.fleet)
+        roles = FleetRoles.from_fleet(own, context.fleet)
         if roles.collects:
             told |= ids(roles.zone_members) | {own.instance_id}
     assert told == ids(context.fleet)
@@ -83,7 +83,7 @@
     gone, stays = sorted(context.collectors["a"])
     left = [one for one in context.fleet if one.instance_id != gone]
     observer = next(one for one in left if one.zone == "b")
-    of_a = {one.instance_id for one in Roles.from_fleet(observer, left).far_collectors}
+    of_a = {one.instance_id for one in FleetRoles.from_fleet(observer, left).far_collectors}
     of_a = {name for name in of_a if name in ids(one for one in left if one.zone == "a")}
     assert stays in of_a and len(of_a) == 2, of_a
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Listed, ListedByPeer
@@ -26,8 +26,8 @@
 from features.worlds.gateway_world import GatewayWorld
 from features.worlds.upstream_samples import upstream_of
 
-MEMBER = Roles(large=True, follows=False)
-FOLLOWER = Roles(large=True, collects=True, follows=True)
+MEMBER = FleetRoles(large=True, follows=False)
+FOLLOWER = FleetRoles(large=True, collects=True, follows=True)
 WORD_EVERY_S = 0.5
 STEP_S = 0.05
 
@@ -47,7 +47,7 @@
 class Follows:
     """Let one instance follow a feed that gives no answer, step by step."""
 
-    def __init__(self, seed: int, roles: Roles = MEMBER, settle_s: float = 0.0) -> None:
+    def __init__(self, seed: int, roles: FleetRoles = MEMBER, settle_s: float = 0.0) -> None:
         """Start with the first read behind it."""
         self.clock = Clock()
         self.reliance = WatchDelegation(random.Random(seed))
@@ -92,7 +92,7 @@
 @given("an instance that starts and hears a collector after {seconds:g} s")
 def starts_in_large_fleet(context: Any, seconds: float) -> None:
     """Start without knowing the fleet, then learn of it."""
-    context.follows = Follows(1, roles=Roles(), settle_s=SETTLE_S)
+    context.follows = Follows(1, roles=FleetRoles(), settle_s=SETTLE_S)
     context.follows.run(seconds, None)
     context.follows.roles = MEMBER
     context.follows.run(5.0, 0.2)
@@ -101,7 +101,7 @@
 @given("an instance that starts and hears nobody")
 def starts_alone(context: Any) -> None:
     """Start as the only one."""
-    context.follows = Follows(1, roles=Roles(), settle_s=SETTLE_S)
+    context.follows = Follows(1, roles=FleetRoles(), settle_s=SETTLE_S)
     context.silent_at = context.follows.clock.now
     context.follows.run(3.0, None)
 
@@ -190,7 +190,7 @@
 @given("a collector of a large fleet, and an instance of a small one")
 def collector_and_small(context: Any) -> None:
     """Make both."""
-    context.both = [Follows(1, FOLLOWER), Follows(1, Roles())]
+    context.both = [Follows(1, FOLLOWER), Follows(1, FleetRoles())]
 
 
 @then("both may call the platform at any time")
@@ -270,7 +270,7 @@
         take_cordons=lambda _: None,
         take_leaving=lambda _: False,
     )
-    roles = Roles(large=True, collects=True, follows=False)
+    roles = FleetRoles(large=True, collects=True, follows=False)
     context.sharing = PlatformDataSharing(
         state,
         intake,
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -12,7 +12,7 @@
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import PlatformUnavailable
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.feeds import Follower, ItemChange
 from driftstall.gateway.sources import UpstreamSource
 from driftstall.gateway.watch_delegation import DelegatedWatchPacing, WatchDelegation
@@ -87,7 +87,9 @@
         silence=lambda: context.pace.silence_s,
     )
     reliance = WatchDelegation(random.Random(1))
-    context.pace = DelegatedWatchPacing(reliance, Roles, world.state.now, longest_wait=lambda: 1.6)
+    context.pace = DelegatedWatchPacing(
+        reliance, FleetRoles, world.state.now, longest_wait=lambda: 1.6
+    )
     feed = upstream_feed(context.store)
     context.follower = Follower(
         feed, context.source, random.Random(1), context.pace, sleep=lambda _: None
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -10,7 +10,7 @@
 
 from driftstall.decisions.placers import LEFT_OUT_S, PlacerOrder
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.fleet_events import Listed
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Bounds, GatewaySettings
@@ -74,7 +74,7 @@
     def send(_: str, message: GatewayMessage) -> None:
         context.sent.append(message)
 
-    roles = Roles(large=True, collects=True, placers=(PLACER, "instance-1"))
+    roles = FleetRoles(large=True, collects=True, placers=(PLACER, "instance-1"))
     context.placer = StreamPlacer(state, roles=lambda: roles, send=send)
 
 
@@ -270,7 +270,7 @@
     """Let another instance place for the zone, to which nothing gets through."""
     world = world_of(context)
     context.sent = []
-    roles = Roles(large=True, placers=(PLACER,))
+    roles = FleetRoles(large=True, placers=(PLACER,))
     placer = StreamPlacer(
         world.state, roles=lambda: roles, send=lambda _, message: context.sent.append(message)
     )
@@ -306,17 +306,17 @@
 @then("all instances know the same three placers in the same order, one of each zone")
 def same_placers(context: Any) -> None:
     """Compare what each computes."""
-    (placers,) = {Roles.from_fleet(own, context.fleet).placers for own in context.fleet}
+    (placers,) = {FleetRoles.from_fleet(own, context.fleet).placers for own in context.fleet}
     zones = {one.instance_id: one.zone for one in context.fleet}
     assert sorted(zones[placer] for placer in placers) == sorted(set(zones.values())), placers
     collecting = [own for own in context.fleet if own.instance_id in placers]
-    assert all(Roles.from_fleet(own, context.fleet).collects for own in collecting)
+    assert all(FleetRoles.from_fleet(own, context.fleet).collects for own in collecting)
 
 
 @then("a small fleet has none")
 def small_has_none(context: Any) -> None:
     """Compute the roles of a part of the fleet."""
-    assert Roles.from_fleet(context.fleet[0], context.fleet[:8]).placers == ()
+    assert FleetRoles.from_fleet(context.fleet[0], context.fleet[:8]).placers == ()
 
 
 @then(
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -21,7 +21,7 @@
 from driftstall.core import Instance
 from driftstall.daemon.hub import Hub
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import Roles
+from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.reports import PlatformStatus, Reporting
 from driftstall.gateway.state import GatewayState
@@ -136,7 +136,7 @@
     reporting = context.reporting = Reporting(
         world.state,
         Instance("instance-1", "", "", "a"),
-        roles=Roles,
+        roles=FleetRoles,
         live=tuple,
         standing=lambda: PlatformStatus(1, StoreVersion(1), True, 0.0),
         broadcast=lambda *_: None,
