--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -70,7 +70,7 @@
         )
         began = self._state.now()
         for run in self._state.runs.on(upstream.upstream_id):
-            if self._is_movable(run) and self._mover.kept(run) is not None:
+            if self._is_movable(run) and self._mover.find_replica(run) is not None:
                 gevent.spawn(self._move, run)
         gevent.sleep(COPIED_FIRST_S)
         self._await_turn(upstream)
@@ -120,7 +120,7 @@
 
     def _left_to_copy(self, run: StreamRun) -> int:
         """Return the tokens that are not copied yet."""
-        kept = self._mover.kept(run)
+        kept = self._mover.find_replica(run)
         return run.held_tokens - (kept.tokens if kept else 0)
 
     def _move(self, run: StreamRun) -> bool:
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -33,7 +33,7 @@
 
         An engine whose memory would be fuller than most_memory, from 0 to 1, is not chosen.
         """
-        kept = self.kept(run)
+        kept = self.find_replica(run)
         holder = kept.copy.upstream if kept is not None else None
         if holder and holder.upstream_id not in avoid and not self._state.backoff_s(holder):
             return holder
@@ -52,7 +52,7 @@
         )
         return chosen.upstream if chosen else None
 
-    def kept(self, run: StreamRun) -> Replica | None:
+    def find_replica(self, run: StreamRun) -> Replica | None:
         """Return the run's copy if it is young enough and its engine stays."""
         kept = run.kept
         if kept is None or self._is_old(kept):
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -82,7 +82,7 @@
             backup = run.backup
             if backup is not None and self._state.fleet.takes_requests(backup.upstream_id):
                 continue
-            kept = self._mover.kept(run)
+            kept = self._mover.find_replica(run)
             if kept is None or now - kept.at >= REFRESH_S:
                 found.append(run)
         return found
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -42,7 +42,7 @@
         run.backup = None
         if kept_up is not None:
             return kept_up
-        kept = self._mover.kept(run)
+        kept = self._mover.find_replica(run)
         run.kept = None
         return kept.copy if kept is not None and self._allows(kept.copy, run) else None
 
