--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -251,7 +251,7 @@
     @_apply.register
     def _(self, event: EntryLost, now: float) -> None:
         lost = [one for one, grant in self._grants.items() if grant.entry == event.entry]
-        lost += self._queues_by_rank.of_entry(event.entry)
+        lost += self._queues_by_rank.requests_of_entry(event.entry)
         for request_id in lost:
             self._apply(Close(self.group, request_id, 0, finished=False), now)
 
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -48,7 +48,7 @@
         for rank in sorted(self._queues):
             yield rank, self._queues[rank]
 
-    def of_entry(self, entry: str) -> list[str]:
+    def requests_of_entry(self, entry: str) -> list[str]:
         """Return the requests that wait for one entry."""
         return [one for one, item in self._waiting.items() if item.entry == entry]
 
