--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -329,7 +329,7 @@
         self._take_signals(report.rate_limits, report.leaving)
         self._sharing.take_cordons(report.cordons)
         self._placer.handle_report(report.sender)
-        if self._reporting.take_report(report):
+        if self._reporting.record_report(report):
             self._sharing.resend_changes(report.sender)
         self._sharing.request_newer_routing(RoutingNotice(report.sender, report.routing_version))
         if report.platform_ok:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -158,7 +158,7 @@
         self.report_now()
         self._summarize()
 
-    def take_report(self, report: GatewayReport) -> bool:
+    def record_report(self, report: GatewayReport) -> bool:
         """Take in a peer's report; return whether the platform has just been lost to it."""
         now = self._state.now()
         before = self._heard.get(report.sender)
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -141,7 +141,7 @@
         standing=lambda: PlatformStatus(1, StoreVersion(1), True, 0.0),
         broadcast=lambda *_: None,
     )
-    reporting.take_report(GatewayReport("peer", True, True, 1, (), (), 1, Cordons(), (), 0, ()))
+    reporting.record_report(GatewayReport("peer", True, True, 1, (), (), 1, Cordons(), (), 0, ()))
     assert reporting.ready_peers() == {"peer"}
 
 
