--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -70,7 +70,7 @@
         """Ask again and again while the platform is silent, or behind what engines say."""
         while True:
             gevent.sleep(LOOK_EVERY_S)
-            if self._is_platform_silent() or self._state.fleet.doubts_any:
+            if self._is_platform_silent() or self._state.fleet.has_suspects:
                 self.ask_all()
                 gevent.sleep(ASK_EVERY_S - LOOK_EVERY_S)
             self._forget_old()
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -87,7 +87,7 @@
         return tuple(entry.upstream for entry in self._entries.values())
 
     @property
-    def doubts_any(self) -> bool:
+    def has_suspects(self) -> bool:
         """Tell whether an upstream counts as leaving of which the platform has not told so."""
         return any(entry.doubted_until is not None for entry in self._entries.values())
 
