--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -54,7 +54,7 @@
 
     def find_replica(self, run: StreamRun) -> Replica | None:
         """Return the run's copy if it is young enough and its engine stays."""
-        kept = run.kept
+        kept = run.replica
         if kept is None or self._is_old(kept):
             return None
         return kept if self._takes_on(kept) else None
@@ -96,7 +96,7 @@
             self._hold(run, None)
             return result
         copy = ReplicaRef(target, result.copy_of, named_by=run.upstream.upstream_id)
-        run.kept = Replica(copy, self._state.now(), tokens)
+        run.replica = Replica(copy, self._state.now(), tokens)
         # A further step brings the same copy up to date: where the stream goes on elsewhere, it
         # may be just there, or need it yet. What is not needed, engines drop by themselves.
         if run.ended and not run.goes_on_elsewhere:
@@ -115,7 +115,7 @@
         result = self._step(run, target, last=True)
         if isinstance(result, MoveDone):
             self._state.stats.streams_moved += 1
-            run.kept = None
+            run.replica = None
             moving.set(FinalCopy(self._stopped(target, result.copy_of, run), True))
             return True
         # The source keeps what it has made: the run goes on there if it still can.
@@ -130,7 +130,7 @@
 
     def drop_copy(self, run: StreamRun) -> None:
         """Free the memory of a copy that is not needed any more."""
-        kept, run.kept = run.kept, None
+        kept, run.replica = run.replica, None
         if kept is None:
             return
         self._hold(run, None)
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -51,7 +51,7 @@
         """Copy what needs it, one run at a time on each engine."""
         while True:
             gevent.sleep(PERIOD_S)
-            wanting = sorted(self.wanting(), key=lambda run: run.kept is not None)
+            wanting = sorted(self.wanting(), key=lambda run: run.replica is not None)
             for run in wanting:
                 if run.upstream.upstream_id not in self._busy:
                     self._busy.add(run.upstream.upstream_id)
@@ -90,7 +90,7 @@
     def make_room(self) -> None:
         """Drop copies on engines whose memory is nearly full; runs go first."""
         for run in self._state.runs.all:
-            kept, engine = run.kept, run.admitted.service.engine
+            kept, engine = run.replica, run.admitted.service.engine
             if (
                 kept is None
                 or engine is None
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -43,7 +43,7 @@
         if kept_up is not None:
             return kept_up
         kept = self._mover.find_replica(run)
-        run.kept = None
+        run.replica = None
         return kept.copy if kept is not None and self._allows(kept.copy, run) else None
 
     def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -80,7 +80,7 @@
     """Set while a step of a copy is taken; an engine takes one at a time of a run."""
     copy_target: Upstream | None = None
     """The engine that a copy is made on, from the first step on."""
-    kept: Replica | None = None
+    replica: Replica | None = None
     """The copy made of the run while it goes on."""
     ended: bool = False
     goes_on_elsewhere: bool = False
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -67,7 +67,7 @@
             # Nothing was made there that could be copied on; another copy of the run as it
             # was may still serve.
             next_run.backup = None
-            next_run.kept = next_run.kept or run.kept
+            next_run.replica = next_run.replica or run.replica
             run = next_run
         return None
 
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -193,7 +193,7 @@
         lambda: run.pending_final_copy is not None and run.pending_final_copy.ready(),
     )
     if drop_copies:
-        run.kept = None
+        run.replica = None
     world.pass_time(after_s)
     context.script.gate.set()
 
@@ -258,11 +258,11 @@
     """Wait for the copy."""
     world = world_of(context)
     (run,) = world.state.runs.all
-    wait_for("a copy is kept", lambda: run.kept is not None)
+    wait_for("a copy is kept", lambda: run.replica is not None)
     others = [one for one in world.engines if one is not context.engine]
     assert any(f"copy-{request_id}" in one.copies for one in others)
-    assert run.kept is not None
-    assert world.state.loads.use(run.kept.copy.upstream.upstream_id, world.state.now()).copies
+    assert run.replica is not None
+    assert world.state.loads.use(run.replica.copy.upstream.upstream_id, world.state.now()).copies
 
 
 @then("the copy is dropped when its engine fills")
@@ -271,7 +271,7 @@
     world = world_of(context)
     (run,) = world.state.runs.all
     memory_full(context)
-    wait_for("the copy is dropped", lambda: run.kept is None)
+    wait_for("the copy is dropped", lambda: run.replica is None)
     wait_for("its memory is free", lambda: not any(one.copies for one in world.engines))
     context.script.gate.set()
 
@@ -297,7 +297,7 @@
     world = world_of(context)
     (run,) = world.state.runs.all
     Protection(world.state, world.mover).make_room()
-    assert run.kept is not None
+    assert run.replica is not None
     context.script.gate.set()
 
 
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -238,7 +238,7 @@
     target = world.mover.choose_target(context.run, frozenset(), max_memory_share=1.0)
     assert target is not None
     world.mover.copy(context.run, target)
-    assert context.run.kept is not None
+    assert context.run.replica is not None
     context.holder = holder_of(context, target)
 
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -154,7 +154,7 @@
     assert not world.mover.make_final_copy(context.run, context.free)
     context.run.pending_final_copy = None
     copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
-    context.run.kept = Replica(copy, world.state.now(), 10)
+    context.run.replica = Replica(copy, world.state.now(), 10)
     world.mover.drop_copy(context.run)
     inquiry = UpstreamProber(
         world.state,
@@ -179,10 +179,10 @@
     by_id = {one.upstream_id: one for one in world.engines}
     by_id[second.upstream_id].copies["named"] = 4
     copy = ReplicaRef(second, f"{second.address}/named", named_by=context.run.upstream.upstream_id)
-    context.run.kept = Replica(copy, world.state.now(), 10)
+    context.run.replica = Replica(copy, world.state.now(), 10)
     world.pass_time(KEPT_UP_AFTER_S)
     context.run.making_s = 2 * KEPT_UP_AFTER_S
-    context.run.kept = Replica(copy, world.state.now(), 10)
+    context.run.replica = Replica(copy, world.state.now(), 10)
     back_off(context, first, for_s)
     context.began, context.expected = time.monotonic(), by_id[second.upstream_id]
     context.for_s = for_s
