--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -156,7 +156,7 @@
             return
         output = self._lengths.expected(request)
         cost = request.input_tokens + output
-        returned = self._queues_by_rank.take_place(verdict.rank, event.ticket)
+        returned = self._queues_by_rank.release_place(verdict.rank, event.ticket)
         if not self._runners:
             self._refuse(event.entry, request, CODE_NO_RUNNER, 2.0, "", "no runner is live")
             return
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -82,7 +82,7 @@
             if item is not None:
                 yield item
 
-    def take_place(self, rank: int, ticket: str) -> bool:
+    def release_place(self, rank: int, ticket: str) -> bool:
         """Give up a promised place on its holder's return; return whether it was kept."""
         return bool(ticket) and rank in self._promises and self._promises[rank].take(ticket)
 
