--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -176,7 +176,7 @@
     def _budget_allows(self) -> bool:
         """Take one repeat from the common budget."""
         marks = self._admitted.marks
-        return self._state.take_repeat(self._admitted.service.name, marks.request_id)
+        return self._state.try_take_retry(self._admitted.service.name, marks.request_id)
 
     def _send(self, upstream: Upstream, tries: _Tries) -> WholeAnswer | None:
         """Try one upstream; return the final answer, or None to go on."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -157,7 +157,7 @@
         for budget in self._budgets.values():
             budget.forget_peers()
 
-    def take_repeat(self, service: str, request_id: str) -> bool:
+    def try_take_retry(self, service: str, request_id: str) -> bool:
         """Take one repeat from the common budget; a refusal is logged with its inputs."""
         now = self.now()
         budget = self.budget(service)
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -67,7 +67,7 @@
 
     def budget_allows(self, upstream: Upstream) -> bool:
         """Take one repeat from the common budget."""
-        return self.state.take_repeat(upstream.service, self.admitted.marks.request_id)
+        return self.state.try_take_retry(upstream.service, self.admitted.marks.request_id)
 
     def broke(self, run: StreamRun, fault: Exception | None = None) -> None:
         """Have it found out whether a run broke off because its upstream has crashed."""
