--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -20,7 +20,7 @@
 from driftstall.core import Instance
 from driftstall.decisions.locate import weight
 
-ASKERS: Final = 2
+PROBERS_PER_UPSTREAM: Final = 2
 """Instances that ask one engine; one of them may be cut off from it, or die."""
 ASK_EVERY_S: Final = 0.3
 """Pause between two questions to an engine: half of what is left of the shortest notice seen
@@ -60,4 +60,4 @@
         [own, *staying],
         key=lambda one: (one.zone != zone, -weight(engine_id, one.instance_id)),
     )
-    return own in ranked[:ASKERS]
+    return own in ranked[:PROBERS_PER_UPSTREAM]
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import ASKERS, ReportedState, asks
+from driftstall.decisions.upstream_probes import PROBERS_PER_UPSTREAM, ReportedState, asks
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
@@ -77,14 +77,14 @@
     for number in range(30):
         zone = "abc"[number % 3]
         found = askers_of(context, f"engine-{number}", zone)
-        assert len(found) == ASKERS and {one.zone for one in found} == {zone}, found
+        assert len(found) == PROBERS_PER_UPSTREAM and {one.zone for one in found} == {zone}, found
 
 
 @then("each of 30 engines of a zone without instances is asked by 2 all the same")
 def asked_from_afar(context: Any) -> None:
     """Ask for a zone in which nobody lives."""
     for number in range(30):
-        assert len(askers_of(context, f"engine-{number}", "far")) == ASKERS
+        assert len(askers_of(context, f"engine-{number}", "far")) == PROBERS_PER_UPSTREAM
 
 
 @then("no instance asks more than 6 of 30 engines")
