--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -148,7 +148,7 @@
         fleet, service = self._state.fleet, self._admitted.service.name
         ready = fleet.ready(service)
         backs_off = bool(ready) and all(self._state.backoff_s(one) for one in ready)
-        return backs_off or fleet.waits_for_cordons(service)
+        return backs_off or fleet.is_fully_cordoned(service)
 
     def _choose_here(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -99,7 +99,7 @@
             if entry.upstream.service == service and self._takes(entry)
         )
 
-    def waits_for_cordons(self, service: str) -> bool:
+    def is_fully_cordoned(self, service: str) -> bool:
         """Tell whether a service has upstreams, and all that stay are in cordoned zones."""
         staying = [
             entry.upstream.zone
