--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -76,9 +76,9 @@
     ) -> FinalCopy | None:
         """Wait for the end of the last step, once for each run; None where it is late."""
         now = self._state.now()
-        if run.step_awaited_until is None:
-            run.step_awaited_until = now + min(MOVE_WAIT_S, left_s)
-        step: FinalCopy | None = moving.wait(timeout=max(0.0, run.step_awaited_until - now))
+        if run.final_copy_deadline is None:
+            run.final_copy_deadline = now + min(MOVE_WAIT_S, left_s)
+        step: FinalCopy | None = moving.wait(timeout=max(0.0, run.final_copy_deadline - now))
         return step
 
     def log_no_copy(self, run: StreamRun, cause: str) -> None:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -72,7 +72,7 @@
     """Tokens delivered so far."""
     pending_final_copy: AsyncResult | None = None
     """Set from the run's last step to another engine on; gives a LastStep."""
-    step_awaited_until: float | None = None
+    final_copy_deadline: float | None = None
     """Until when the answer of the last step is waited for, once it is."""
     resumed_from: ReplicaRef | None = None
     """The copy that this run has gone on from."""
