--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -275,7 +275,7 @@
         after = retry_after(wait_s, self._source)
         ticket = request.request_id
         until = now + after + GRACE_S
-        self._queues_by_rank.keep_place(verdict.rank, ticket, request.workspace, cost, until)
+        self._queues_by_rank.reserve_place(verdict.rank, ticket, request.workspace, cost, until)
         reason = f"{self.waiting} wait, the forecast wait is {wait_s:.1f} s"
         self._refuse(entry, request, CODE_REFUSED, after, ticket, reason)
 
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -86,7 +86,9 @@
         """Give up a promised place on its holder's return; return whether it was kept."""
         return bool(ticket) and rank in self._promises and self._promises[rank].take(ticket)
 
-    def keep_place(self, rank: int, ticket: str, workspace: str, cost: float, until: float) -> None:
+    def reserve_place(
+        self, rank: int, ticket: str, workspace: str, cost: float, until: float
+    ) -> None:
         """Promise a place until a time."""
         self._promises.setdefault(rank, QueueReservations()).make(ticket, workspace, cost, until)
 
