--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -213,7 +213,7 @@
         request_id = self._admitted.marks.request_id
         share = Share(upstream.upstream_id)
         self._state.loads.put(request_id, share)
-        self._state.call_changed()
+        self._state.notify_call_load_changed()
         try:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._left()))
             exchange = self._state.connect(upstream, timeout_s)
@@ -239,7 +239,7 @@
             exchange.close()
             self._exchange = None
             self._state.loads.drop(request_id)
-            self._state.call_changed()
+            self._state.notify_call_load_changed()
 
     def _read_answer(self, upstream: Upstream, exchange: UpstreamExchange) -> WholeAnswer | Failure:
         """Send, then read the answer that carries the request's id."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -146,7 +146,7 @@
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
         self.sampler = Sampler(self.source, SAMPLE_SIZE if pooled else None)
 
-    def call_changed(self) -> None:
+    def notify_call_load_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
         if self.sampler.sample_size is None:
             self.loads_changed.set()
