--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -22,7 +22,7 @@
 
 PROBERS_PER_UPSTREAM: Final = 2
 """Instances that ask one engine; one of them may be cut off from it, or die."""
-ASK_EVERY_S: Final = 0.3
+PROBE_INTERVAL_S: Final = 0.3
 """Pause between two questions to an engine: half of what is left of the shortest notice seen
 (1.5 s), less the half second after which an engine says it, and a hop to the others."""
 DOUBTED_S: Final = 4.0
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -14,7 +14,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import ASK_EVERY_S, TOLD_AGAIN_S, ReportedState, asks
+from driftstall.decisions.upstream_probes import PROBE_INTERVAL_S, TOLD_AGAIN_S, ReportedState, asks
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -72,7 +72,7 @@
             gevent.sleep(LOOK_EVERY_S)
             if self._is_platform_silent() or self._state.fleet.has_suspects:
                 self.ask_all()
-                gevent.sleep(ASK_EVERY_S - LOOK_EVERY_S)
+                gevent.sleep(PROBE_INTERVAL_S - LOOK_EVERY_S)
             self._forget_old()
 
     def _ask(self, upstream: Upstream) -> None:
@@ -81,7 +81,7 @@
         service = self._state.table.service(upstream.service) if self._state.table else None
         if service is None or service.engine is None:
             return
-        if now - self._asked_at.get(engine_id, float("-inf")) < ASK_EVERY_S / 2:
+        if now - self._asked_at.get(engine_id, float("-inf")) < PROBE_INTERVAL_S / 2:
             return
         if self._state.backoff_s(upstream):
             return
