--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -76,7 +76,7 @@
         if known is not None:
             known.runs.append(run)
             return
-        if self._state.fleet.leaves_as_told(upstream_id):
+        if self._state.fleet.is_departure_announced(upstream_id):
             return
         self._doubts[upstream_id] = _Doubt(upstream, now, [run])
         gevent.spawn(self._find_out, upstream)
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -122,7 +122,7 @@
         entry = self._find(upstream_id)
         return entry is not None and entry.leaving_since is None
 
-    def leaves_as_told(self, upstream_id: str) -> bool:
+    def is_departure_announced(self, upstream_id: str) -> bool:
         """Tell whether an upstream's end was announced, or its entry has gone."""
         entry = self._find(upstream_id)
         return entry is None or not entry.is_listed or self.has_signalled_leaving(upstream_id)
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -114,8 +114,8 @@
 @then('the end of "{name}" counts as announced, that of "{other}" does not')
 def announced(context: Any, name: str, other: str) -> None:
     """Ask the fleet."""
-    assert context.fleet.leaves_as_told(name)
-    assert not context.fleet.leaves_as_told(other)
+    assert context.fleet.is_departure_announced(name)
+    assert not context.fleet.is_departure_announced(other)
 
 
 @then("no signal is known")
