--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -99,7 +99,7 @@
         run.replica = Replica(copy, self._state.now(), tokens)
         # A further step brings the same copy up to date: where the stream goes on elsewhere, it
         # may be just there, or need it yet. What is not needed, engines drop by themselves.
-        if run.ended and not run.goes_on_elsewhere:
+        if run.ended and not run.is_resumed_elsewhere:
             self.drop_copy(run)
         return result
 
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -83,7 +83,7 @@
     replica: Replica | None = None
     """The copy made of the run while it goes on."""
     ended: bool = False
-    goes_on_elsewhere: bool = False
+    is_resumed_elsewhere: bool = False
     """Whether the stream goes on at another engine; else it has ended with this run."""
     moves: int = 0
     waited_s: float = 0.0
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -55,7 +55,7 @@
                 return None
             self._work.state.runs.drop(run)
             run.ended = True
-            run.goes_on_elsewhere = True
+            run.is_resumed_elsewhere = True
             next_run = self._work.placement.create_resumed_run(
                 run, copy, self._work.history.has_run_at
             )
