--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -287,7 +287,7 @@
 
     def _expire(self, now: float) -> None:
         """Refuse at once what has waited as long as the policy allows."""
-        for item in self._queues_by_rank.expired(now):
+        for item in self._queues_by_rank.pop_expired(now):
             self._limits.settle(item.request, item.cost, 0.0)
             wait_s = self._queues_by_rank.forecast(item.request, item.verdict, item.cost, now)
             self._turn_away(item.entry, item.request, item.verdict, item.cost, wait_s, now)
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -74,7 +74,7 @@
             self._queues[item.verdict.rank].discard(item)
         return item
 
-    def expired(self, now: float) -> Iterator[Waiting]:
+    def pop_expired(self, now: float) -> Iterator[Waiting]:
         """Take out and yield what has waited as long as it may."""
         while self._expiry and self._expiry[0][0] <= now:
             _, request_id = heapq.heappop(self._expiry)
