--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -31,7 +31,7 @@
     def listed(self, items: tuple[Cordon, ...], at: StoreVersion) -> None:
         """Take in the whole list, as of a revision."""
         self._take(self._state.cordons.take(Cordons(at, items), keeps=self._keeps()), PLATFORM)
-        self._state.check_configured()
+        self._state.notify_if_configured()
 
     def changed(self, change: ItemChange[Cordon]) -> None:
         """Take in one change from the platform."""
@@ -43,7 +43,7 @@
         knew = self._state.cordons.known
         self._take(self._state.cordons.take(told, keeps=self._keeps()), PEER)
         if not knew:
-            self._state.check_configured()
+            self._state.notify_if_configured()
 
     def platform_lost(self, cause: str) -> None:
         """Log that the platform does not answer."""
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -113,7 +113,7 @@
         before = self.version
         self._state.table = RouteTable.from_document(item.document)
         self._text = item.text
-        self._state.check_configured()
+        self._state.notify_if_configured()
         log_event(
             PREFIX_CONFIGURATION,
             f"Routing version {item.document.version} is in force",
@@ -235,7 +235,7 @@
     def listed(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Take in the whole list, as of a revision."""
         self._apply(Listed(items, at, self._silence()))
-        self._state.check_configured()
+        self._state.notify_if_configured()
         known = {one.upstream_id for one in self._state.fleet.upstreams}
         self._state.outcomes.keep_only(known)
         self._state.cold_gate.keep_only(known)
@@ -252,7 +252,7 @@
     def offered(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Take in a peer's list of all that take requests, as of a revision."""
         self._apply(ListedByPeer(items, at), from_peer=True)
-        self._state.check_configured()
+        self._state.notify_if_configured()
 
     def doubted(self, upstream_id: str) -> None:
         """Take in that an upstream says itself that it leaves, or that it is gone."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -129,7 +129,7 @@
         knows_cordons = self.cordons.known or not self.settings.bounds.cordon_s
         return self.table is not None and self.fleet.known and knows_cordons
 
-    def check_configured(self) -> None:
+    def notify_if_configured(self) -> None:
         """Let waiting requests go on once there is something to decide by."""
         if self.knows_enough:
             self.configured.set()
--- a/features/steps/gateway_admission_steps.py
+++ b/features/steps/gateway_admission_steps.py
@@ -45,7 +45,7 @@
     def bring() -> None:
         wait_for("the request waits", lambda: world.state.open_requests > 0)
         world.use(document())
-        world.state.check_configured()
+        world.state.notify_if_configured()
 
     gevent.spawn(bring)
 
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -135,7 +135,7 @@
         self.use(document())
         self.revision = 0
         self.list_upstreams()
-        self.state.check_configured()
+        self.state.notify_if_configured()
         self.listener = CallerListener(self.state, self.mover, self.drain, lambda: self.current)
         self.listener.start()
 
