--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -25,7 +25,7 @@
 PROBE_INTERVAL_S: Final = 0.3
 """Pause between two questions to an engine: half of what is left of the shortest notice seen
 (1.5 s), less the half second after which an engine says it, and a hop to the others."""
-DOUBTED_S: Final = 4.0
+SUSPICION_S: Final = 4.0
 """How long a bad word holds. The platform's list has caught up by then: what is missing from
 it 2.2 s after its return has left, and its return is known within a second."""
 TOLD_AGAIN_S: Final = 1.5
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.cold_starts import UNTOLD_S
 from driftstall.decisions.leaving_signals import SIGNAL_RETENTION_S
 from driftstall.decisions.store_versions import DOUBT_S, LEFT_DOUBT_S, NO_VERSION, StoreVersion
-from driftstall.decisions.upstream_probes import DOUBTED_S
+from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet_events import (
     Changed,
     Cordoned,
@@ -128,7 +128,7 @@
         entry = self._find(event.upstream_id)
         if entry is None or not entry.is_listed:
             return
-        entry.doubted_until = now + DOUBTED_S
+        entry.doubted_until = now + SUSPICION_S
         if entry.leaving_since is None:
             entry.leaving_since = now
             self._actions.append(UpstreamLeaving(entry.upstream, doubted=True))
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.decisions.upstream_probes import DOUBTED_S
+from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet import LAPSE_GRACE_S, FleetController
 from driftstall.gateway.fleet_events import (
     Changed,
@@ -251,7 +251,7 @@
     def _check_need_not_take(self, name: str) -> None:
         """Whatever is ready and was told to be so takes requests."""
         last = self._last(name, self._newest)
-        is_doubted = self._now - self._doubted_at.get(name, float("-inf")) <= DOUBTED_S
+        is_doubted = self._now - self._doubted_at.get(name, float("-inf")) <= SUSPICION_S
         was_told = last.held is Held.READY and last.revision <= self._told_to
         assert not was_told or is_doubted, f"{name} is ready, was told to be so, and is left out"
 
