--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -116,7 +116,7 @@
         if not run.events or run.ended or run.is_copying or run.pending_final_copy is not None:
             return False
         backup = run.backup
-        return backup is None or not self._state.fleet.takes_requests(backup.upstream_id)
+        return backup is None or not self._state.fleet.accepts_requests(backup.upstream_id)
 
     def _left_to_copy(self, run: StreamRun) -> int:
         """Return the tokens that are not copied yet."""
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -66,7 +66,7 @@
         """
         fleet = self._state.fleet
         is_named = not fleet.is_replaced(kept.copy.named_by)
-        return is_named and fleet.takes_requests(kept.copy.upstream.upstream_id)
+        return is_named and fleet.accepts_requests(kept.copy.upstream.upstream_id)
 
     def is_usable(self, moved: Replica) -> bool:
         """Tell whether a stopped run can go on at its copy: nowhere else can it.
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -80,7 +80,7 @@
             if self._state.backoff_s(run.upstream):
                 continue
             backup = run.backup
-            if backup is not None and self._state.fleet.takes_requests(backup.upstream_id):
+            if backup is not None and self._state.fleet.accepts_requests(backup.upstream_id):
                 continue
             kept = self._mover.find_replica(run)
             if kept is None or now - kept.at >= REFRESH_S:
--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -60,7 +60,7 @@
     def _kept_up(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy that the run's engine keeps up, if it must be there by now."""
         backup = run.backup
-        if backup is None or not self._state.fleet.takes_requests(backup.upstream_id):
+        if backup is None or not self._state.fleet.accepts_requests(backup.upstream_id):
             return None
         copy_of = self._state.dialect.backup_copy(backup, run.request_id)
         copy = ReplicaRef(backup, copy_of, CopyKind.KEPT_UP)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -262,7 +262,7 @@
         if not self.may_send(upstream):
             return False
         upstream_id = upstream.upstream_id
-        if self.fleet.takes_requests(upstream_id):
+        if self.fleet.accepts_requests(upstream_id):
             return True
         if self.options(upstream.service, tried | {upstream_id}):
             return False
@@ -300,7 +300,7 @@
         marks = run.admitted.marks
         left = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
         holder = run.backup or run.copy_target
-        covered = holder is not None and self.fleet.takes_requests(holder.upstream_id)
+        covered = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
         share = Share(
             run.upstream.upstream_id,
             run.held_tokens + int(GROWTH_SHARE * left),
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -113,7 +113,7 @@
         entry = self._find(upstream_id)
         return entry.upstream if entry is not None and self._takes(entry) else None
 
-    def takes_requests(self, upstream_id: str) -> bool:
+    def accepts_requests(self, upstream_id: str) -> bool:
         """Tell whether an upstream is known, not leaving and in no cordoned zone."""
         return self.find(upstream_id) is not None
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -115,7 +115,7 @@
 
 def takes(world: GatewayWorld, engine: RoutedUpstream) -> bool:
     """Tell whether an engine takes requests, as far as the gateway knows."""
-    return world.state.fleet.takes_requests(engine.upstream_id)
+    return world.state.fleet.accepts_requests(engine.upstream_id)
 
 
 @when("its engine says that it ends soon, and engines are asked")
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -90,14 +90,14 @@
 @then('"{name}" takes no requests')
 def takes_none(context: Any, name: str) -> None:
     """Look at the fleet."""
-    assert not context.fleet.takes_requests(name)
+    assert not context.fleet.accepts_requests(name)
     assert name not in {one.upstream_id for one in context.fleet.ready("engines")}
 
 
 @then('"{name}" takes requests')
 def takes_some(context: Any, name: str) -> None:
     """Look at the fleet."""
-    assert context.fleet.takes_requests(name)
+    assert context.fleet.accepts_requests(name)
 
 
 @when('the platform was away and lists only "{first}" and "{second}" on its return')
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -310,7 +310,7 @@
     context.sharing.take_fleet(offered)
     fleet = context.world.state.fleet
     assert fleet.digest == context.followers.digest
-    assert not fleet.takes_requests("u2") and fleet.takes_requests("u4")
+    assert not fleet.accepts_requests("u2") and fleet.accepts_requests("u4")
 
 
 @then("an answer of its own names the same upstreams")
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -70,7 +70,7 @@
     """Put together what follows the upstreams, and let it read the list."""
     context.store = TellingStore()
     start_instance(context)
-    assert context.fleet.takes_requests("u1")
+    assert context.fleet.accepts_requests("u1")
 
 
 def start_instance(context: Any) -> None:
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -106,7 +106,7 @@
         """Only the latest start that was told of is known, and it takes requests."""
         known = [one.born for one in self.fleet.upstreams]
         assert known == [self._told_born], (known, self._told_born)
-        assert self.fleet.takes_requests(f"{NAME}@{self._told_born}")
+        assert self.fleet.accepts_requests(f"{NAME}@{self._told_born}")
 
 
 def play_orders(number: int) -> None:
@@ -179,7 +179,7 @@
     assert not context.fleet.serves(old_id, 1.6, DRAIN_S)
     told = [one.upstream.upstream_id for one in context.told if isinstance(one, UpstreamReplaced)]
     assert told == [old_id], context.told
-    assert context.fleet.takes_requests(f"{NAME}@{LATER_START}")
+    assert context.fleet.accepts_requests(f"{NAME}@{LATER_START}")
 
 
 # One gateway inside the test process.
@@ -263,7 +263,7 @@
     ]
     assert option.use == Use(later_id), option
     assert not option.is_ejected and option.penalty == 0.0, option
-    assert not world.state.fleet.takes_requests(f"{context.engine.upstream_id}@{FIRST_START}")
+    assert not world.state.fleet.accepts_requests(f"{context.engine.upstream_id}@{FIRST_START}")
 
 
 @then("the caller gets all 8 events from two engines, and the later start got nothing")
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -108,7 +108,7 @@
 @then("the later start takes requests")
 def later_takes(context: Any) -> None:
     """Look at the fleet."""
-    assert context.fleet.takes_requests(LATER_START.upstream_id)
+    assert context.fleet.accepts_requests(LATER_START.upstream_id)
 
 
 @then('the end of "{name}" counts as announced, that of "{other}" does not')
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -79,7 +79,7 @@
 def only_it_leaves(context: Any) -> None:
     """Look at the fleet."""
     fleet = world_of(context).state.fleet
-    taking = {one.upstream_id for one in fleet.upstreams if fleet.takes_requests(one.upstream_id)}
+    taking = {one.upstream_id for one in fleet.upstreams if fleet.accepts_requests(one.upstream_id)}
     known = {one.upstream_id for one in fleet.upstreams}
     assert known - taking == set(context.leaving) and len(context.leaving) == 1, context.leaving
 
@@ -100,7 +100,7 @@
     """Only the one whose own answer has signalled so leaves."""
     fleet = world_of(context).state.fleet
     assert context.first.signalled_leaving
-    assert fleet.takes_requests(context.first.upstream_id)
+    assert fleet.accepts_requests(context.first.upstream_id)
 
 
 @when("an engine with a stream signals that it leaves with the answer to a question")
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -226,7 +226,7 @@
     def _check(self) -> None:
         """Check each upstream."""
         for name in NAMES:
-            if self.fleet.takes_requests(name):
+            if self.fleet.accepts_requests(name):
                 self._check_may_take(name)
             else:
                 self._check_need_not_take(name)
