--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -105,8 +105,8 @@
 
     def _hold(self, run: StreamRun, target: Upstream | None) -> None:
         """Tell the books which engine holds a copy, before others choose the same one."""
-        if run.copy_target is not target and not run.ended:
-            run.copy_target = target
+        if run.replica_target is not target and not run.ended:
+            run.replica_target = target
             self._state.account(run)
 
     def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -78,7 +78,7 @@
     """The copy that this run has gone on from."""
     is_copying: bool = False
     """Set while a step of a copy is taken; an engine takes one at a time of a run."""
-    copy_target: Upstream | None = None
+    replica_target: Upstream | None = None
     """The engine that a copy is made on, from the first step on."""
     replica: Replica | None = None
     """The copy made of the run while it goes on."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -299,7 +299,7 @@
         """Tell the books, and soon the peers, what a stream takes now."""
         marks = run.admitted.marks
         left = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
-        holder = run.backup or run.copy_target
+        holder = run.backup or run.replica_target
         covered = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
         share = Share(
             run.upstream.upstream_id,
