--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -229,7 +229,7 @@
     def _(self, event: RunnersChanged, now: float) -> None:
         wanted = {runner_id for runner_id, _, _ in event.runners}
         for runner_id in [one for one in self._runners if one not in wanted]:
-            self._let_leave(self._registry.retire_runner(runner_id), now)
+            self._drain_runner(self._registry.retire_runner(runner_id), now)
         for runner_id, memory, zone in event.runners:
             self._registry.add_runner(runner_id, memory, zone, now)
 
@@ -239,7 +239,7 @@
         for runner in self._runners.values():
             runner.set_rate_limit(limits.get(runner.runner_id), now)
 
-    def _let_leave(self, runner: RunnerState, now: float) -> None:
+    def _drain_runner(self, runner: RunnerState, now: float) -> None:
         """Give a leaving runner no new work, but let what has yielded there end."""
         for request_id, grant in runner.grants.items():
             if grant.paused:
