--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -121,17 +121,17 @@
     @property
     def ready(self) -> bool:
         """Tell whether this instance takes requests."""
-        return self.knows_enough and self.stopping_since is None
+        return self.is_configured and self.stopping_since is None
 
     @property
-    def knows_enough(self) -> bool:
+    def is_configured(self) -> bool:
         """Tell whether there is something to decide by."""
         knows_cordons = self.cordons.known or not self.settings.bounds.cordon_s
         return self.table is not None and self.fleet.known and knows_cordons
 
     def notify_if_configured(self) -> None:
         """Let waiting requests go on once there is something to decide by."""
-        if self.knows_enough:
+        if self.is_configured:
             self.configured.set()
 
     def budget(self, service: str) -> SharedRetryBudget:
