--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -28,7 +28,7 @@
 SUSPICION_S: Final = 4.0
 """How long a bad word holds. The platform's list has caught up by then: what is missing from
 it 2.2 s after its return has left, and its return is known within a second."""
-TOLD_AGAIN_S: Final = 1.5
+REPUBLISH_INTERVAL_S: Final = 1.5
 """Pause after which peers are told again of a bad word that still holds; a message may be lost."""
 
 
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -14,7 +14,12 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import PROBE_INTERVAL_S, TOLD_AGAIN_S, ReportedState, asks
+from driftstall.decisions.upstream_probes import (
+    PROBE_INTERVAL_S,
+    REPUBLISH_INTERVAL_S,
+    ReportedState,
+    asks,
+)
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -95,7 +100,7 @@
         """Send an engine nothing new for a while, and have the others do the same."""
         engine_id, now = upstream.upstream_id, self._state.now()
         self._doubt(engine_id)
-        if now - self._told_at.get(engine_id, float("-inf")) < TOLD_AGAIN_S:
+        if now - self._told_at.get(engine_id, float("-inf")) < REPUBLISH_INTERVAL_S:
             return
         self._told_at[engine_id] = now
         finding = (
@@ -111,7 +116,7 @@
 
     def _forget_old(self) -> None:
         """Forget questions that have no effect any more."""
-        oldest = self._state.now() - TOLD_AGAIN_S
+        oldest = self._state.now() - REPUBLISH_INTERVAL_S
         for times in (self._asked_at, self._told_at):
             for engine_id in [one for one, at in times.items() if at < oldest]:
                 del times[engine_id]
