--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -11,7 +11,7 @@
 from driftstall.decisions.store_versions import NO_VERSION, StoreVersion
 from driftstall.gateway.model import Upstream
 
-TOMBSTONE_KEPT_S: Final = 60.0
+TOMBSTONE_TTL_S: Final = 60.0
 """How long an upstream that is gone is remembered, so that old news cannot revive it."""
 
 
@@ -189,10 +189,10 @@
         """Forget what is gone for long."""
         self._signalled.forget_old(self._names, now)
         for name, tombstone in list(self._tombstones.items()):
-            if now - tombstone.at > TOMBSTONE_KEPT_S:
+            if now - tombstone.at > TOMBSTONE_TTL_S:
                 del self._tombstones[name]
                 if self._find(tombstone.upstream.upstream_id) is None:
                     self._names.pop(tombstone.upstream.upstream_id, None)
         for upstream_id, at in list(self._replaced.items()):
-            if now - at > TOMBSTONE_KEPT_S:
+            if now - at > TOMBSTONE_TTL_S:
                 del self._replaced[upstream_id]
