--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -83,7 +83,7 @@
     def ask_word(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
 
-    def drop_copy(self, holder: Upstream, copy_of: str) -> None:
+    def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a copy's memory; where the holder is its source, at both engines."""
 
     def is_ready_path(self, target: str) -> bool:
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -100,7 +100,7 @@
         # A further step brings the same copy up to date: where the stream goes on elsewhere, it
         # may be just there, or need it yet. What is not needed, engines drop by themselves.
         if run.ended and not run.is_resumed_elsewhere:
-            self.drop_copy(run)
+            self.drop_replica(run)
         return result
 
     def _hold(self, run: StreamRun, target: Upstream | None) -> None:
@@ -128,7 +128,7 @@
         copy = ReplicaRef(holder, copy_of, named_by=run.upstream.upstream_id)
         return Replica(copy, self._state.now(), run.held_tokens)
 
-    def drop_copy(self, run: StreamRun) -> None:
+    def drop_replica(self, run: StreamRun) -> None:
         """Free the memory of a copy that is not needed any more."""
         kept, run.replica = run.replica, None
         if kept is None:
@@ -140,7 +140,7 @@
             # Engines drop an unused copy by themselves after a while.
             return
         self._state.rate_limiting.charge(holder.upstream_id)
-        gevent.spawn(self._state.dialect.drop_copy, holder, kept.copy.copy_of)
+        gevent.spawn(self._state.dialect.drop_replica, holder, kept.copy.copy_of)
 
     def _step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
         """Take one step and log it."""
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -103,7 +103,7 @@
                 continue
             use = self._state.loads.use(kept.copy.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
-                self._mover.drop_copy(run)
+                self._mover.drop_replica(run)
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
 
     def _copy(self, run: StreamRun) -> None:
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -101,5 +101,5 @@
         run.ended = True
         if run.exchange is not None:
             run.exchange.close()
-        self.mover.drop_copy(run)
+        self.mover.drop_replica(run)
         self.drop(run)
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -57,9 +57,9 @@
         """Ask an engine whether it stays."""
         return engine_calls.ask_word(engine, self.observe_signals)
 
-    def drop_copy(self, holder: Upstream, copy_of: str) -> None:
+    def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a copy's memory; where the holder is its source, at both engines."""
-        engine_calls.drop_copy(holder, copy_of, self.observe_signals)
+        engine_calls.drop_replica(holder, copy_of, self.observe_signals)
 
     def is_ready_path(self, target: str) -> bool:
         """Tell whether a request asks whether this instance is ready."""
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -108,7 +108,7 @@
     return f"{backup.address}/{request_id}"
 
 
-def drop_copy(holder: Upstream, copy_of: str, observe: SignalObserver = ignore_signals) -> None:
+def drop_replica(holder: Upstream, copy_of: str, observe: SignalObserver = ignore_signals) -> None:
     """Free a copy's memory; a call to its source frees it at both engines."""
     handle = copy_of.rpartition("/")[2]
     path = f"{names.PATH_COPY}/{handle}"
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -40,7 +40,7 @@
     elif path == "ask":
         dialect.ask_word(source)
     else:
-        dialect.drop_copy(source, f"{source.address}/none")
+        dialect.drop_replica(source, f"{source.address}/none")
 
 
 RESPONSES: dict[str, Callable[[GatewayWorld], None]] = {
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -155,7 +155,7 @@
     context.run.pending_final_copy = None
     copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.replica = Replica(copy, world.state.now(), 10)
-    world.mover.drop_copy(context.run)
+    world.mover.drop_replica(context.run)
     inquiry = UpstreamProber(
         world.state,
         Instance("instance-1", "", "", "a"),
