--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -170,7 +170,7 @@
         wait_s = 0.0 if returned else self._queues_by_rank.forecast(request, verdict, cost, now)
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
-            self._turn_away(event.entry, request, verdict, cost, wait_s, now)
+            self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
             return
         hold = hold_of(self._lengths, request, 0)
         item = Waiting(event.entry, request, verdict, cost, now, output, hold, event.avoid)
@@ -268,7 +268,7 @@
 
     # Admission
 
-    def _turn_away(
+    def _refuse_with_reservation(
         self, entry: str, request: Request, verdict: Verdict, cost: float, wait_s: float, now: float
     ) -> None:
         """Refuse, say when to come back and keep a place until then."""
@@ -290,7 +290,9 @@
         for item in self._queues_by_rank.pop_expired(now):
             self._limits.settle(item.request, item.cost, 0.0)
             wait_s = self._queues_by_rank.forecast(item.request, item.verdict, item.cost, now)
-            self._turn_away(item.entry, item.request, item.verdict, item.cost, wait_s, now)
+            self._refuse_with_reservation(
+                item.entry, item.request, item.verdict, item.cost, wait_s, now
+            )
 
     # Placement
 
