--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -224,7 +224,7 @@
         try:
             if self._caller_gone:
                 return Failure(Outcome.GOOD, Fate.UNSENT, "the caller has left")
-            if not self._state.may_begin(upstream, tries.history.sent_to):
+            if not self._state.can_start_on(upstream, tries.history.sent_to):
                 detail = "the upstream takes no more requests"
                 return Failure(Outcome.NOT_SENT, Fate.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -89,7 +89,7 @@
         """Tell whether the request may go there, to begin or to go on at a copy."""
         if copy_of:
             return self._state.may_send(upstream)
-        return self._state.may_begin(upstream, self._history.sent_to)
+        return self._state.can_start_on(upstream, self._history.sent_to)
 
     def _last_event_id(self, run: StreamRun) -> str:
         """Return the event that the upstream goes on after."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -254,7 +254,7 @@
         serves = self.fleet.serves(upstream.upstream_id, self.now(), self.settings.bounds.drain_s)
         return serves and not self.backoff_s(upstream)
 
-    def may_begin(self, upstream: Upstream, tried: frozenset[str]) -> bool:
+    def can_start_on(self, upstream: Upstream, tried: frozenset[str]) -> bool:
         """Tell whether an upstream may be sent something new, just before it is.
 
         One that leaves is a last resort, where no other one than those tried takes requests.
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -92,7 +92,7 @@
             return self._after_break(run, str(result))
         else:
             tries.detail = str(result)
-            if work.state.may_begin(run.upstream, work.history.sent_to):
+            if work.state.can_start_on(run.upstream, work.history.sent_to):
                 work.saw(run, Outcome.UNREACHABLE)
                 work.state.suspect(run.upstream)
         work.drop(run)
