--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -45,7 +45,7 @@
     """It gave no answer that can be read; it may be cut off from here alone."""
 
     @property
-    def is_bad(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Tell whether an engine is to be sent nothing new."""
         return self in (ReportedState.LEAVES, ReportedState.GONE)
 
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -93,7 +93,7 @@
         self._asked_at[engine_id] = now
         self._state.rate_limiting.charge(upstream.upstream_id)
         word = self._state.dialect.ask_word(upstream)
-        if word.is_bad:
+        if word.is_unavailable:
             self.take_bad(upstream, word)
 
     def take_bad(self, upstream: Upstream, word: ReportedState) -> None:
