--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.loads import Use
 from driftstall.gateway.shared_budget import RepeatCount
 
-FULL_MESH: Final = 16
+MAX_FULL_MESH_INSTANCES: Final = 16
 """Up to so many instances all report to all."""
 COLLECTORS: Final = 2
 """Collectors of an availability zone; either one is enough."""
@@ -85,7 +85,7 @@
 
 def is_large(live: Iterable[Instance]) -> bool:
     """Tell whether a fleet needs collectors."""
-    return sum(1 for _ in live) > FULL_MESH
+    return sum(1 for _ in live) > MAX_FULL_MESH_INSTANCES
 
 
 def _collectors_of(members: list[Instance]) -> tuple[Instance, ...]:
