--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -15,7 +15,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
-COPY_KEPT_S: Final = 4.0
+MAX_REPLICA_AGE_S: Final = 4.0
 """A copy is not relied on after this time; engines drop it somewhat later (handleS is 5 s)."""
 
 
@@ -81,7 +81,7 @@
 
     def _is_old(self, kept: Replica) -> bool:
         """Tell whether an engine may have dropped a copy."""
-        return self._state.now() - kept.at > COPY_KEPT_S
+        return self._state.now() - kept.at > MAX_REPLICA_AGE_S
 
     def copy(self, run: StreamRun, target: Upstream) -> MoveResult:
         """Copy a run's memory while it goes on."""
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -161,8 +161,8 @@
 @when("its engine gives notice, and ends long after the last step")
 def ends_long_after(context: Any) -> None:
     """Let the clock jump between the last step and the end of the stream."""
-    usual = moves.COPY_KEPT_S
-    moves.COPY_KEPT_S = 0.5  # type: ignore[misc]
+    usual = moves.MAX_REPLICA_AGE_S
+    moves.MAX_REPLICA_AGE_S = 0.5  # type: ignore[misc]
     context.add_cleanup(setattr, moves, "COPY_KEPT_S", usual)
     end_after_last_step(context, after_s=0.6)
 
