--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -88,7 +88,7 @@
         self._paused: dict[str, OpenGrant] = {}
         self._limits = WorkspaceLimits()
         self._long_set = LongPrefillSet()
-        self._long_since: float | None = None
+        self._long_prefill_waiting_since: float | None = None
         self._long_allowed = 0.0
         self._silence_at = 0.0
         self._actions: list[GrantAction] = []
@@ -298,7 +298,7 @@
 
     def _dispatch(self, now: float, *, resize: bool) -> None:
         """Grant what has room, best rank first."""
-        self._long_since = None
+        self._long_prefill_waiting_since = None
         self._grant_all(now)
         if resize and self._resize_long_set(now):
             self._grant_all(now)
@@ -317,7 +317,11 @@
             )
             for one in self._runners.values()
         ]
-        waited = None if self._long_since is None else now - self._long_since
+        waited = (
+            None
+            if self._long_prefill_waiting_since is None
+            else now - self._long_prefill_waiting_since
+        )
         return self._long_set.update(loads, waited, self._long_allowed, self._weights, now)
 
     def _grant_all(self, now: float) -> None:
@@ -390,8 +394,11 @@
 
     def _note_held(self, item: Waiting) -> None:
         """Note how long the oldest long prompt has waited for a runner of the set."""
-        if self._long_since is None or item.since < self._long_since:
-            self._long_since = item.since
+        if (
+            self._long_prefill_waiting_since is None
+            or item.since < self._long_prefill_waiting_since
+        ):
+            self._long_prefill_waiting_since = item.since
             self._long_allowed = item.verdict.wait_s
 
     def _grant(self, item: Waiting, choice: Choice, now: float) -> None:
