--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -88,7 +88,7 @@
     def _may_send(self, upstream: Upstream, copy_of: str) -> bool:
         """Tell whether the request may go there, to begin or to go on at a copy."""
         if copy_of:
-            return self._state.may_send(upstream)
+            return self._state.can_send(upstream)
         return self._state.can_start_on(upstream, self._history.sent_to)
 
     def _last_event_id(self, run: StreamRun) -> str:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -249,7 +249,7 @@
         """Return for how long an upstream wants no requests of this instance; zero for none."""
         return self.backoff.remaining_s(upstream.upstream_id, self.now())
 
-    def may_send(self, upstream: Upstream) -> bool:
+    def can_send(self, upstream: Upstream) -> bool:
         """Tell whether an upstream may be sent anything, just before it is."""
         serves = self.fleet.serves(upstream.upstream_id, self.now(), self.settings.bounds.drain_s)
         return serves and not self.backoff_s(upstream)
@@ -259,7 +259,7 @@
 
         One that leaves is a last resort, where no other one than those tried takes requests.
         """
-        if not self.may_send(upstream):
+        if not self.can_send(upstream):
             return False
         upstream_id = upstream.upstream_id
         if self.fleet.accepts_requests(upstream_id):
