--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -21,7 +21,7 @@
 
 MAX_FULL_MESH_INSTANCES: Final = 16
 """Up to so many instances all report to all."""
-COLLECTORS: Final = 2
+COLLECTORS_PER_ZONE: Final = 2
 """Collectors of an availability zone; either one is enough."""
 FOLLOWERS: Final = 3
 """Collectors that follow the platform; each calls it several times a second. With a third
@@ -91,7 +91,7 @@
 def _collectors_of(members: list[Instance]) -> tuple[Instance, ...]:
     """Return the collectors of one zone."""
     staying = [one for one in members if not one.leaving] or members
-    return tuple(sorted(staying, key=_rank)[:COLLECTORS])
+    return tuple(sorted(staying, key=_rank)[:COLLECTORS_PER_ZONE])
 
 
 def _rank(one: Instance) -> tuple[bool, int]:
