--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -17,7 +17,7 @@
 """How long a stopped run waits for the answer of its last move."""
 
 
-class CopyFinder:
+class ReplicaFinder:
     """Find copies of one stream's runs, such as engines have named or must have made by now."""
 
     def __init__(self, state: GatewayState, mover: Mover, history: SendHistory) -> None:
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.placement import StreamPlacement
-from driftstall.gateway.resumption import CopyFinder
+from driftstall.gateway.resumption import ReplicaFinder
 from driftstall.gateway.runs import BrokenRun, StreamRun
 from driftstall.gateway.sending import Opened, StreamSender
 from driftstall.gateway.state import GatewayState
@@ -37,7 +37,7 @@
         self.sender = StreamSender(
             state, call, admitted, self.history, lambda: self.is_caller_disconnected
         )
-        self.copies = CopyFinder(state, mover, self.history)
+        self.copies = ReplicaFinder(state, mover, self.history)
         self.is_caller_disconnected = False
         self.run: StreamRun | None = None
 
