--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -89,7 +89,7 @@
         self._limits = WorkspaceLimits()
         self._long_set = LongPrefillSet()
         self._long_prefill_waiting_since: float | None = None
-        self._long_allowed = 0.0
+        self._long_prefill_max_wait_s = 0.0
         self._silence_at = 0.0
         self._actions: list[GrantAction] = []
         # Looking a dispatching method up anew costs more than most events do.
@@ -322,7 +322,9 @@
             if self._long_prefill_waiting_since is None
             else now - self._long_prefill_waiting_since
         )
-        return self._long_set.update(loads, waited, self._long_allowed, self._weights, now)
+        return self._long_set.update(
+            loads, waited, self._long_prefill_max_wait_s, self._weights, now
+        )
 
     def _grant_all(self, now: float) -> None:
         """Grant in order of rank until one has to wait."""
@@ -399,7 +401,7 @@
             or item.since < self._long_prefill_waiting_since
         ):
             self._long_prefill_waiting_since = item.since
-            self._long_allowed = item.verdict.wait_s
+            self._long_prefill_max_wait_s = item.verdict.wait_s
 
     def _grant(self, item: Waiting, choice: Choice, now: float) -> None:
         """Open a grant and tell the entry."""
