--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -137,7 +137,7 @@
             table,
             self._state.policy,
             chance=self._state.source.random,
-            load=self._state.load_of,
+            load=self._state.memory_load,
             current=self._current,
         )
         passage = Passage(call.host, call.path, marks, call.read_at)
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -216,7 +216,7 @@
             tokens=use.tokens,
             copies=use.copies,
             prefill=use.prefill,
-            load=round(self._state.load_of(run.upstream.service), 3),
+            load=round(self._state.memory_load(run.upstream.service), 3),
             ready=len(self._state.fleet.ready(run.upstream.service)),
             expected=self._expected_tokens(),
             max_tokens=self._request.max_tokens,
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -311,7 +311,7 @@
         self.loads.put(run.request_id, share)
         self.loads_changed.set()
 
-    def load_of(self, service_name: str) -> float:
+    def memory_load(self, service_name: str) -> float:
         """Return the share of a service's engine memory in use, from 0 to 1."""
         service = self.table.service(service_name) if self.table else None
         if service is None or service.engine is None:
