--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -23,7 +23,7 @@
 """Up to so many instances all report to all."""
 COLLECTORS_PER_ZONE: Final = 2
 """Collectors of an availability zone; either one is enough."""
-FOLLOWERS: Final = 3
+MAX_FOLLOWERS: Final = 3
 """Collectors that follow the platform; each calls it several times a second. With a third
 of all machines cut off from it, all three are in one case of 25; the others notice then."""
 PLACERS: Final = 3
@@ -67,7 +67,7 @@
         of_zone = chosen.get(own.zone, ())
         ids = {one.instance_id for one in of_zone} | {own.instance_id}
         firsts = sorted((some[0] for some in chosen.values() if some), key=_rank)
-        followers = {one.instance_id for one in firsts[:FOLLOWERS]}
+        followers = {one.instance_id for one in firsts[:MAX_FOLLOWERS]}
         return cls(
             large=True,
             collects=any(one.instance_id == own.instance_id for one in of_zone),
