--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -37,7 +37,7 @@
         self.sender = StreamSender(
             state, call, admitted, self.history, lambda: self.is_caller_disconnected
         )
-        self.copies = ReplicaFinder(state, mover, self.history)
+        self.replicas = ReplicaFinder(state, mover, self.history)
         self.is_caller_disconnected = False
         self.run: StreamRun | None = None
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -138,7 +138,7 @@
             except UpstreamError as fault:
                 return fault
             except TimeoutError as fault:
-                if self._work.left() > 0 and not self._work.copies.has_kept_up(run):
+                if self._work.left() > 0 and not self._work.replicas.has_kept_up(run):
                     # The copy's engine has left meanwhile: to wait is all there is.
                     continue
                 return fault
@@ -151,7 +151,7 @@
             elif isinstance(item, End):
                 if splitter.inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
-                if not run.exchange.framed and self._work.copies.may_have_stopped(
+                if not run.exchange.framed and self._work.replicas.may_have_stopped(
                     run, self._work.left()
                 ):
                     # A run that is stopped for a move closes its connection just like this.
@@ -161,7 +161,7 @@
     def _patience(self, run: StreamRun) -> float:
         """Return how long to wait for the next event, in seconds."""
         left = max(0.0, self._work.left())
-        if self._work.copies.has_kept_up(run):
+        if self._work.replicas.has_kept_up(run):
             return min(left, SILENCE_S)
         return left
 
