--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -386,7 +386,7 @@
                 )
             )
         if closed and not views:
-            self._note_held(item)
+            self._record_long_prefill_wait(item)
         return choose(
             views,
             self._weights,
@@ -394,7 +394,7 @@
             output=item.output,
         )
 
-    def _note_held(self, item: Waiting) -> None:
+    def _record_long_prefill_wait(self, item: Waiting) -> None:
         """Note how long the oldest long prompt has waited for a runner of the set."""
         if (
             self._long_prefill_waiting_since is None
