--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -189,7 +189,7 @@
             settled=self._list_again,
         )
         self._policy_keeper = PolicyPersistence(self._policies, access.policy)
-        self.state.era_told = self._store_return.seen
+        self.state.on_store_era = self._store_return.seen
         access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
         self._store_return.one_writes_again("policy", self._policy_keeper.write_again)
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -325,7 +325,7 @@
 
     @_take.register
     def _(self, report: GatewayReport) -> None:
-        self._state.era_told(report.store_era)
+        self._state.on_store_era(report.store_era)
         self._take_signals(report.rate_limits, report.leaving)
         self._sharing.take_cordons(report.cordons)
         self._placer.handle_report(report.sender)
@@ -337,7 +337,7 @@
 
     @_take.register
     def _(self, summary: ZoneSummary) -> None:
-        self._state.era_told(summary.store_era)
+        self._state.on_store_era(summary.store_era)
         self._take_signals(summary.rate_limits, summary.leaving)
         self._sharing.take_cordons(summary.cordons)
         # A follower knows the platform's list better than any other collector.
@@ -350,7 +350,7 @@
 
     @_take.register
     def _(self, summary: FleetSummary) -> None:
-        self._state.era_told(summary.store_era)
+        self._state.on_store_era(summary.store_era)
         self._take_signals(summary.rate_limits, summary.leaving)
         self._sharing.take_cordons(summary.cordons)
         if self._roles.collects:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -99,7 +99,7 @@
         """Takes a run that broke off though its upstream was to stay."""
         self.blame_changed: Callable[[], None] = _tell_nobody
         """Has peers told which requests ran beside crashes."""
-        self.era_told: Callable[[int], None] = _ignore_era
+        self.on_store_era: Callable[[int], None] = _ignore_era
         """Takes an era that a peer knows of the platform's store."""
         self.crash_cleared: Callable[[str], None] = _ignore_fingerprint
         """Takes a request that is held to have crashed upstreams no more."""
