--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -101,7 +101,7 @@
         service = self._state.table.service(upstream.service) if self._state.table else None
         is_engine = service is not None and service.engine is not None
         if is_engine and not self._state.backoff_s(upstream):
-            return self._state.dialect.ask_word(upstream)
+            return self._state.dialect.probe_state(upstream)
         try:
             address = split_address(upstream.address)
             socket.create_connection(address, CONNECT_TIMEOUT_S).close()
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -80,7 +80,7 @@
     ) -> MoveResult:
         """Copy a run's memory to another engine; with last, the run stops first."""
 
-    def ask_word(self, engine: Upstream) -> ReportedState:
+    def probe_state(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
 
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -92,7 +92,7 @@
             return
         self._asked_at[engine_id] = now
         self._state.rate_limiting.charge(upstream.upstream_id)
-        word = self._state.dialect.ask_word(upstream)
+        word = self._state.dialect.probe_state(upstream)
         if word.is_unavailable:
             self.take_bad(upstream, word)
 
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -53,9 +53,9 @@
         """Copy a run's memory to another engine; with last, the run stops first."""
         return engine_calls.move(source, request_id, target, self.observe_signals, last=last)
 
-    def ask_word(self, engine: Upstream) -> ReportedState:
+    def probe_state(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
-        return engine_calls.ask_word(engine, self.observe_signals)
+        return engine_calls.probe_state(engine, self.observe_signals)
 
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a copy's memory; where the holder is its source, at both engines."""
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -81,7 +81,7 @@
     )
 
 
-def ask_word(engine: Upstream, observe: SignalObserver = ignore_signals) -> ReportedState:
+def probe_state(engine: Upstream, observe: SignalObserver = ignore_signals) -> ReportedState:
     """Ask an engine whether it stays; what it says is some hundred milliseconds old."""
     sent_at = clock.now()
     try:
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -138,14 +138,14 @@
     world = world_of(context)
     world.engines[0].report = DRAINS
     asked: list[str] = []
-    ask = world.state.dialect.ask_word
+    ask = world.state.dialect.probe_state
 
     def noting(engine: Upstream) -> ReportedState:
         word = ask(engine)
         asked.append(engine.upstream_id)
         return word
 
-    world.state.dialect.ask_word = noting  # type: ignore[method-assign,assignment]
+    world.state.dialect.probe_state = noting  # type: ignore[method-assign,assignment]
     inquiry_of(world).ask_all()
     wait_for("all were asked", lambda: len(asked) == len(world.engines))
     gevent.idle()
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -38,7 +38,7 @@
     if path == "move":
         dialect.move(source, "none", target, last=False)
     elif path == "ask":
-        dialect.ask_word(source)
+        dialect.probe_state(source)
     else:
         dialect.drop_replica(source, f"{source.address}/none")
 
@@ -115,7 +115,7 @@
     engine.leaves = True
     entry = world.state.fleet.find(engine.upstream_id)
     assert entry is not None
-    world.state.dialect.ask_word(entry)
+    world.state.dialect.probe_state(entry)
     wait_for("the run is stopped", lambda: "s1" in engine.stopped)
     script.gate.set()
     context.engine = engine
