--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -26,7 +26,7 @@
 MAX_FOLLOWERS: Final = 3
 """Collectors that follow the platform; each calls it several times a second. With a third
 of all machines cut off from it, all three are in one case of 25; the others notice then."""
-PLACERS: Final = 3
+MAX_PLACERS: Final = 3
 """Instances that may place streams for the fleet; one does, and the others while it is silent."""
 MIN_LINK_MBPS: Final = 50
 """A collector sends its zone some megabits a second; a weaker link is chosen last."""
@@ -79,7 +79,7 @@
             zone_members=tuple(
                 one for one in zones.get(own.zone, ()) if one.instance_id not in ids
             ),
-            placers=tuple(one.instance_id for one in firsts[:PLACERS]),
+            placers=tuple(one.instance_id for one in firsts[:MAX_PLACERS]),
         )
 
 
