--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -53,7 +53,7 @@
         step = self._await_last_step(run, run.pending_final_copy, left_s)
         return step is None or step.may_have_stopped
 
-    def has_kept_up(self, run: StreamRun) -> bool:
+    def has_current_backup(self, run: StreamRun) -> bool:
         """Tell whether the copy that the run's engine keeps up must be there by now."""
         return self._kept_up(run) is not None
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -138,7 +138,7 @@
             except UpstreamError as fault:
                 return fault
             except TimeoutError as fault:
-                if self._work.left() > 0 and not self._work.replicas.has_kept_up(run):
+                if self._work.left() > 0 and not self._work.replicas.has_current_backup(run):
                     # The copy's engine has left meanwhile: to wait is all there is.
                     continue
                 return fault
@@ -161,7 +161,7 @@
     def _patience(self, run: StreamRun) -> float:
         """Return how long to wait for the next event, in seconds."""
         left = max(0.0, self._work.left())
-        if self._work.replicas.has_kept_up(run):
+        if self._work.replicas.has_current_backup(run):
             return min(left, SILENCE_S)
         return left
 
