--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -90,7 +90,7 @@
         self._long_set = LongPrefillSet()
         self._long_prefill_waiting_since: float | None = None
         self._long_prefill_max_wait_s = 0.0
-        self._silence_at = 0.0
+        self._last_silence_check_at = 0.0
         self._actions: list[GrantAction] = []
         # Looking a dispatching method up anew costs more than most events do.
         self._handler: Callable[[GrantEvent, float], None] = self._apply
@@ -259,9 +259,9 @@
     def _(self, event: Tick, now: float) -> None:
         """Let time pass: renew forecasts, end grants whose entry has long been silent."""
         self._registry.refresh_due(now)
-        if now - self._silence_at < SILENCE_CHECK_S:
+        if now - self._last_silence_check_at < SILENCE_CHECK_S:
             return
-        self._silence_at = now
+        self._last_silence_check_at = now
         for request_id, grant in list(self._grants.items()):
             if now - grant.last_report_at >= SILENCE_S:
                 self._apply(Close(self.group, request_id, 0, finished=False), now)
