--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -150,7 +150,7 @@
             changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
         )
-        self.state.crash_cleared = self._crash_keeper.cleared
+        self.state.on_quarantine_cleared = self._crash_keeper.cleared
         self.state.broke = watch.broke
         self.state.blame_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -101,7 +101,7 @@
         """Has peers told which requests ran beside crashes."""
         self.on_store_era: Callable[[int], None] = _ignore_era
         """Takes an era that a peer knows of the platform's store."""
-        self.crash_cleared: Callable[[str], None] = _ignore_fingerprint
+        self.on_quarantine_cleared: Callable[[str], None] = _ignore_fingerprint
         """Takes a request that is held to have crashed upstreams no more."""
         self.sampler = Sampler(self.source)
         self._started_at = self.now()
@@ -334,7 +334,7 @@
         if fingerprint and self.blame.record_success(fingerprint, now):
             self.blame_changed()
         if was_convicted:
-            self.crash_cleared(fingerprint)
+            self.on_quarantine_cleared(fingerprint)
 
     def saw(self, upstream_id: str, service: str, outcome: Outcome, seconds: float) -> None:
         """Take in how a request to an upstream went."""
