--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -197,7 +197,7 @@
     return per_s * min(1.0, heard / max(1, lately))
 
 
-class DeniedBook:
+class DenialTracker:
     """Remember, for one that asks, when it may ask again."""
 
     def __init__(self) -> None:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -11,7 +11,7 @@
 from driftstall.decisions.permits import (
     LAPSE_S,
     Denial,
-    DeniedBook,
+    DenialTracker,
     ReturnTimes,
     SendNeed,
     Verdict,
@@ -47,7 +47,7 @@
         self._now = now
         self._pause = pause
         self._book = RateLimitBook()
-        self._denied = DeniedBook()
+        self._denied = DenialTracker()
         self._returns = ReturnTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
         """Asks who gives leave for an upstream; may wait for the answer."""
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -23,7 +23,7 @@
 from driftstall.decisions.permits import (
     Allowances,
     Denial,
-    DeniedBook,
+    DenialTracker,
     SendNeed,
     Verdict,
     heard_part,
@@ -115,7 +115,7 @@
         """Start knowing nobody else."""
         self.name = name
         self.allowances = Allowances()
-        self.denied = DeniedBook()
+        self.denied = DenialTracker()
         self.count = InstanceCount()
         self.slots = ColdSlots(source)
         self.live: set[str] = {name}
