--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -31,7 +31,7 @@
 MIN_LINK_MBPS: Final = 50
 """A collector sends its zone some megabits a second; a weaker link is chosen last."""
 COLLECTOR_KEY: Final = "collectors"
-KEPT_REPORTS: Final = 40
+MAX_KEPT_REPORTS: Final = 40
 """Own reports remembered until a summary has taken them in."""
 
 
@@ -116,7 +116,7 @@
     def __init__(self) -> None:
         """Start with no report."""
         self._reports: deque[tuple[int, tuple[Use, ...], tuple[RepeatCount, ...]]] = deque(
-            maxlen=KEPT_REPORTS
+            maxlen=MAX_KEPT_REPORTS
         )
         self._number = 0
 
