--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -81,7 +81,7 @@
         step: FinalCopy | None = moving.wait(timeout=max(0.0, run.final_copy_deadline - now))
         return step
 
-    def log_no_copy(self, run: StreamRun, cause: str) -> None:
+    def log_no_replica(self, run: StreamRun, cause: str) -> None:
         """Log why a stream does not go on elsewhere, with what decided it."""
         making_s = run.making_s
         log_event(
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -43,7 +43,7 @@
                 run.exchange.close()
             copy = self._take_copy(run)
             if copy is None:
-                self._work.replicas.log_no_copy(run, cause)
+                self._work.replicas.log_no_replica(run, cause)
                 return None
             if not self._await_cold(copy.upstream):
                 continue
