--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -50,7 +50,7 @@
 """How long the first rank waits before a lower rank is asked to yield."""
 YIELD_SPACING_S: Final = 1.0
 """Seconds between two yields asked of one runner."""
-SILENCE_S: Final = 15.0
+GRANT_TIMEOUT_S: Final = 15.0
 """A grant of which its entry says nothing for so long has ended; its close was lost."""
 SILENCE_CHECK_S: Final = 1.0
 MAX_PENDING_PREFILL: Final = 16_000
@@ -263,7 +263,7 @@
             return
         self._last_silence_check_at = now
         for request_id, grant in list(self._grants.items()):
-            if now - grant.last_report_at >= SILENCE_S:
+            if now - grant.last_report_at >= GRANT_TIMEOUT_S:
                 self._apply(Close(self.group, request_id, 0, finished=False), now)
 
     # Admission
