--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -79,7 +79,7 @@
             log_event(
                 PREFIX_ROUTING, f"The platform keeps {len(told)} requests that crash upstreams"
             )
-            self._state.blame_changed()
+            self._state.on_poison_evidence_changed()
 
     def _keep(self, fingerprint: str) -> None:
         """Write what is known now."""
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -152,7 +152,7 @@
         )
         self.state.on_quarantine_cleared = self._crash_keeper.cleared
         self.state.broke = watch.broke
-        self.state.blame_changed = self._peering.publish_poison_evidence
+        self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
         self._upstream_pace = self._fleet_pace()
         policy_pace = RevisionWatchPacing(
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -97,7 +97,7 @@
         """Takes an engine at which a stream broke off unexpectedly."""
         self.broke: Callable[[Upstream, BrokenRun], None] = _ignore_run
         """Takes a run that broke off though its upstream was to stay."""
-        self.blame_changed: Callable[[], None] = _tell_nobody
+        self.on_poison_evidence_changed: Callable[[], None] = _tell_nobody
         """Has peers told which requests ran beside crashes."""
         self.on_store_era: Callable[[int], None] = _ignore_era
         """Takes an era that a peer knows of the platform's store."""
@@ -332,7 +332,7 @@
         now = self.now()
         was_convicted = self.blame.verdict(fingerprint, now).is_poison
         if fingerprint and self.blame.record_success(fingerprint, now):
-            self.blame_changed()
+            self.on_poison_evidence_changed()
         if was_convicted:
             self.on_quarantine_cleared(fingerprint)
 
