--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -218,7 +218,7 @@
             del self._again_at[upstream_id]
 
 
-class ReturnTimes:
+class RetryTimes:
     """Tell callers that an instance turns away when it is their turn, each a time of its own."""
 
     def __init__(self) -> None:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -12,7 +12,7 @@
     LAPSE_S,
     Denial,
     DenialTracker,
-    ReturnTimes,
+    RetryTimes,
     SendNeed,
     Verdict,
 )
@@ -48,7 +48,7 @@
         self._pause = pause
         self._book = RateLimitBook()
         self._denied = DenialTracker()
-        self._returns = ReturnTimes()
+        self._returns = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
         """Asks who gives leave for an upstream; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _nobody_to_charge
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies
 
 from driftstall.decisions import permits
-from driftstall.decisions.permits import Allowance, Denial, Permit, ReturnTimes, SendNeed
+from driftstall.decisions.permits import Allowance, Denial, Permit, RetryTimes, SendNeed
 from driftstall.decisions.rate_limits import UNKNOWN_KEPT_S, RateLimitBook
 from features.worlds import permit_world
 from features.worlds.permit_world import (
@@ -312,7 +312,7 @@
 @given("an instance whose part of a service's limits is {per_s:g} a second")
 def part(context: Any, per_s: float) -> None:
     """Keep it."""
-    context.returns, context.part = ReturnTimes(), per_s
+    context.returns, context.part = RetryTimes(), per_s
 
 
 @when("{count:d} callers are turned away at once, and it may ask again in {first:g} s")
