--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -99,7 +99,7 @@
     return (one.link_mbps < MIN_LINK_MBPS, -weight(COLLECTOR_KEY, one.instance_id))
 
 
-def summed(counts: Iterable[RepeatCount]) -> tuple[RepeatCount, ...]:
+def sum_by_service(counts: Iterable[RepeatCount]) -> tuple[RepeatCount, ...]:
     """Return the counts of many instances, added up by service."""
     sums: dict[str, RepeatCount] = {}
     for count in counts:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -16,7 +16,7 @@
 from driftstall.const import PREFIX_MEMBERSHIP
 from driftstall.core import Instance
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import FleetRoles, OwnReports, summed
+from driftstall.gateway.collectors import FleetRoles, OwnReports, sum_by_service
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX
 from driftstall.gateway.shared_budget import RepeatCount
 from driftstall.gateway.state import GatewayState
@@ -218,7 +218,7 @@
             len(fresh) + 1,
             self._own_ready() + tuple(one.report.sender for one in fresh if one.report.ready),
             self._state.loads.all_sums(self._state.now(), pooled=False),
-            summed([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
+            sum_by_service([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
             self._state.cordons.told,
             self._state.rate_limiting.told,
             self._state.eras.era,
@@ -241,7 +241,7 @@
             len(fresh) + 1 + sum(zone.instances for zone in zones),
             tuple(sorted(ready.union(self._own_ready()))),
             self._state.loads.all_sums(self._state.now()),
-            summed(counts),
+            sum_by_service(counts),
             tuple(ReportAck(one.report.sender, one.report.number) for one in fresh),
             self._state.cordons.told,
             self._state.rate_limiting.told,
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -9,7 +9,7 @@
 
 from driftstall.core import Instance
 from driftstall.decisions.instance_count import InstanceCount
-from driftstall.gateway.collectors import FleetRoles, OwnReports, is_large, summed
+from driftstall.gateway.collectors import FleetRoles, OwnReports, is_large, sum_by_service
 from driftstall.gateway.loads import FLEET_KEY, Use
 from driftstall.gateway.model import Bounds
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
@@ -99,7 +99,7 @@
 @when('a summary that has taken in its first report tells of 1500 tokens on "u1"')
 def summary(context: Any) -> None:
     """Read a summary."""
-    counts = summed([RepeatCount("s", 10, 1), RepeatCount("s", 5, 2)])
+    counts = sum_by_service([RepeatCount("s", 10, 1), RepeatCount("s", 5, 2)])
     context.others = context.reports.others(context.number, (Use("u1", 3, 1500),), counts)
 
 
