--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -26,7 +26,7 @@
         self._mover = mover
         self._history = history
 
-    def take(self, run: StreamRun, left_s: float) -> ReplicaRef | None:
+    def take_replica(self, run: StreamRun, left_s: float) -> ReplicaRef | None:
         """Return the copy to go on at, and hold it no longer: a copy serves once.
 
         The newest comes first: that of a move, then the one that the run's engine keeps
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -74,7 +74,7 @@
     def _take_copy(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy to go on at; where all engines with one back off, wait for the first."""
         state, deferred = self._work.state, []
-        while (copy := self._work.replicas.take(run, self._work.left())) is not None:
+        while (copy := self._work.replicas.take_replica(run, self._work.left())) is not None:
             if not state.backoff_s(copy.upstream):
                 return copy
             deferred.append(copy)
