--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -52,7 +52,7 @@
 """Seconds between two yields asked of one runner."""
 GRANT_TIMEOUT_S: Final = 15.0
 """A grant of which its entry says nothing for so long has ended; its close was lost."""
-SILENCE_CHECK_S: Final = 1.0
+GRANT_TIMEOUT_CHECK_S: Final = 1.0
 MAX_PENDING_PREFILL: Final = 16_000
 """Prefill tokens granted and not done on one runner, in tokens."""
 LEARNING_EVENTS: Final = (Progress, CacheEvents, RunnerReport)
@@ -259,7 +259,7 @@
     def _(self, event: Tick, now: float) -> None:
         """Let time pass: renew forecasts, end grants whose entry has long been silent."""
         self._registry.refresh_due(now)
-        if now - self._last_silence_check_at < SILENCE_CHECK_S:
+        if now - self._last_silence_check_at < GRANT_TIMEOUT_CHECK_S:
             return
         self._last_silence_check_at = now
         for request_id, grant in list(self._grants.items()):
