--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -122,7 +122,7 @@
             state.blame, self.own.instance_id, others, now=state.now, source=state.source
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
-        state.ask_place = self._placer.place
+        state.request_placement = self._placer.place
         self._permits = Permits(
             self.own.instance_id,
             state.rate_limiting,
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -136,7 +136,7 @@
             taken_anyway,
             self._state.settings.zone,
         )
-        given = self._state.ask_place(asked)
+        given = self._state.request_placement(asked)
         upstream = self._state.fleet.find(given.upstream_id) if given else None
         if given is None or upstream is None or self._state.backoff_s(upstream):
             return self._choose_here(need, avoid, taken_anyway=taken_anyway)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -91,7 +91,7 @@
         self.notice_at = float("-inf")
         """When an upstream was last known to be leaving."""
         self.open_requests = 0
-        self.ask_place: Callable[[PlacementAsked], PlacementGiven | None] = _place_here
+        self.request_placement: Callable[[PlacementAsked], PlacementGiven | None] = _place_here
         """Asks who places streams for the zone; None where this instance is to choose."""
         self.suspect: Callable[[Upstream], None] = _ignore
         """Takes an engine at which a stream broke off unexpectedly."""
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -274,7 +274,7 @@
     placer = StreamPlacer(
         world.state, roles=lambda: roles, send=lambda _, message: context.sent.append(message)
     )
-    world.state.ask_place = placer.place
+    world.state.request_placement = placer.place
 
 
 @then("the placer was asked once")
@@ -293,7 +293,7 @@
     def place(asked: PlacementAsked) -> PlacementGiven:
         return PlacementGiven(PLACER, asked.request_id, leaving.upstream_id, "", True)
 
-    world.state.ask_place = place
+    world.state.request_placement = place
 
 
 @then('"{request_id}" did not run on the engine that is leaving')
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -224,6 +224,6 @@
     def ask(asked: PlacementAsked) -> None:
         questions.append(asked)
 
-    world.state.ask_place = ask
+    world.state.request_placement = ask
     assert world.ask("/stream/a", "s1").status == 200
     assert questions and context.backing_off.upstream_id in questions[0].avoid, questions
