--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -46,7 +46,7 @@
     at: float
 
 
-class RateLimitBook:
+class RateLimitTracker:
     """Hold what upstreams have named, by their answers here and by peers."""
 
     def __init__(self) -> None:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -16,7 +16,7 @@
     SendNeed,
     Verdict,
 )
-from driftstall.decisions.rate_limits import RateLimit, RateLimitBook
+from driftstall.decisions.rate_limits import RateLimit, RateLimitTracker
 from driftstall.helpers.log import log_event
 
 Option = TypeVar("Option")
@@ -46,7 +46,7 @@
         self._instances = instances
         self._now = now
         self._pause = pause
-        self._book = RateLimitBook()
+        self._book = RateLimitTracker()
         self._denied = DenialTracker()
         self._returns = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -14,7 +14,7 @@
 
 from driftstall.decisions import permits
 from driftstall.decisions.permits import Allowance, Denial, Permit, RetryTimes, SendNeed
-from driftstall.decisions.rate_limits import UNKNOWN_KEPT_S, RateLimitBook
+from driftstall.decisions.rate_limits import UNKNOWN_KEPT_S, RateLimitTracker
 from features.worlds import permit_world
 from features.worlds.permit_world import (
     UPSTREAM,
@@ -200,7 +200,7 @@
         )
     )
     def orders(events: list[tuple[int, int, float | None]]) -> None:
-        books = [RateLimitBook() for _ in range(count)]
+        books = [RateLimitTracker() for _ in range(count)]
         now = 0.0
         for one, other, per_s in events:
             now += 0.1
@@ -228,7 +228,7 @@
 @given("a limit of {per_s:g} a second that was learned at {at:g} s")
 def learned(context: Any, per_s: float, at: float) -> None:
     """Let an answer name it."""
-    context.book = RateLimitBook()
+    context.book = RateLimitTracker()
     assert context.book.answered(UPSTREAM, per_s, at - 0.1, at)
 
 
