--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -110,7 +110,7 @@
     return tuple(sums.values())
 
 
-class OwnReports:
+class OwnReportHistory:
     """Remember what was reported, so that a summary can be read without the own part."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -16,7 +16,7 @@
 from driftstall.const import PREFIX_MEMBERSHIP
 from driftstall.core import Instance
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.gateway.collectors import FleetRoles, OwnReports, sum_by_service
+from driftstall.gateway.collectors import FleetRoles, OwnReportHistory, sum_by_service
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX
 from driftstall.gateway.shared_budget import RepeatCount
 from driftstall.gateway.state import GatewayState
@@ -97,7 +97,7 @@
         self._summary: FleetSummary | None = None
         self._summary_at = float("-inf")
         self._reported_at = float("-inf")
-        self._reports = OwnReports()
+        self._reports = OwnReportHistory()
 
     def start(self) -> None:
         """Start to report."""
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -9,7 +9,7 @@
 
 from driftstall.core import Instance
 from driftstall.decisions.instance_count import InstanceCount
-from driftstall.gateway.collectors import FleetRoles, OwnReports, is_large, sum_by_service
+from driftstall.gateway.collectors import FleetRoles, OwnReportHistory, is_large, sum_by_service
 from driftstall.gateway.loads import FLEET_KEY, Use
 from driftstall.gateway.model import Bounds
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
@@ -91,7 +91,7 @@
 @given('an instance that reported 700 tokens on "u1" and then 900')
 def two_reports(context: Any) -> None:
     """Report twice."""
-    context.reports = OwnReports()
+    context.reports = OwnReportHistory()
     context.number = context.reports.add((Use("u1", 1, 700),), ())
     context.reports.add((Use("u1", 1, 900),), ())
 
