--- a/driftstall/gateway/resumption.py
+++ b/driftstall/gateway/resumption.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
-MOVE_WAIT_S: Final = 2.0
+FINAL_COPY_TIMEOUT_S: Final = 2.0
 """How long a stopped run waits for the answer of its last move."""
 
 
@@ -77,7 +77,7 @@
         """Wait for the end of the last step, once for each run; None where it is late."""
         now = self._state.now()
         if run.final_copy_deadline is None:
-            run.final_copy_deadline = now + min(MOVE_WAIT_S, left_s)
+            run.final_copy_deadline = now + min(FINAL_COPY_TIMEOUT_S, left_s)
         step: FinalCopy | None = moving.wait(timeout=max(0.0, run.final_copy_deadline - now))
         return step
 
