--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -12,7 +12,7 @@
 from driftstall.decisions.prefixes import PrefixModel
 from driftstall.decisions.routing import PREFILL_TOKENS_PER_S
 
-UNEXPLAINED_SHARE: Final = 0.1
+MIN_UNACCOUNTED_SHARE: Final = 0.1
 """Share of the memory under which a difference is taken for the report's lag."""
 
 
@@ -121,5 +121,5 @@
         known = sum(one.held_tokens for one in self.grants.values() if not one.paused)
         unexplained = max(0.0, used - known - self.pending_prefill)
         self.unaccounted_tokens = (
-            unexplained if unexplained >= UNEXPLAINED_SHARE * self.memory else 0.0
+            unexplained if unexplained >= MIN_UNACCOUNTED_SHARE * self.memory else 0.0
         )
