--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -196,7 +196,7 @@
                 run = BrokenRun(
                     self._admitted.marks.request_id, self._admitted.fingerprint, under_way=False
                 )
-                self._state.broke(upstream, run)
+                self._state.on_run_broken(upstream, run)
             tries.failure = result
             return None
         if outcome is Outcome.GOOD:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -151,7 +151,7 @@
             convicted=self._crash_keeper.convicted,
         )
         self.state.on_quarantine_cleared = self._crash_keeper.cleared
-        self.state.broke = watch.broke
+        self.state.on_run_broken = watch.broke
         self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
         self._upstream_pace = self._fleet_pace()
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -95,7 +95,7 @@
         """Asks who places streams for the zone; None where this instance is to choose."""
         self.suspect: Callable[[Upstream], None] = _ignore
         """Takes an engine at which a stream broke off unexpectedly."""
-        self.broke: Callable[[Upstream, BrokenRun], None] = _ignore_run
+        self.on_run_broken: Callable[[Upstream, BrokenRun], None] = _ignore_run
         """Takes a run that broke off though its upstream was to stay."""
         self.on_poison_evidence_changed: Callable[[], None] = _tell_nobody
         """Has peers told which requests ran beside crashes."""
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -79,7 +79,7 @@
             return
         under_way = run.making_s is not None and run.making_s >= UNDER_WAY_S
         broken = BrokenRun(run.request_id, self.admitted.fingerprint, under_way)
-        self.state.broke(run.upstream, broken)
+        self.state.on_run_broken(run.upstream, broken)
 
     def saw(self, run: StreamRun, outcome: Outcome) -> None:
         """Take in how the upstream did; the time of a stream says nothing of it."""
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -66,7 +66,7 @@
         convicted=context.convicted.append,
     )
     context.watch = watch
-    world.state.broke = watch.broke
+    world.state.on_run_broken = watch.broke
     context.answers = {}
 
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -190,7 +190,7 @@
         changed=lambda: None,
         convicted=lambda _: None,
     )
-    world.state.broke = watch.broke
+    world.state.on_run_broken = watch.broke
 
 
 @then("its engine takes no requests")
