--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -11,7 +11,7 @@
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.membership_service import MembershipService
 from driftstall.decisions.instance_count import InstanceCount
-from driftstall.decisions.permits import heard_part
+from driftstall.decisions.permits import scaled_limit
 from driftstall.helpers.permits import Permits
 from driftstall.helpers.rate_limiting import RateLimiting
 from driftstall.peers.permit_messages import (
@@ -64,7 +64,7 @@
         per_s = self.limits.per_s(runner_id)
         if per_s is None:
             return None
-        return heard_part(per_s, len(self._members.live), self._count.value)
+        return scaled_limit(per_s, len(self._members.live), self._count.value)
 
     def _tend(self) -> None:
         """Look at who lives, and for which runners this instance is asked."""
--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -189,7 +189,7 @@
         return self._allowances.get(upstream_id)
 
 
-def heard_part(per_s: float, heard: int, lately: int) -> float:
+def scaled_limit(per_s: float, heard: int, lately: int) -> float:
     """Return the part of a limit for one that hears of so many of the instances known lately.
 
     Both sides of a cut stay below the limit together.
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -11,7 +11,7 @@
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
 from driftstall.decisions.locate import owner_of
-from driftstall.decisions.permits import Allowances, Denial, Permit, SendNeed, Verdict, heard_part
+from driftstall.decisions.permits import Allowances, Denial, Permit, SendNeed, Verdict, scaled_limit
 from driftstall.decisions.rate_limits import RateLimit
 from driftstall.helpers.log import log_event
 from driftstall.helpers.rate_limiting import RateLimiting
@@ -140,4 +140,4 @@
         per_s = self._limits.per_s(upstream_id)
         if per_s is None:
             return None
-        return heard_part(per_s, len(self._live()), self._limits.instances)
+        return scaled_limit(per_s, len(self._live()), self._limits.instances)
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -26,7 +26,7 @@
     DenialTracker,
     SendNeed,
     Verdict,
-    heard_part,
+    scaled_limit,
 )
 from driftstall.helpers.permits import SILENT_S
 
@@ -229,7 +229,7 @@
 
     def _verdict(self, owner: _Member, need: SendNeed) -> Verdict:
         """Return what the one that was asked says."""
-        per_s = heard_part(self._limit, len(owner.live), owner.count.value)
+        per_s = scaled_limit(self._limit, len(owner.live), owner.count.value)
         return owner.allowances.ask(UPSTREAM, need, per_s, self._now)
 
     def _take(self, member: _Member, verdict: Verdict, rank: int) -> None:
