--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -47,7 +47,7 @@
     """Whether this instance follows the platform whatever others say."""
     own_collectors: tuple[Instance, ...] = ()
     """The collectors of this instance's zone, best first, itself left out."""
-    far_collectors: tuple[Instance, ...] = ()
+    remote_collectors: tuple[Instance, ...] = ()
     """The collectors of the other zones."""
     zone_members: tuple[Instance, ...] = ()
     """The other instances of this zone that do not collect."""
@@ -73,7 +73,7 @@
             collects=any(one.instance_id == own.instance_id for one in of_zone),
             follows=own.instance_id in followers,
             own_collectors=tuple(one for one in of_zone if one.instance_id != own.instance_id),
-            far_collectors=tuple(
+            remote_collectors=tuple(
                 one for zone, some in sorted(chosen.items()) if zone != own.zone for one in some
             ),
             zone_members=tuple(
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -226,7 +226,7 @@
         if not roles.large:
             return self._members.live
         if roles.collects:
-            return (*roles.zone_members, *roles.own_collectors, *roles.far_collectors)
+            return (*roles.zone_members, *roles.own_collectors, *roles.remote_collectors)
         return roles.own_collectors
 
     def _run_periods(self) -> None:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -202,7 +202,7 @@
         roles = self._roles()
         if not roles.collects:
             return
-        self._broadcast(roles.far_collectors, self._zone_summary())
+        self._broadcast(roles.remote_collectors, self._zone_summary())
         self._broadcast(roles.zone_members, self._fleet_summary())
 
     def _zone_summary(self) -> ZoneSummary:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -148,7 +148,7 @@
         news = UpstreamNews(self._own_id, action.upstream, leaving)
         self._broadcast((*roles.zone_members, *roles.own_collectors), news)
         if not from_peer:
-            self._broadcast(roles.far_collectors, news)
+            self._broadcast(roles.remote_collectors, news)
 
     def publish_routing(self, *, from_peer: bool) -> None:
         """Send the routing document in force to the zone, and to other collectors if it is new."""
@@ -156,7 +156,7 @@
         if not roles.collects:
             return
         version, text = self._intake.routing()
-        others = () if from_peer else (*roles.own_collectors, *roles.far_collectors)
+        others = () if from_peer else (*roles.own_collectors, *roles.remote_collectors)
         offered = RoutingOffered(self._own_id, version, text)
         self._broadcast((*roles.zone_members, *others), offered)
 
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -53,9 +53,11 @@
         assert roles.large
         of_zone = ids(roles.own_collectors) | ({own.instance_id} if roles.collects else set())
         assert context.collectors.setdefault(own.zone, of_zone) == of_zone
-        assert len(of_zone) == 2 and len(roles.far_collectors) == 4, roles
+        assert len(of_zone) == 2 and len(roles.remote_collectors) == 4, roles
         assert not ids(roles.zone_members) & of_zone
-        assert all(one.link_mbps == 100 for one in (*roles.own_collectors, *roles.far_collectors))
+        assert all(
+            one.link_mbps == 100 for one in (*roles.own_collectors, *roles.remote_collectors)
+        )
 
 
 @then("3 of them follow the platform, of 3 zones")
@@ -83,7 +85,7 @@
     gone, stays = sorted(context.collectors["a"])
     left = [one for one in context.fleet if one.instance_id != gone]
     observer = next(one for one in left if one.zone == "b")
-    of_a = {one.instance_id for one in FleetRoles.from_fleet(observer, left).far_collectors}
+    of_a = {one.instance_id for one in FleetRoles.from_fleet(observer, left).remote_collectors}
     of_a = {name for name in of_a if name in ids(one for one in left if one.zone == "a")}
     assert stays in of_a and len(of_a) == 2, of_a
 
