--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -18,7 +18,7 @@
 """Seconds of first-rank arrivals for which lower ranks leave room."""
 MAX_HEADROOM: Final = 0.15
 """Share of a runner's memory that headroom takes at most."""
-FIRST_HELD: Final = 1_500.0
+INITIAL_FIRST_RANK_TOKENS: Final = 1_500.0
 """Tokens that a first-rank request is taken to hold before any was seen."""
 LEARNING_RATE: Final = 0.02
 
@@ -36,7 +36,7 @@
         self.runners: dict[str, RunnerState] = {}
         self._leaving: dict[str, RunnerState] = {}
         self._first_arrivals = ServiceRate()
-        self._first_held = FIRST_HELD
+        self._first_held = INITIAL_FIRST_RANK_TOKENS
 
     def add_runner(self, runner_id: str, memory: int, zone: str, now: float) -> None:
         """Take a runner in, or back with what still runs there."""
