--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -154,7 +154,7 @@
         failed = isinstance(result, MoveFailed)
         self._state.stats.moves_failed += failed
         if isinstance(result, MoveFailed) and result.target_refused:
-            self._state.suspect(target)
+            self._state.on_upstream_suspected(target)
         outcome = result.detail if isinstance(result, MoveFailed) else "done"
         step = "moved" if last else "copied"
         log_event(
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -141,7 +141,7 @@
             doubt=self._upstreams.doubted,
             tell=self._peering.publish_suspicion,
         )
-        self.state.suspect = self._inquiry.suspect
+        self.state.on_upstream_suspected = self._inquiry.suspect
         self.state.signals.leaving = self._signalled_leaving
         self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -93,7 +93,7 @@
         self.open_requests = 0
         self.request_placement: Callable[[PlacementAsked], PlacementGiven | None] = _place_here
         """Asks who places streams for the zone; None where this instance is to choose."""
-        self.suspect: Callable[[Upstream], None] = _ignore
+        self.on_upstream_suspected: Callable[[Upstream], None] = _ignore
         """Takes an engine at which a stream broke off unexpectedly."""
         self.on_run_broken: Callable[[Upstream, BrokenRun], None] = _ignore_run
         """Takes a run that broke off though its upstream was to stay."""
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -94,7 +94,7 @@
             tries.detail = str(result)
             if work.state.can_start_on(run.upstream, work.history.sent_to):
                 work.saw(run, Outcome.UNREACHABLE)
-                work.state.suspect(run.upstream)
+                work.state.on_upstream_suspected(run.upstream)
         work.drop(run)
         tries.avoid.add(run.upstream.upstream_id)
         return None
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -75,7 +75,7 @@
             return
         if isinstance(fault, TimeoutError):
             # What is silent has not ended; it may leave, or be cut off.
-            self.state.suspect(run.upstream)
+            self.state.on_upstream_suspected(run.upstream)
             return
         under_way = run.making_s is not None and run.making_s >= UNDER_WAY_S
         broken = BrokenRun(run.request_id, self.admitted.fingerprint, under_way)
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -183,7 +183,7 @@
     """Have the relays' suspicions, and what breaks off, followed up."""
     world = world_of(context)
     inquiry = inquiry_of(world)
-    world.state.suspect = inquiry.suspect
+    world.state.on_upstream_suspected = inquiry.suspect
     watch = CrashDetector(
         world.state,
         gone=lambda upstream: inquiry.take_bad(upstream, ReportedState.GONE),
