--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -81,7 +81,7 @@
 class Denial:
     """Refuse a send, and say when to ask again."""
 
-    again_s: float
+    retry_in_s: float
 
 
 Verdict = Permit | Denial
@@ -206,9 +206,9 @@
 
     def denied(self, upstream_id: str, denial: Denial, now: float) -> None:
         """Take in a denial."""
-        self._again_at[upstream_id] = now + denial.again_s
+        self._again_at[upstream_id] = now + denial.retry_in_s
 
-    def again_s(self, upstream_id: str, now: float) -> float:
+    def retry_in_s(self, upstream_id: str, now: float) -> float:
         """Return how long not to ask for an upstream; zero for now."""
         return max(0.0, self._again_at.get(upstream_id, now) - now)
 
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -101,7 +101,7 @@
         need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
         verdict = self._give(asked.limit.upstream_id, need)
         allowed = isinstance(verdict, Permit)
-        wait_s = verdict.wait_s if isinstance(verdict, Permit) else verdict.again_s
+        wait_s = verdict.wait_s if isinstance(verdict, Permit) else verdict.retry_in_s
         given = PermitGiven(self._own_id, asked.number, allowed, int(wait_s * MS))
         self._send(asked.sender, given)
 
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -111,7 +111,7 @@
         return frozenset(
             one
             for one in upstream_ids
-            if self.is_limited(one) and self._denied.again_s(one, now) > most_wait_s
+            if self.is_limited(one) and self._denied.retry_in_s(one, now) > most_wait_s
         )
 
     def patience_s(self, upstream_ids: Iterable[str], most_wait_s: float) -> float:
@@ -191,7 +191,7 @@
         """
         now = self._now()
         ids = list(upstream_ids)
-        first_s = min((self._denied.again_s(one, now) for one in ids), default=0.0)
+        first_s = min((self._denied.retry_in_s(one, now) for one in ids), default=0.0)
         limits = [self._book.per_s(one) or 0.0 for one in ids]
         part = sum(limits) / max(1, self.instances)
         retry_s = self._returns.next_s(service, first_s, part, now)
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -206,7 +206,7 @@
                 member.slots.take(UPSTREAM, part)
                 self._send(rank, 0.0)
             return
-        if member.denied.again_s(UPSTREAM, self._now) > self._load.most_wait_s:
+        if member.denied.retry_in_s(UPSTREAM, self._now) > self._load.most_wait_s:
             return
         need = SendNeed(self._load.most_wait_s, rank)
         owner = self._members[self._owner(member)]
