--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -128,7 +128,7 @@
         entry = self._find(event.upstream_id)
         if entry is None or not entry.is_listed:
             return
-        entry.doubted_until = now + SUSPICION_S
+        entry.suspected_until = now + SUSPICION_S
         if entry.leaving_since is None:
             entry.leaving_since = now
             self._actions.append(UpstreamLeaving(entry.upstream, doubted=True))
@@ -172,7 +172,7 @@
             if missing is not None and not (self._in_grace(now) or self._in_doubt(now)):
                 self._leave(entry, now)
                 self._add_tombstone(entry.upstream, entry.upstream.revision, now)
-            elif entry.doubted_until is not None and now >= entry.doubted_until:
+            elif entry.suspected_until is not None and now >= entry.suspected_until:
                 self._rejoin(entry)
         self._forget(now)
 
@@ -297,7 +297,7 @@
         The time to drain runs from the notice, not from when this instance learned of it: what
         it learns after a silence may be as old as that.
         """
-        entry.doubted_until = None
+        entry.suspected_until = None
         entry.is_listed = False
         if entry.leaving_since is None:
             entry.leaving_since = since
@@ -305,14 +305,14 @@
 
     def _drain(self, entry: Entry, since: float) -> None:
         """Mark an upstream as leaving by its own signal, whatever the platform's list holds."""
-        entry.doubted_until = None
+        entry.suspected_until = None
         if entry.leaving_since is None:
             entry.leaving_since = since
             self._actions.append(UpstreamLeaving(entry.upstream, signalled=True))
 
     def _rejoin(self, entry: Entry) -> None:
         """Let an upstream take requests again, unless it has signalled itself that it leaves."""
-        entry.doubted_until = None
+        entry.suspected_until = None
         entry.is_listed = True
         if self.has_signalled_leaving(entry.upstream.upstream_id):
             return
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -23,7 +23,7 @@
     leaving_since: float | None = None
     missing_since: float | None = None
     """Set while its entry may only have lapsed during an outage."""
-    doubted_until: float | None = None
+    suspected_until: float | None = None
     """Set while it counts as leaving by its own word alone."""
     is_listed: bool = True
     """Whether it takes requests by the platform's word."""
@@ -89,7 +89,7 @@
     @property
     def has_suspects(self) -> bool:
         """Tell whether an upstream counts as leaving of which the platform has not told so."""
-        return any(entry.doubted_until is not None for entry in self._entries.values())
+        return any(entry.suspected_until is not None for entry in self._entries.values())
 
     def ready(self, service: str) -> tuple[Upstream, ...]:
         """Return the upstreams of a service that take requests."""
