--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -10,7 +10,7 @@
 from driftstall.decisions.memory import Hold, hold_of, total
 from driftstall.decisions.retry_schedule import ServiceRate
 
-REFRESH_S: Final = 0.25
+REFRESH_INTERVAL_S: Final = 0.25
 """Ticks renew a runner's forecast this often."""
 STALE_S: Final = 1.0
 """An older forecast is renewed even within a decision."""
@@ -92,7 +92,7 @@
     def refresh_due(self, now: float) -> None:
         """Renew the forecasts that are old enough."""
         for runner in self.runners.values():
-            if now - runner.forecast_at >= REFRESH_S:
+            if now - runner.forecast_at >= REFRESH_INTERVAL_S:
                 self._refresh(runner, now)
 
     def add(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
