--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -107,7 +107,7 @@
         """Tell the books which engine holds a copy, before others choose the same one."""
         if run.replica_target is not target and not run.ended:
             run.replica_target = target
-            self._state.account(run)
+            self._state.record_run_load(run)
 
     def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
         """Stop the run and copy what is left; its relay goes on with the result."""
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -77,7 +77,7 @@
             return None
         run = StreamRun(self._call, self._admitted, self._request, place.upstream)
         run.backup = place.backup
-        self._state.account(run)
+        self._state.record_run_load(run)
         self._log_placed(run, place)
         return run
 
@@ -97,7 +97,7 @@
         next_run.last_event_at = run.last_event_at
         need = TokenRequirement(run.held_tokens, max(0, self._expected_tokens() - run.tokens))
         next_run.backup = self._choose_backup(copy.upstream, need, has_run_at)
-        self._state.account(next_run)
+        self._state.record_run_load(next_run)
         return next_run
 
     def _wait_for_room(
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -295,7 +295,7 @@
             learned = learned ** (1 - HINT_WEIGHT) * hint**HINT_WEIGHT
         return int(learned)
 
-    def account(self, run: StreamRun) -> None:
+    def record_run_load(self, run: StreamRun) -> None:
         """Tell the books, and soon the peers, what a stream takes now."""
         marks = run.admitted.marks
         left = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -201,7 +201,7 @@
         run.tokens += events * self._work.placement.engine.event_tokens
         self._state.lengths.progressed(self._work.request, before, run.tokens)
         if before == 0 or before // ACCOUNT_TOKENS != run.tokens // ACCOUNT_TOKENS:
-            self._state.account(run)
+            self._state.record_run_load(run)
 
     def _complete(self, run: StreamRun) -> bool:
         """End a whole stream."""
