--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -51,7 +51,7 @@
 """More urgent requests that get permits before a less urgent one may wait for as long as they."""
 URGENT_SEEN_S: Final = 2.0
 """How long a question counts by which more urgent requests are known to come."""
-LEAST_RETURN_S: Final = 0.1
+MIN_RETRY_S: Final = 0.1
 LONGEST_RETURN_S: Final = 5.0
 """Times that callers are told lie between these; most give up before a longer one."""
 LAPSE_S: Final = 0.3
@@ -233,4 +233,4 @@
         """
         at = max(self._told_until.get(service, now), now + first_s)
         self._told_until[service] = min(at + 1 / max(LEAST_PER_S, per_s), now + LONGEST_RETURN_S)
-        return max(LEAST_RETURN_S, at - now)
+        return max(MIN_RETRY_S, at - now)
