--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -75,7 +75,7 @@
         self._read = True
         self._told_to = max(self._told_to, event.at)
         listed = {one.name for one in event.upstreams}
-        since = now - event.unheard_s
+        since = now - event.store_silence_s
         for upstream in event.upstreams:
             self._put(upstream, now, since)
         for name in [one for one in self._entries if one not in listed]:
@@ -106,7 +106,7 @@
     @_on.register
     def _(self, event: Changed, now: float) -> None:
         upstream = event.upstream
-        since = now - event.unheard_s
+        since = now - event.store_silence_s
         self._at = max(self._at, upstream.revision)
         if not event.from_peer:
             self._told_to = max(self._told_to, upstream.revision)
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -15,7 +15,7 @@
     upstreams: tuple[Upstream, ...]
     at: StoreVersion = NO_VERSION
     """The platform's revision as of which it is the whole list."""
-    unheard_s: float = 0.0
+    store_silence_s: float = 0.0
     """For how long the platform had not answered before; what is new may be as old."""
 
 
@@ -36,7 +36,7 @@
     gone: bool
     from_peer: bool = False
     """Whether a peer tells it, whom the platform has answered all the time."""
-    unheard_s: float = 0.0
+    store_silence_s: float = 0.0
     """For how long the platform had not answered before; the change may be as old."""
 
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -242,7 +242,7 @@
 
     def changed(self, change: ItemChange[Upstream]) -> None:
         """Take in one change from the platform."""
-        self._apply(Changed(change.item, change.gone, unheard_s=self._silence()))
+        self._apply(Changed(change.item, change.gone, store_silence_s=self._silence()))
         self._pass_change(change)
 
     def told(self, change: ItemChange[Upstream]) -> None:
