--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -12,7 +12,7 @@
 
 REFRESH_INTERVAL_S: Final = 0.25
 """Ticks renew a runner's forecast this often."""
-STALE_S: Final = 1.0
+MAX_FORECAST_AGE_S: Final = 1.0
 """An older forecast is renewed even within a decision."""
 HEADROOM_S: Final = 2.0
 """Seconds of first-rank arrivals for which lower ranks leave room."""
@@ -72,7 +72,7 @@
 
     def hold(self, runner: RunnerState, now: float) -> Hold:
         """Return a runner's memory forecast; ticks keep it fresh, not decisions."""
-        if now - runner.forecast_at >= STALE_S:
+        if now - runner.forecast_at >= MAX_FORECAST_AGE_S:
             self._refresh(runner, now)
         return runner.hold
 
