--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -52,7 +52,7 @@
 URGENT_SEEN_S: Final = 2.0
 """How long a question counts by which more urgent requests are known to come."""
 MIN_RETRY_S: Final = 0.1
-LONGEST_RETURN_S: Final = 5.0
+MAX_RETRY_S: Final = 5.0
 """Times that callers are told lie between these; most give up before a longer one."""
 LAPSE_S: Final = 0.3
 """How long after its time a permit may be used."""
@@ -232,5 +232,5 @@
         service's upstreams take.
         """
         at = max(self._told_until.get(service, now), now + first_s)
-        self._told_until[service] = min(at + 1 / max(LEAST_PER_S, per_s), now + LONGEST_RETURN_S)
+        self._told_until[service] = min(at + 1 / max(LEAST_PER_S, per_s), now + MAX_RETRY_S)
         return max(MIN_RETRY_S, at - now)
