--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -141,7 +141,7 @@
                 )
                 self._sleep(DEFECT_PAUSE_S)
 
-    def list_again(self) -> None:
+    def request_relist(self) -> None:
         """Read the whole list with the next call."""
         self._lists_next = True
 
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -262,7 +262,7 @@
             self._cordon_follower,
             self._policy_follower,
         ):
-            follower.list_again()
+            follower.request_relist()
 
     def _gauges(self) -> dict[str, float]:
         """Return what has a value now, for the metrics page."""
