--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -16,7 +16,7 @@
 """An older forecast is renewed even within a decision."""
 HEADROOM_S: Final = 2.0
 """Seconds of first-rank arrivals for which lower ranks leave room."""
-MAX_HEADROOM: Final = 0.15
+MAX_HEADROOM_SHARE: Final = 0.15
 """Share of a runner's memory that headroom takes at most."""
 INITIAL_FIRST_RANK_TOKENS: Final = 1_500.0
 """Tokens that a first-rank request is taken to hold before any was seen."""
@@ -68,7 +68,7 @@
             return 0.0
         expected = self._first_arrivals.value(now) * HEADROOM_S * self._first_held
         least = min(one.memory for one in self.runners.values())
-        return min(expected / len(self.runners), MAX_HEADROOM * least)
+        return min(expected / len(self.runners), MAX_HEADROOM_SHARE * least)
 
     def hold(self, runner: RunnerState, now: float) -> Hold:
         """Return a runner's memory forecast; ticks keep it fresh, not decisions."""
