--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -188,7 +188,7 @@
         seconds = self._state.now() - started
         outcome = result.outcome if isinstance(result, Failure) else _outcome_of(result)
         if not self._caller_gone:
-            self._state.saw(upstream.upstream_id, upstream.service, outcome, seconds)
+            self._state.record_outcome(upstream.upstream_id, upstream.service, outcome, seconds)
         self._log_send(upstream, outcome, seconds, tries)
         if isinstance(result, Failure):
             tries.history.end(result.fate)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -336,7 +336,9 @@
         if was_convicted:
             self.on_quarantine_cleared(fingerprint)
 
-    def saw(self, upstream_id: str, service: str, outcome: Outcome, seconds: float) -> None:
+    def record_outcome(
+        self, upstream_id: str, service: str, outcome: Outcome, seconds: float
+    ) -> None:
         """Take in how a request to an upstream went."""
         if outcome is Outcome.UNREACHABLE:
             # It may be starting again, and is cold then before it can say so.
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -83,7 +83,7 @@
 
     def saw(self, run: StreamRun, outcome: Outcome) -> None:
         """Take in how the upstream did; the time of a stream says nothing of it."""
-        self.state.saw(run.upstream.upstream_id, run.upstream.service, outcome, 0.0)
+        self.state.record_outcome(run.upstream.upstream_id, run.upstream.service, outcome, 0.0)
 
     def drop(self, run: StreamRun) -> None:
         """Take a run off the books."""
