--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(slots=True)
-class RunBook:
+class RunRegistry:
     """Hold all open streams."""
 
     _runs: dict[str, StreamRun] = field(default_factory=dict)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -28,7 +28,7 @@
 from driftstall.gateway.model import GatewaySettings, Service, Upstream
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.routes import RouteTable
-from driftstall.gateway.runs import BrokenRun, RunBook, StreamRun
+from driftstall.gateway.runs import BrokenRun, RunRegistry, StreamRun
 from driftstall.gateway.selection import SAMPLE_SIZE, Option, Sampler
 from driftstall.gateway.shared_budget import RepeatCount, SharedRetryBudget
 from driftstall.gateway.stats import GatewayStats
@@ -65,7 +65,7 @@
         self.loads = LoadTable()
         self.outcomes = OutlierDetector()
         self.lengths = LearnedLengths()
-        self.runs = RunBook()
+        self.runs = RunRegistry()
         self.blame = PoisonTracker()
         self.stats = GatewayStats()
         self.source = random.Random()
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.fleet_events import Changed
 from driftstall.gateway.model import Bounds, UpstreamState
 from driftstall.gateway.protection import Protection
-from driftstall.gateway.runs import RunBook, StreamRun
+from driftstall.gateway.runs import RunRegistry, StreamRun
 from features.steps.gateway_stream_steps import memory_full
 from features.worlds.gateway_world import runs, script_all, wait_for, world_of
 from stand_ins.routed import Script
@@ -23,7 +23,7 @@
 """Looks for streams at a notice: for its log line, for those with a copy, for the others."""
 
 
-class CountingBook(RunBook):
+class CountingBook(RunRegistry):
     """Count how often the streams of an engine are looked for."""
 
     looked = 0
