--- a/driftstall/decisions/upstream_backoff.py
+++ b/driftstall/decisions/upstream_backoff.py
@@ -16,7 +16,7 @@
 MAX_BACKOFF_S: Final = 300.0
 RETURN_SPREAD_S: Final = 1.0
 """Time over which refused callers return."""
-LEAST_RETURN_S: Final = 0.05
+MIN_RETRY_S: Final = 0.05
 CALLS_PER_SLOT_S: Final = 4.0
 """Calls a second that a place of an upstream is assumed to serve."""
 
@@ -66,4 +66,4 @@
         if not first_at <= at <= first_at + RETURN_SPREAD_S:
             at = first_at
         self._last[service] = at
-        return max(LEAST_RETURN_S, at - now)
+        return max(MIN_RETRY_S, at - now)
