--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -146,7 +146,7 @@
         self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
             self.state,
-            gone=lambda upstream: self._inquiry.take_bad(upstream, ReportedState.GONE),
+            gone=lambda upstream: self._inquiry.handle_bad_state(upstream, ReportedState.GONE),
             changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
         )
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -94,9 +94,9 @@
         self._state.rate_limiting.charge(upstream.upstream_id)
         word = self._state.dialect.probe_state(upstream)
         if word.is_unavailable:
-            self.take_bad(upstream, word)
+            self.handle_bad_state(upstream, word)
 
-    def take_bad(self, upstream: Upstream, word: ReportedState) -> None:
+    def handle_bad_state(self, upstream: Upstream, word: ReportedState) -> None:
         """Send an engine nothing new for a while, and have the others do the same."""
         engine_id, now = upstream.upstream_id, self._state.now()
         self._doubt(engine_id)
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -186,7 +186,7 @@
     world.state.on_upstream_suspected = inquiry.suspect
     watch = CrashDetector(
         world.state,
-        gone=lambda upstream: inquiry.take_bad(upstream, ReportedState.GONE),
+        gone=lambda upstream: inquiry.handle_bad_state(upstream, ReportedState.GONE),
         changed=lambda: None,
         convicted=lambda _: None,
     )
