--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -15,7 +15,7 @@
     forecast_wait,
 )
 
-NO_RANK = 99
+AFTER_ALL_RANKS = 99
 """Comes after every rank that a policy can give."""
 
 
@@ -41,7 +41,9 @@
     @property
     def first_waiting_rank(self) -> int:
         """Return the best rank of which a request waits, or one behind all ranks."""
-        return min((rank for rank, queue in self._queues.items() if len(queue)), default=NO_RANK)
+        return min(
+            (rank for rank, queue in self._queues.items() if len(queue)), default=AFTER_ALL_RANKS
+        )
 
     def queues_by_rank(self) -> Iterator[tuple[int, FairQueue]]:
         """Yield the queues, best rank first."""
