--- a/driftstall/gateway/outcomes.py
+++ b/driftstall/gateway/outcomes.py
@@ -59,7 +59,7 @@
         self._records: dict[str, _Record] = {}
         self._usual: dict[str, float] = {}
 
-    def saw(
+    def record_outcome(
         self, upstream_id: str, service: str, outcome: Outcome, now: float, seconds: float
     ) -> None:
         """Take in one outcome and the seconds it took."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -343,7 +343,7 @@
         if outcome is Outcome.UNREACHABLE:
             # It may be starting again, and is cold then before it can say so.
             self.cold.assume(upstream_id, UNTOLD_S, self.now())
-        self.outcomes.saw(upstream_id, service, outcome, self.now(), seconds)
+        self.outcomes.record_outcome(upstream_id, service, outcome, self.now(), seconds)
 
 
 def _ignore(_: Upstream) -> None:
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -92,7 +92,7 @@
     context.rests = []
     for index in range(count):
         at = 100.0 * index
-        context.outcomes.saw(name, "engines", Outcome.UNREACHABLE, at, 0.0)
+        context.outcomes.record_outcome(name, "engines", Outcome.UNREACHABLE, at, 0.0)
         rest = next(
             n / 100 for n in range(1000) if not context.outcomes.is_ejected(name, at + n / 100)
         )
@@ -118,14 +118,14 @@
     for _ in range(round(seconds * 10)):
         context.at += 0.1
         for name in ("u1", "u2"):
-            context.outcomes.saw(name, "s", Outcome.GOOD, context.at, 0.03)
+            context.outcomes.record_outcome(name, "s", Outcome.GOOD, context.at, 0.03)
 
 
 @when('"u3" joins, and gives its first two answers after 0.4 s')
 def slow_first(context: Any) -> None:
     """Let it answer."""
     for _ in range(2):
-        context.outcomes.saw("u3", "s", Outcome.GOOD, context.at, 0.4)
+        context.outcomes.record_outcome("u3", "s", Outcome.GOOD, context.at, 0.4)
 
 
 def next_call(context: Any, running: int) -> str:
@@ -169,9 +169,9 @@
     context.outcomes = OutlierDetector()
     for index in range(60):
         outcome = Outcome.FAILED if index % 2 else Outcome.GOOD
-        context.outcomes.saw("u1", "s", outcome, float(index), 0.1)
-        context.outcomes.saw("u2", "s", Outcome.GOOD, float(index), 0.2)
-        context.outcomes.saw("u3", "s", Outcome.GOOD, float(index), 0.1)
+        context.outcomes.record_outcome("u1", "s", outcome, float(index), 0.1)
+        context.outcomes.record_outcome("u2", "s", Outcome.GOOD, float(index), 0.2)
+        context.outcomes.record_outcome("u3", "s", Outcome.GOOD, float(index), 0.1)
     context.at = 59.0
 
 
