--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -119,7 +119,7 @@
         """Add a stream that was sent."""
         self._runs[run.request_id] = run
 
-    def drop(self, run: StreamRun) -> None:
+    def remove(self, run: StreamRun) -> None:
         """Drop a stream that has ended."""
         if self._runs.get(run.request_id) is run:
             del self._runs[run.request_id]
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -53,7 +53,7 @@
                 continue
             if self._work.refusal() is not None or not self._work.budget_allows(copy.upstream):
                 return None
-            self._work.state.runs.drop(run)
+            self._work.state.runs.remove(run)
             run.ended = True
             run.is_resumed_elsewhere = True
             next_run = self._work.placement.create_resumed_run(
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -89,7 +89,7 @@
         """Take a run off the books."""
         if run.exchange is not None:
             run.exchange.close()
-        self.state.runs.drop(run)
+        self.state.runs.remove(run)
         self.state.loads.drop(run.request_id)
         self.state.loads_changed.set()
 
