--- a/driftstall/decisions/upstream_backoff.py
+++ b/driftstall/decisions/upstream_backoff.py
@@ -14,7 +14,7 @@
 from typing import Final
 
 MAX_BACKOFF_S: Final = 300.0
-RETURN_SPREAD_S: Final = 1.0
+RETRY_SPREAD_S: Final = 1.0
 """Time over which refused callers return."""
 MIN_RETRY_S: Final = 0.05
 CALLS_PER_SLOT_S: Final = 4.0
@@ -63,7 +63,7 @@
         """
         first_at = now + first_s
         at = self._last.get(service, float("-inf")) + 1.0 / per_s
-        if not first_at <= at <= first_at + RETURN_SPREAD_S:
+        if not first_at <= at <= first_at + RETRY_SPREAD_S:
             at = first_at
         self._last[service] = at
         return max(MIN_RETRY_S, at - now)
--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -24,7 +24,7 @@
 """What was under way when a request was rejected may arrive within this time."""
 SLACK_S: Final = 0.1
 """Times are taken in several processes, one after the other."""
-RETURN_SPREAD_S: Final = 1.5
+RETRY_SPREAD_S: Final = 1.5
 """Time over which callers that are refused together return."""
 PAUSE_S: Final = 0.02
 REFUSED_PAUSE_S: Final = 0.25
@@ -270,7 +270,7 @@
         ended_at = one.at + one.took_s
         due_s = min(backoff_ends(context, one.instance, ended_at)) - ended_at
         told_s = float(one.answer.headers["retry-after"])
-        assert due_s - SLACK_S <= told_s <= max(0.0, due_s) + RETURN_SPREAD_S, (due_s, one)
+        assert due_s - SLACK_S <= told_s <= max(0.0, due_s) + RETRY_SPREAD_S, (due_s, one)
 
 
 @then("no call is refused by an instance to which a portal has not just requested a back-off")
