--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -64,7 +64,7 @@
         """Ask an engine at which something has just gone wrong."""
         gevent.spawn(self._ask, upstream)
 
-    def ask_all(self) -> None:
+    def probe_all(self) -> None:
         """Ask the engines that fall to this instance."""
         askers = self._askers()
         for upstream in self._state.fleet.upstreams:
@@ -76,7 +76,7 @@
         while True:
             gevent.sleep(LOOK_EVERY_S)
             if self._is_platform_silent() or self._state.fleet.has_suspects:
-                self.ask_all()
+                self.probe_all()
                 gevent.sleep(PROBE_INTERVAL_S - LOOK_EVERY_S)
             self._forget_old()
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -122,7 +122,7 @@
 def engine_ends_soon(context: Any) -> None:
     """Ask all engines, of which one will end."""
     context.engine.report = ENDS_SOON
-    inquiry_of(world_of(context)).ask_all()
+    inquiry_of(world_of(context)).probe_all()
 
 
 @when("its run there was stopped")
@@ -146,7 +146,7 @@
         return word
 
     world.state.dialect.probe_state = noting  # type: ignore[method-assign,assignment]
-    inquiry_of(world).ask_all()
+    inquiry_of(world).probe_all()
     wait_for("all were asked", lambda: len(asked) == len(world.engines))
     gevent.idle()
 
@@ -164,7 +164,7 @@
     world = world_of(context)
     for one in world.engines[:2]:
         one.stop()
-    inquiry_of(world).ask_all()
+    inquiry_of(world).probe_all()
     wait_for("both are known", lambda: not any(takes(world, one) for one in world.engines[:2]))
 
 
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -117,7 +117,7 @@
     return len(context.upstreams[name].arrivals)
 
 
-def ask_all(context: Any, path: str = "/safe/a", times: int = 1) -> list[int]:
+def probe_all(context: Any, path: str = "/safe/a", times: int = 1) -> list[int]:
     """Ask each instance; return the statuses."""
     return [
         node.ask(path, f"era-{next(NUMBERS)}").status
@@ -146,7 +146,7 @@
 
 def in_force(context: Any) -> bool:
     """Tell whether all instances serve the newest route."""
-    return all(one == 200 for one in ask_all(context, f"/added{context.version}/x"))
+    return all(one == 200 for one in probe_all(context, f"/added{context.version}/x"))
 
 
 @when("the store comes back from the copy after {away:g} s away")
