--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -119,7 +119,7 @@
         if share is not None:
             _add(self._pending, share, -1)
 
-    def told(self, peer: str, uses: Iterable[Use], now: float) -> None:
+    def record_peer(self, peer: str, uses: Iterable[Use], now: float) -> None:
         """Take in a peer's sums."""
         self._peers[peer] = _PeerSums({use.upstream_id: use for use in uses}, now)
 
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -163,7 +163,7 @@
         now = self._state.now()
         before = self._heard.get(report.sender)
         self._heard[report.sender] = _Heard(report, now)
-        self._state.loads.told(report.sender, report.uses, now)
+        self._state.loads.record_peer(report.sender, report.uses, now)
         for count in report.repeats:
             self._state.budget(count.service).told(report.sender, count, now)
         return not report.platform_ok and (before is None or before.report.platform_ok)
@@ -173,7 +173,7 @@
         now = self._state.now()
         name = f"{POOLED_PREFIX}{summary.zone}"
         self._zones[summary.zone] = _HeardZone(summary, now)
-        self._state.loads.told(name, summary.uses, now)
+        self._state.loads.record_peer(name, summary.uses, now)
         for count in summary.repeats:
             budget = self._state.budget(count.service)
             budget.told(name, count, now, instances=summary.instances)
@@ -185,7 +185,7 @@
         own_id = self._own.instance_id
         number = next((one.number for one in summary.acks if one.instance_id == own_id), 0)
         uses, repeats = self._reports.others(number, summary.uses, summary.repeats)
-        self._state.loads.told(FLEET_KEY, uses, now)
+        self._state.loads.record_peer(FLEET_KEY, uses, now)
         others = max(1, summary.instances - 1)
         for count in repeats:
             budget = self._state.budget(count.service)
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -27,7 +27,7 @@
     """Fill a book."""
     context.loads = LoadTable()
     context.loads.put("r1", Share("u1", 1000, 600, "u2"))
-    context.loads.told("peer", (Use("u1", 1, 500, 0, 0, 500),), 10.0)
+    context.loads.record_peer("peer", (Use("u1", 1, 500, 0, 0, 500),), 10.0)
 
 
 @then('"u1" has 1500 tokens running and "u2" has 1000 tokens of copies')
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -211,7 +211,7 @@
     """Fill an engine, so that the two others keep copies for each other."""
     world = world_of(context)
     full = Use(world.engines[2].upstream_id, running=5, tokens=34_000)
-    world.state.loads.told("peer", [full], world.state.now())
+    world.state.loads.record_peer("peer", [full], world.state.now())
 
 
 @then('"{request_id}" was run anew once')
@@ -284,7 +284,7 @@
 def waiting_stream(context: Any, request_id: str, number: int, *, unframed: bool = False) -> None:
     """Start a stream that stands still until its gate opens."""
     world = world_of(context)
-    world.state.loads.told("peer", full_engines(world), world.state.now())
+    world.state.loads.record_peer("peer", full_engines(world), world.state.now())
     stream_script(
         context,
         request_id,
@@ -373,7 +373,7 @@
     """Let a peer tell of full engines."""
     world = world_of(context)
     uses = [Use(one.upstream_id, running=5, tokens=34_000) for one in world.engines]
-    world.state.loads.told("peer", uses, world.state.now())
+    world.state.loads.record_peer("peer", uses, world.state.now())
 
 
 @when('stream "{request_id}" is asked, and room is made once it waits')
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -248,7 +248,7 @@
     world = world_of(context)
     old_id = f"{context.engine.upstream_id}@{FIRST_START}"
     world.state.record_outcome(old_id, "engines", Outcome.UNREACHABLE, 0.0)
-    world.state.loads.told("peer", (Use(old_id, running=3, tokens=9000),), world.state.now())
+    world.state.loads.record_peer("peer", (Use(old_id, running=3, tokens=9000),), world.state.now())
     relist(context, {context.engine.upstream_id: LATER_START})
     context.script.gate.set()
 
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -82,7 +82,7 @@
 def engines_full(context: Any) -> None:
     """Let a peer tell that the engines are full."""
     uses = [Use(one.upstream_id, tokens=34_000) for one in context.state.fleet.upstreams]
-    context.state.loads.told("peer", uses, context.at)
+    context.state.loads.record_peer("peer", uses, context.at)
 
 
 def ask_at_once(context: Any, count: int, **more: Any) -> None:
@@ -140,7 +140,7 @@
     context.at += 0.2
     use = Use(context.given.upstream_id, running=1, tokens=HELD_TOKENS, prefill=PROMPT_TOKENS)
     context.placer.handle_report("member-1")
-    context.state.loads.told("member-1", [use], context.at)
+    context.state.loads.record_peer("member-1", [use], context.at)
 
 
 @then("these count on the engine given, for other zones too, but not as its own")
