--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -65,11 +65,11 @@
         log_event(
             PREFIX_RELAY,
             f"Upstream {upstream.upstream_id} is leaving",
-            streams=len(self._state.runs.on(upstream.upstream_id)),
+            streams=len(self._state.runs.running_on(upstream.upstream_id)),
             revision=upstream.revision,
         )
         began = self._state.now()
-        for run in self._state.runs.on(upstream.upstream_id):
+        for run in self._state.runs.running_on(upstream.upstream_id):
             if self._is_movable(run) and self._mover.find_replica(run) is not None:
                 gevent.spawn(self._move, run)
         gevent.sleep(COPIED_FIRST_S)
@@ -77,7 +77,7 @@
         tried: set[str] = set()
         engine_id, fleet = upstream.upstream_id, self._state.fleet
         while self._state.now() < began + GIVE_UP_S and not fleet.stays(engine_id):
-            runs = self._state.runs.on(engine_id)
+            runs = self._state.runs.running_on(engine_id)
             waiting = [run for run in runs if self._is_movable(run) and run.request_id not in tried]
             if not waiting or self._state.backoff_s(upstream):
                 gevent.sleep(RETRY_S)
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -124,7 +124,7 @@
         if self._runs.get(run.request_id) is run:
             del self._runs[run.request_id]
 
-    def on(self, upstream_id: str) -> tuple[StreamRun, ...]:
+    def running_on(self, upstream_id: str) -> tuple[StreamRun, ...]:
         """Return the streams that run on an upstream."""
         return tuple(run for run in self._runs.values() if run.upstream.upstream_id == upstream_id)
 
