--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -11,7 +11,7 @@
 from driftstall.daemon.hub import Hub
 from driftstall.decisions.upstream_backoff import (
     CALLS_PER_SLOT_S,
-    StaggeredReturns,
+    StaggeredRetries,
     UpstreamBackoff,
 )
 from driftstall.decisions.upstream_signals import (
@@ -34,7 +34,7 @@
         self._fleet = fleet
         self._limits = limits
         self._backoff = UpstreamBackoff()
-        self._returns = StaggeredReturns()
+        self._returns = StaggeredRetries()
 
     def backoff_s(self, runner_id: str) -> float:
         """Return for how long a runner wants no requests of this instance; zero for none."""
--- a/driftstall/decisions/upstream_backoff.py
+++ b/driftstall/decisions/upstream_backoff.py
@@ -48,7 +48,7 @@
             del self._until[upstream_id]
 
 
-class StaggeredReturns:
+class StaggeredRetries:
     """Give refused callers of a service times to return, one after the other."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -18,7 +18,7 @@
 from driftstall.decisions.placers import MOST_COMPARED
 from driftstall.decisions.poison_detection import PoisonTracker
 from driftstall.decisions.store_versions import StoreEras
-from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
+from driftstall.decisions.upstream_backoff import StaggeredRetries, UpstreamBackoff
 from driftstall.gateway.cold_gate import ColdGate
 from driftstall.gateway.cordons import CordonRegistry
 from driftstall.gateway.dialect import Dialect
@@ -77,7 +77,7 @@
             pause=gevent.sleep,
         )
         self.backoff = UpstreamBackoff()
-        self.returns = StaggeredReturns()
+        self.returns = StaggeredRetries()
         """Times at which refused callers of a service return."""
         self.signals = UpstreamSignals(
             self.stats, self.rate_limiting, self.fleet, self.backoff, lambda: self.now()
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -11,7 +11,7 @@
 
 from driftstall.core import Instance
 from driftstall.decisions.sends import KEPT_UP_AFTER_S
-from driftstall.decisions.upstream_backoff import StaggeredReturns, UpstreamBackoff
+from driftstall.decisions.upstream_backoff import StaggeredRetries, UpstreamBackoff
 from driftstall.decisions.upstream_signals import BackoffSignal
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.model import Upstream
@@ -44,7 +44,7 @@
 )
 def callers_refused(context: Any, count: int, per_s: float, first_s: float) -> None:
     """Give each a time to return, all at the same moment."""
-    returns = context.returns = StaggeredReturns()
+    returns = context.returns = StaggeredRetries()
     context.per_s, context.first_s = per_s, first_s
     context.times = [returns.next_s("portal", first_s, per_s, 10.0) for _ in range(count)]
 
