--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -35,7 +35,7 @@
         self.deviations = deviations
         self.runners: dict[str, RunnerState] = {}
         self._leaving: dict[str, RunnerState] = {}
-        self._first_arrivals = ServiceRate()
+        self._first_rank_arrivals = ServiceRate()
         self._first_rank_tokens = INITIAL_FIRST_RANK_TOKENS
 
     def add_runner(self, runner_id: str, memory: int, zone: str, now: float) -> None:
@@ -59,14 +59,14 @@
 
     def record_first_rank_arrival(self, cost: float, now: float) -> None:
         """Learn how much memory the first rank asks for."""
-        self._first_arrivals.add(1.0, now)
+        self._first_rank_arrivals.add(1.0, now)
         self._first_rank_tokens += LEARNING_RATE * (cost - self._first_rank_tokens)
 
     def headroom(self, rank: int, now: float) -> float:
         """Return the memory that a rank leaves free on each runner, in tokens."""
         if rank == 0 or not self.runners:
             return 0.0
-        expected = self._first_arrivals.value(now) * HEADROOM_S * self._first_rank_tokens
+        expected = self._first_rank_arrivals.value(now) * HEADROOM_S * self._first_rank_tokens
         least = min(one.memory for one in self.runners.values())
         return min(expected / len(self.runners), MAX_HEADROOM_SHARE * least)
 
