--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -192,8 +192,8 @@
         self.state.on_store_era = self._store_return.seen
         access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
-        self._store_return.one_writes_again("policy", self._policy_keeper.write_again)
-        self._store_return.one_writes_again("crashes", self._crash_keeper.write_again)
+        self._store_return.register_shared_write("policy", self._policy_keeper.write_again)
+        self._store_return.register_shared_write("crashes", self._crash_keeper.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = SmallListener(settings.ready_listen, ReadyAnswers(self.state))
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -62,7 +62,7 @@
         """Register what this instance alone has written; it may raise PlatformUnavailable."""
         self._own_writes.append(write)
 
-    def one_writes_again(self, what: str, write: Callable[[], None]) -> None:
+    def register_shared_write(self, what: str, write: Callable[[], None]) -> None:
         """Register what all instances hold; it may raise PlatformUnavailable."""
         self._common_writes[what] = write
 
