--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -165,7 +165,7 @@
         self._heard[report.sender] = _Heard(report, now)
         self._state.loads.record_peer(report.sender, report.uses, now)
         for count in report.repeats:
-            self._state.budget(count.service).told(report.sender, count, now)
+            self._state.budget(count.service).record_peer(report.sender, count, now)
         return not report.platform_ok and (before is None or before.report.platform_ok)
 
     def record_zone_summary(self, summary: ZoneSummary) -> None:
@@ -176,7 +176,7 @@
         self._state.loads.record_peer(name, summary.uses, now)
         for count in summary.repeats:
             budget = self._state.budget(count.service)
-            budget.told(name, count, now, instances=summary.instances)
+            budget.record_peer(name, count, now, instances=summary.instances)
 
     def record_fleet_summary(self, summary: FleetSummary) -> None:
         """Take in the sum of all reports; what is ours in it is known better here."""
@@ -189,7 +189,7 @@
         others = max(1, summary.instances - 1)
         for count in repeats:
             budget = self._state.budget(count.service)
-            budget.told(FLEET_KEY, count, now, instances=others)
+            budget.record_peer(FLEET_KEY, count, now, instances=others)
 
     def forget(self) -> None:
         """Forget the sums: after a change of roles they come from others."""
--- a/driftstall/gateway/shared_budget.py
+++ b/driftstall/gateway/shared_budget.py
@@ -60,7 +60,7 @@
         self._forget(now)
         return RepeatCount(self._service, len(self._requests), len(self._repeats))
 
-    def told(self, peer: str, count: RepeatCount, now: float, *, instances: int = 1) -> None:
+    def record_peer(self, peer: str, count: RepeatCount, now: float, *, instances: int = 1) -> None:
         """Take in what a peer has sent, or several peers together."""
         self._peers[peer] = _Heard(count, now, instances)
 
--- a/features/steps/gateway_budget_steps.py
+++ b/features/steps/gateway_budget_steps.py
@@ -36,7 +36,7 @@
     for listener in group:
         for index, budget in enumerate(group):
             if budget is not listener:
-                listener.told(f"peer-{index}", budget.count(now), now)
+                listener.record_peer(f"peer-{index}", budget.count(now), now)
 
 
 @when("each has 10 requests and wants 100 repeats within 10 s, and none hears of others")
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -119,7 +119,7 @@
     count = InstanceCount()
     count.seen(78, 0.0)
     context.budget = SharedRetryBudget("s", Bounds(retry_extra=196.0), count)
-    context.budget.told(FLEET_KEY, RepeatCount("s", 200, 20), 1.0, instances=77)
+    context.budget.record_peer(FLEET_KEY, RepeatCount("s", 200, 20), 1.0, instances=77)
 
 
 @then("this instance may make more than its even part, and not all that is left")
