--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import ReplicaRef, StreamRun
 from driftstall.gateway.sending import Opened
-from driftstall.gateway.stream_work import StreamWork
+from driftstall.gateway.stream_work import StreamContext
 from driftstall.helpers.log import log_event
 
 COLD_WAIT_S: Final = 1.2
@@ -28,7 +28,7 @@
 class StreamResuming:
     """Find a copy of one stream's run, and send the request there."""
 
-    def __init__(self, work: StreamWork) -> None:
+    def __init__(self, work: StreamContext) -> None:
         """Take the stream."""
         self._work = work
 
--- a/driftstall/gateway/stream_work.py
+++ b/driftstall/gateway/stream_work.py
@@ -20,7 +20,7 @@
 from driftstall.gateway.state import GatewayState
 
 
-class StreamWork:
+class StreamContext:
     """Share one stream among those who open it, pass it on and go on with it."""
 
     def __init__(
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -30,7 +30,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_opening import StreamOpening
 from driftstall.gateway.stream_resuming import OK, StreamResuming
-from driftstall.gateway.stream_work import StreamWork
+from driftstall.gateway.stream_work import StreamContext
 from driftstall.helpers.log import log_event
 
 SILENCE_S: Final = 1.2
@@ -56,7 +56,7 @@
         self._state = state
         self._connection = connection
         self._admitted = admitted
-        self._work = StreamWork(state, mover, call, admitted)
+        self._work = StreamContext(state, mover, call, admitted)
         self._resuming = StreamResuming(self._work)
         self._opening = StreamOpening(self._work, self._resuming)
         self._order = EventOrder()
