--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -54,7 +54,7 @@
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 5.0
 """Times that callers are told lie between these; most give up before a longer one."""
-LAPSE_S: Final = 0.3
+PERMIT_LAPSE_S: Final = 0.3
 """How long after its time a permit may be used."""
 
 
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -9,7 +9,7 @@
 from driftstall.const import CODE_NO_RUNNER, PREFIX_ROUTING
 from driftstall.core import Problem, Ran
 from driftstall.decisions.permits import (
-    LAPSE_S,
+    PERMIT_LAPSE_S,
     Denial,
     DenialTracker,
     RetryTimes,
@@ -159,7 +159,7 @@
         if verdict.wait_s:
             self._pause(verdict.wait_s)
         took_s = self._now() - asked_at
-        if took_s > verdict.wait_s + LAPSE_S:
+        if took_s > verdict.wait_s + PERMIT_LAPSE_S:
             log_event(
                 PREFIX_ROUTING,
                 f"A permit for {upstream_id} has lapsed",
@@ -224,7 +224,7 @@
 
 def _nobody_to_ask(_: RateLimit, __: SendNeed) -> Verdict:
     """Get leave from nobody: there are no peers yet, so nobody knows how much is sent."""
-    return Denial(LAPSE_S)
+    return Denial(PERMIT_LAPSE_S)
 
 
 def _nobody_to_charge(_: RateLimit) -> None:
