--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -42,7 +42,7 @@
     memory: int
     fill: float
     """Forecast share of memory in use, from 0 to 1."""
-    long_held: float
+    long_prompt_tokens: float
     """Memory held by long prompts, in tokens."""
     first_rank: int
     """Open generations of the first rank."""
