--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -12,8 +12,8 @@
 from driftstall.gateway.placement import WAIT_FOR_ROOM_SHARE
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import Opened
+from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_resuming import StreamResuming
-from driftstall.gateway.stream_work import StreamContext
 
 
 @dataclass(slots=True)
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import ReplicaRef, StreamRun
 from driftstall.gateway.sending import Opened
-from driftstall.gateway.stream_work import StreamContext
+from driftstall.gateway.stream_context import StreamContext
 from driftstall.helpers.log import log_event
 
 COLD_WAIT_S: Final = 1.2
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -28,9 +28,9 @@
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.state import GatewayState
+from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_opening import StreamOpening
 from driftstall.gateway.stream_resuming import OK, StreamResuming
-from driftstall.gateway.stream_work import StreamContext
 from driftstall.helpers.log import log_event
 
 SILENCE_S: Final = 1.2
