--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -25,7 +25,7 @@
 """Permits that add up while none is asked for. Within any time t an upstream gets no more than its
 limit times t and three more (and what streams under way take ahead): a limit of 0.5 a second is
 used by requests that come in pairs."""
-LEAST_PER_S: Final = 0.1
+MIN_RATE_PER_S: Final = 0.1
 """What an upstream is sent that takes nothing, or less than this: only an answer tells that its
 limit has ended. One request in ten seconds."""
 SETTLE_S: Final = 1.0
@@ -103,7 +103,7 @@
 
     def ask(self, need: SendNeed, per_s: float, now: float) -> Verdict:
         """Give or refuse one permit; per_s is what may be given a second."""
-        gap_s = 1 / max(LEAST_PER_S, per_s)
+        gap_s = 1 / max(MIN_RATE_PER_S, per_s)
         wait_s = self.wait_s(per_s, now)
         if now < self._quiet_until:
             return self._deny(wait_s, gap_s, now)
@@ -120,12 +120,12 @@
 
     def wait_s(self, per_s: float, now: float) -> float:
         """Return how long it is until the next permit, without taking it."""
-        due_at = max(self._next_at, now - BURST / max(LEAST_PER_S, per_s), self._quiet_until)
+        due_at = max(self._next_at, now - BURST / max(MIN_RATE_PER_S, per_s), self._quiet_until)
         return max(0.0, due_at - now)
 
     def charge(self, per_s: float, now: float) -> None:
         """Count one call that is not held back."""
-        gap_s = 1 / max(LEAST_PER_S, per_s)
+        gap_s = 1 / max(MIN_RATE_PER_S, per_s)
         due_at = max(self._next_at, now - BURST * gap_s)
         self._next_at = min(due_at + gap_s, now + DEBT * gap_s)
 
@@ -232,5 +232,5 @@
         service's upstreams take.
         """
         at = max(self._told_until.get(service, now), now + first_s)
-        self._told_until[service] = min(at + 1 / max(LEAST_PER_S, per_s), now + MAX_RETRY_S)
+        self._told_until[service] = min(at + 1 / max(MIN_RATE_PER_S, per_s), now + MAX_RETRY_S)
         return max(MIN_RETRY_S, at - now)
