--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -29,11 +29,11 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    ResumeRequested,
     ResumeStream,
     Started,
     StreamEnded,
     StreamFailed,
-    TakenUp,
     TokenArrived,
 )
 from driftstall.core import Problem, Ran
@@ -120,7 +120,7 @@
         return self._ask()
 
     @_on.register
-    def _(self, event: TakenUp) -> list[RelayAction]:
+    def _(self, event: ResumeRequested) -> list[RelayAction]:
         self._runner_id = event.runner_id
         self._generation = event.generation
         self._next = event.next_index
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenUp:
+class ResumeRequested:
     """Begin from a resume token, given out by any instance."""
 
     runner_id: str
@@ -80,7 +80,7 @@
 
 RelayEvent = (
     Started
-    | TakenUp
+    | ResumeRequested
     | GrantArrived
     | GrantRefused
     | TokenArrived
--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -19,7 +19,7 @@
     PREFIX_LOCATE,
     PREFIX_RELAY,
 )
-from driftstall.controllers.relay_messages import TakenUp
+from driftstall.controllers.relay_messages import ResumeRequested
 from driftstall.core import Problem, Ran, Request
 from driftstall.daemon.answers import (
     EVENT_STREAM,
@@ -303,14 +303,14 @@
     return sign(key, f"{workspace}|{runner_id}|{generation}").encode()
 
 
-def read_resume_token(key: bytes, token: str, workspace: str) -> TakenUp | None:
+def read_resume_token(key: bytes, token: str, workspace: str) -> ResumeRequested | None:
     """Return where a resume token goes on, if it is genuine and of this workspace."""
     signed, _, index = token.rpartition("~")
     text = verify(key, signed)
     parts = text.split("|") if text else []
     if len(parts) != 3 or parts[0] != workspace or not index.isdigit() or len(index) > 9:
         return None
-    return TakenUp(parts[1], parts[2], int(index) + 1)
+    return ResumeRequested(parts[1], parts[2], int(index) + 1)
 
 
 def read_ticket(key: bytes, ticket: str, workspace: str) -> tuple[str, float]:
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -27,11 +27,11 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    ResumeRequested,
     ResumeStream,
     Started,
     StreamEnded,
     StreamFailed,
-    TakenUp,
     TokenArrived,
 )
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
@@ -133,7 +133,7 @@
         self,
         request: Request,
         verdict: Verdict,
-        place: TakenUp,
+        place: ResumeRequested,
         caller_waits: Callable[[], bool],
     ) -> Relay:
         """Return the relay that goes on with a generation from a resume token."""
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -20,11 +20,11 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    ResumeRequested,
     ResumeStream,
     Started,
     StreamEnded,
     StreamFailed,
-    TakenUp,
     TokenArrived,
 )
 from driftstall.core import Problem, Ran
@@ -191,7 +191,7 @@
         name, index = self.delivered[-1]
         runner = self._known.get(name, "engine-1")
         self._machine = RelayMachine("taken-up", RetryBudget())
-        self._queue.append(TakenUp(runner, name, index + 1))
+        self._queue.append(ResumeRequested(runner, name, index + 1))
 
     def _take_fault(self, *names: str) -> str:
         """Return the waiting fault if it is one of these, and clear it."""
