--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -31,12 +31,12 @@
 
     def __init__(self, work: StreamContext, resuming: StreamResuming) -> None:
         """Take the stream, and who goes on with it where its upstream breaks."""
-        self._work = work
+        self._context = work
         self._resuming = resuming
 
     def open(self) -> Opened | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
-        tries, history = _Tries(), self._work.history
+        tries, history = _Tries(), self._context.history
         while history.may_run_anew and history.sends < MAX_SENDS:
             result = self._try_one(tries)
             if result is not None:
@@ -45,7 +45,7 @@
 
     def _try_one(self, tries: _Tries) -> Opened | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
-        work = self._work
+        work = self._context
         if work.left() <= 0 or work.is_caller_disconnected:
             return Problem(CODE_DEADLINE, 504, "the time is over", work.history.ran)
         refusal = work.refusal()
@@ -81,7 +81,7 @@
 
     def _send(self, run: StreamRun, tries: _Tries) -> Opened | Problem | None:
         """Send the request where it was placed; return None where that one did not take it."""
-        work = self._work
+        work = self._context
         result = work.send(run)
         if isinstance(result, Opened):
             if not result.marks.not_run:
@@ -101,39 +101,41 @@
 
     def _unserved(self, tries: _Tries) -> Problem:
         """Return that no upstream takes the request."""
-        ran = self._work.history.ran
+        ran = self._context.history.ran
         return self._backoff_refusal() or Problem(
             CODE_NO_RUNNER, 503, tries.detail, ran, FULL_RETRY_S
         )
 
     def _backoff_refusal(self) -> Problem | None:
         """Return what to answer where nothing has run and all upstreams back off."""
-        if self._work.history.ran is not Ran.NOT_RUN:
+        if self._context.history.ran is not Ran.NOT_RUN:
             return None
-        return backoff_refusal(self._work.state, self._work.admitted)
+        return backoff_refusal(self._context.state, self._context.admitted)
 
     def _ready(self, avoid: set[str]) -> list[str]:
         """Return the upstreams that take requests and have not turned this one away."""
-        ready = self._work.state.fleet.ready(self._work.admitted.service.name)
+        ready = self._context.state.fleet.ready(self._context.admitted.service.name)
         return [
             one.upstream_id
             for one in ready
-            if one.upstream_id not in avoid and not self._work.state.backoff_s(one)
+            if one.upstream_id not in avoid and not self._context.state.backoff_s(one)
         ]
 
     def _patience_s(self) -> float:
         """Return for how long the stream can still wait for its turn at an upstream."""
-        most_s = self._work.admitted.route.target_s * WAIT_FOR_ROOM_SHARE
-        until = self._work.admitted.started_at + min(self._work.admitted.verdict.wait_s, most_s)
-        return until - self._work.state.now()
+        most_s = self._context.admitted.route.target_s * WAIT_FOR_ROOM_SHARE
+        until = self._context.admitted.started_at + min(
+            self._context.admitted.verdict.wait_s, most_s
+        )
+        return until - self._context.state.now()
 
     def _after_break(self, run: StreamRun, detail: str) -> Opened | Problem:
         """Go on at a copy after a break before the answer's head."""
-        self._work.broke(run)
+        self._context.broke(run)
         resumed = self._resuming.resume(run, detail)
         if resumed is not None:
             return resumed
-        if self._work.left() <= 0:
-            return Problem(CODE_DEADLINE, 504, "the time is over", self._work.history.ran)
+        if self._context.left() <= 0:
+            return Problem(CODE_DEADLINE, 504, "the time is over", self._context.history.ran)
         detail = "the upstream broke off; the request may have run"
-        return Problem(CODE_RUNNER_FAILED, 502, detail, self._work.history.ran)
+        return Problem(CODE_RUNNER_FAILED, 502, detail, self._context.history.ran)
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -30,39 +30,41 @@
 
     def __init__(self, work: StreamContext) -> None:
         """Take the stream."""
-        self._work = work
+        self._context = work
 
     def resume(self, run: StreamRun, cause: str) -> Opened | None:
         """Go on at a copy; return the opened answer, or None where there is no copy."""
         while (
             run.moves < MAX_RESUMES
-            and self._work.left() > 0
-            and not self._work.is_caller_disconnected
+            and self._context.left() > 0
+            and not self._context.is_caller_disconnected
         ):
             if run.exchange is not None:
                 run.exchange.close()
             copy = self._take_copy(run)
             if copy is None:
-                self._work.replicas.log_no_replica(run, cause)
+                self._context.replicas.log_no_replica(run, cause)
                 return None
             if not self._await_cold(copy.upstream):
                 continue
-            need = self._work.need(min(TURN_WAIT_S, self._work.left()), under_way=True)
-            limits, engine_id = self._work.state.rate_limiting, copy.upstream.upstream_id
-            if not limits.take_turn(engine_id, need, self._work.request_id):
+            need = self._context.need(min(TURN_WAIT_S, self._context.left()), under_way=True)
+            limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
+            if not limits.take_turn(engine_id, need, self._context.request_id):
                 continue
-            if self._work.refusal() is not None or not self._work.budget_allows(copy.upstream):
+            if self._context.refusal() is not None or not self._context.budget_allows(
+                copy.upstream
+            ):
                 return None
-            self._work.state.runs.remove(run)
+            self._context.state.runs.remove(run)
             run.ended = True
             run.is_resumed_elsewhere = True
-            next_run = self._work.placement.create_resumed_run(
-                run, copy, self._work.history.has_run_at
+            next_run = self._context.placement.create_resumed_run(
+                run, copy, self._context.history.has_run_at
             )
-            result = self._work.send(next_run)
+            result = self._context.send(next_run)
             self._log_resumed(run, next_run, result, cause)
             if isinstance(result, Opened) and result.head.status == OK:
-                self._work.state.stats.streams_resumed += 1
+                self._context.state.stats.streams_resumed += 1
                 return result
             # Nothing was made there that could be copied on; another copy of the run as it
             # was may still serve.
@@ -73,8 +75,8 @@
 
     def _take_copy(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy to go on at; where all engines with one back off, wait for the first."""
-        state, deferred = self._work.state, []
-        while (copy := self._work.replicas.take_replica(run, self._work.left())) is not None:
+        state, deferred = self._context.state, []
+        while (copy := self._context.replicas.take_replica(run, self._context.left())) is not None:
             if not state.backoff_s(copy.upstream):
                 return copy
             deferred.append(copy)
@@ -82,7 +84,7 @@
         if first is None:
             return None
         wait_s = state.backoff_s(first.upstream)
-        if wait_s > min(BACKOFF_WAIT_S, self._work.left()):
+        if wait_s > min(BACKOFF_WAIT_S, self._context.left()):
             return None
         gevent.sleep(wait_s)
         return first
@@ -92,18 +94,18 @@
 
         Callers give a stream up after a pause of two seconds or more.
         """
-        until = self._work.state.now() + min(COLD_WAIT_S, self._work.left())
-        while (wait_s := self._work.state.cold_gate.wait_s(upstream)) > 0:
-            if self._work.state.now() + wait_s > until:
+        until = self._context.state.now() + min(COLD_WAIT_S, self._context.left())
+        while (wait_s := self._context.state.cold_gate.wait_s(upstream)) > 0:
+            if self._context.state.now() + wait_s > until:
                 log_event(
                     PREFIX_RELAY,
                     f"A stream is not gone on with at {upstream.upstream_id}: it is cold",
-                    request=self._work.admitted.marks.request_id,
+                    request=self._context.admitted.marks.request_id,
                     wait_ms=int(wait_s * 1000),
                 )
                 return False
             gevent.sleep(wait_s)
-        self._work.state.cold_gate.took(upstream)
+        self._context.state.cold_gate.took(upstream)
         return True
 
     def _log_resumed(
@@ -115,11 +117,11 @@
             PREFIX_RELAY,
             f"A stream goes on at {next_run.upstream.upstream_id}: {outcome}",
             request=run.request_id,
-            fingerprint=self._work.admitted.fingerprint,
+            fingerprint=self._context.admitted.fingerprint,
             cause=cause,
             left=run.upstream.upstream_id,
             copy_of=next_run.resumed_from.copy_of if next_run.resumed_from else "",
             copy=next_run.resumed_from.kind.value if next_run.resumed_from else "",
             last_event=run.last_event_id,
-            pause_ms=int((self._work.state.now() - run.last_event_at) * 1000),
+            pause_ms=int((self._context.state.now() - run.last_event_at) * 1000),
         )
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -56,9 +56,9 @@
         self._state = state
         self._connection = connection
         self._admitted = admitted
-        self._work = StreamContext(state, mover, call, admitted)
-        self._resuming = StreamResuming(self._work)
-        self._opening = StreamOpening(self._work, self._resuming)
+        self._context = StreamContext(state, mover, call, admitted)
+        self._resuming = StreamResuming(self._context)
+        self._opening = StreamOpening(self._context, self._resuming)
         self._order = EventOrder()
         self._head_sent = False
         self._longest_gap_s = 0.0
@@ -66,7 +66,7 @@
 
     def handle_disconnect(self) -> None:
         """Give the stream up: its upstream stops when the connection closes."""
-        self._work.handle_disconnect()
+        self._context.handle_disconnect()
 
     def serve(self) -> bool:
         """Serve the stream; return whether the caller's connection can be kept."""
@@ -76,11 +76,11 @@
                 return self._answer_problem(opened)
             return self._relay(opened)
         finally:
-            self._work.finish()
+            self._context.finish()
 
     def _relay(self, opened: Opened) -> bool:
         """Pass the answer on; return whether the caller's connection can be kept."""
-        run = self._work.run
+        run = self._context.run
         assert run is not None
         if opened.head.status != OK:
             return self._relay_failure(run, opened)
@@ -90,14 +90,14 @@
             broken = self._relay_events(run)
             if broken is None:
                 return self._complete(run)
-            if self._work.is_caller_disconnected:
+            if self._context.is_caller_disconnected:
                 return False
-            self._work.broke(run, broken)
+            self._context.broke(run, broken)
             resumed = self._resuming.resume(run, str(broken))
             if resumed is None:
                 return self._break_off(run, str(broken))
-            assert self._work.run is not None
-            run = self._work.run
+            assert self._context.run is not None
+            run = self._context.run
 
     def _relay_failure(self, run: StreamRun, opened: Opened) -> bool:
         """Pass on an answer that is no stream."""
@@ -105,17 +105,17 @@
         parts: list[bytes] = []
         try:
             while True:
-                item = run.exchange.next(max(0.0, self._work.left()))
+                item = run.exchange.next(max(0.0, self._context.left()))
                 if isinstance(item, End):
                     break
                 if isinstance(item, Piece):
                     parts.append(item.data)
         except (UpstreamError, TimeoutError) as fault:
             log_event(PREFIX_RELAY, f"A failure's body broke off: {fault}", request=run.request_id)
-            self._work.broke(run, fault)
+            self._context.broke(run, fault)
             problem = Problem(CODE_RUNNER_FAILED, 502, "the answer broke off", Ran.UNKNOWN)
             return self._answer_problem(problem)
-        self._work.saw(run, Outcome.FAILED)
+        self._context.saw(run, Outcome.FAILED)
         self._state.stats.failed += 1
         body = b"".join(parts)
         data = whole(opened.head.status, opened.marks.passed, body, keep=self._keep)
@@ -138,7 +138,7 @@
             except UpstreamError as fault:
                 return fault
             except TimeoutError as fault:
-                if self._work.left() > 0 and not self._work.replicas.has_current_backup(run):
+                if self._context.left() > 0 and not self._context.replicas.has_current_backup(run):
                     # The copy's engine has left meanwhile: to wait is all there is.
                     continue
                 return fault
@@ -151,8 +151,8 @@
             elif isinstance(item, End):
                 if splitter.inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
-                if not run.exchange.framed and self._work.replicas.may_have_stopped(
-                    run, self._work.left()
+                if not run.exchange.framed and self._context.replicas.may_have_stopped(
+                    run, self._context.left()
                 ):
                     # A run that is stopped for a move closes its connection just like this.
                     return UpstreamError("the stream ended while it was moved", sent=True)
@@ -160,8 +160,8 @@
 
     def _patience(self, run: StreamRun) -> float:
         """Return how long to wait for the next event, in seconds."""
-        left = max(0.0, self._work.left())
-        if self._work.replicas.has_current_backup(run):
+        left = max(0.0, self._context.left())
+        if self._context.replicas.has_current_backup(run):
             return min(left, SILENCE_S)
         return left
 
@@ -181,7 +181,7 @@
         if wanted:
             self._count(run, len(wanted))
             if not self._connection.write(chunk(b"".join(wanted))):
-                self._work.is_caller_disconnected = True
+                self._context.is_caller_disconnected = True
                 return UpstreamError("the caller has left", sent=True)
         return fault
 
@@ -198,18 +198,18 @@
         run.last_event_at = now
         before = run.tokens
         run.events += events
-        run.tokens += events * self._work.placement.engine.event_tokens
-        self._state.lengths.progressed(self._work.request, before, run.tokens)
+        run.tokens += events * self._context.placement.engine.event_tokens
+        self._state.lengths.progressed(self._context.request, before, run.tokens)
         if before == 0 or before // ACCOUNT_TOKENS != run.tokens // ACCOUNT_TOKENS:
             self._state.record_run_load(run)
 
     def _complete(self, run: StreamRun) -> bool:
         """End a whole stream."""
-        self._work.saw(run, Outcome.GOOD)
+        self._context.saw(run, Outcome.GOOD)
         if run.exchange is not None and run.exchange.framed:
             # An answer without a length ends with its connection, as a crash does.
             self._state.record_success(self._admitted.fingerprint)
-        self._state.lengths.finished(self._work.request, run.tokens)
+        self._state.lengths.finished(self._context.request, run.tokens)
         self._state.stats.completed += 1
         self._state.stats.gap_s.observe({}, self._longest_gap_s)
         log_event(
@@ -225,7 +225,7 @@
 
     def _break_off(self, run: StreamRun, cause: str) -> bool:
         """End a stream that cannot go on; without its last chunk it is visibly broken."""
-        self._work.saw(run, Outcome.BROKEN)
+        self._context.saw(run, Outcome.BROKEN)
         self._state.stats.streams_broken += 1
         log_event(
             PREFIX_RELAY,
@@ -241,7 +241,7 @@
 
     def _answer_problem(self, problem: Problem) -> bool:
         """Answer with a problem; return whether the connection can be kept."""
-        if self._head_sent or self._work.is_caller_disconnected:
+        if self._head_sent or self._context.is_caller_disconnected:
             return False
         if problem.ran is Ran.NOT_RUN and problem.retry_after_s is not None:
             self._state.stats.refused += 1
