--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -31,7 +31,7 @@
 SETTLE_S: Final = 1.0
 """How long one that has just become the one to ask gives nothing: all instances know the same
 members within half a second, and permits given by the one before have lapsed by then."""
-PAUSED_S: Final = 1.0
+STALE_AFTER_S: Final = 1.0
 """After a gap of this length between two looks the process has stood still: another one may have
 given permits meanwhile, and stops only when it hears of this one."""
 DEBT: Final = 3.0
@@ -161,7 +161,7 @@
 
     def tend(self, upstream_ids: set[str], now: float) -> None:
         """Take in for which upstreams this instance is the one to ask; to be told often."""
-        if now - self._looked_at > PAUSED_S:
+        if now - self._looked_at > STALE_AFTER_S:
             self._allowances.clear()
         self._looked_at = now
         for upstream_id in self._allowances.keys() - upstream_ids:
@@ -184,7 +184,7 @@
 
     def _find(self, upstream_id: str, now: float) -> Allowance | None:
         """Return an upstream's allowance, unless this instance has just stood still."""
-        if now - self._looked_at > PAUSED_S:
+        if now - self._looked_at > STALE_AFTER_S:
             return None
         return self._allowances.get(upstream_id)
 
