--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -17,7 +17,7 @@
 )
 from driftstall.controllers.relay_messages import (
     AskGrant,
-    CallerGone,
+    CallerDisconnected,
     CancelStream,
     CloseGrant,
     Complete,
@@ -182,7 +182,7 @@
         return self._end(CODE_DEADLINE, 504, "the deadline passed")
 
     @_on.register
-    def _(self, event: CallerGone) -> list[RelayAction]:
+    def _(self, event: CallerDisconnected) -> list[RelayAction]:
         self._done = True
         return self._drop()
 
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """Learn that nobody waits for the answer any more."""
 
 
@@ -87,7 +87,7 @@
     | StreamEnded
     | StreamFailed
     | DeadlinePassed
-    | CallerGone
+    | CallerDisconnected
 )
 
 
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -15,7 +15,7 @@
 from driftstall.controllers.relay import RelayMachine
 from driftstall.controllers.relay_messages import (
     AskGrant,
-    CallerGone,
+    CallerDisconnected,
     CancelStream,
     CloseGrant,
     Complete,
@@ -196,7 +196,7 @@
         """Give the request up, since nobody waits for it."""
         self._hub.stats.callers_gone += 1
         log_event(PREFIX_RELAY, f"The caller of request {self._request.request_id} has gone")
-        self._feed(CallerGone())
+        self._feed(CallerDisconnected())
 
     def _drain(self) -> Iterator[RelayItem]:
         """Yield what the actions have put out."""
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -8,7 +8,7 @@
 from driftstall.controllers.relay import RelayMachine
 from driftstall.controllers.relay_messages import (
     AskGrant,
-    CallerGone,
+    CallerDisconnected,
     CancelStream,
     CloseGrant,
     Complete,
@@ -157,7 +157,7 @@
             self._move_entry()
         elif fault == "caller gone":
             self.gone = True
-            self._queue.append(CallerGone())
+            self._queue.append(CallerDisconnected())
         elif fault == "deadline passes":
             self._queue.append(DeadlinePassed())
         else:
