--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -29,9 +29,9 @@
 class StreamOpening:
     """Have one stream taken by an upstream."""
 
-    def __init__(self, work: StreamContext, resuming: StreamResuming) -> None:
+    def __init__(self, context: StreamContext, resuming: StreamResuming) -> None:
         """Take the stream, and who goes on with it where its upstream breaks."""
-        self._context = work
+        self._context = context
         self._resuming = resuming
 
     def open(self) -> Opened | Problem:
@@ -45,35 +45,37 @@
 
     def _try_one(self, tries: _Tries) -> Opened | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
-        work = self._context
-        if work.left() <= 0 or work.is_caller_disconnected:
-            return Problem(CODE_DEADLINE, 504, "the time is over", work.history.ran)
-        refusal = work.refusal()
+        context = self._context
+        if context.left() <= 0 or context.is_caller_disconnected:
+            return Problem(CODE_DEADLINE, 504, "the time is over", context.history.ran)
+        refusal = context.refusal()
         if refusal is not None:
             return refusal
         refusal = self._backoff_refusal()
         if refusal is not None:
             return refusal
-        limits = work.state.rate_limiting
+        limits = context.state.rate_limiting
         ready = self._ready(tries.avoid)
         waits_s = limits.patience_s(ready, self._patience_s())
         closed = limits.closed(ready, waits_s)
         if len(closed) == len(ready) and (ready or tries.denied):
-            service = work.admitted.service.name
-            return limits.refusal(service, ready or tries.denied, work.request_id)
-        run = work.placement.place(closed.union(tries.avoid), lambda: work.is_caller_disconnected)
+            service = context.admitted.service.name
+            return limits.refusal(service, ready or tries.denied, context.request_id)
+        run = context.placement.place(
+            closed.union(tries.avoid), lambda: context.is_caller_disconnected
+        )
         if run is None:
             return self._unserved(tries)
-        refusal = work.refusal()
+        refusal = context.refusal()
         if refusal is not None:
             # It was learned while the stream waited for its place.
-            work.drop(run)
+            context.drop(run)
             return refusal
-        if work.history.arrived and not work.budget_allows(run.upstream):
+        if context.history.arrived and not context.budget_allows(run.upstream):
             return self._unserved(tries)
         engine_id = run.upstream.upstream_id
-        if not limits.take_turn(engine_id, work.need(waits_s), work.request_id):
-            work.drop(run)
+        if not limits.take_turn(engine_id, context.need(waits_s), context.request_id):
+            context.drop(run)
             tries.avoid.add(engine_id)
             tries.denied.append(engine_id)
             return None
@@ -81,21 +83,21 @@
 
     def _send(self, run: StreamRun, tries: _Tries) -> Opened | Problem | None:
         """Send the request where it was placed; return None where that one did not take it."""
-        work = self._context
-        result = work.send(run)
+        context = self._context
+        result = context.send(run)
         if isinstance(result, Opened):
             if not result.marks.not_run:
                 return result
             tries.detail = f"turned away with {result.head.status}"
-            work.saw(run, Outcome.FULL)
+            context.saw(run, Outcome.FULL)
         elif result.sent:
             return self._after_break(run, str(result))
         else:
             tries.detail = str(result)
-            if work.state.can_start_on(run.upstream, work.history.sent_to):
-                work.saw(run, Outcome.UNREACHABLE)
-                work.state.on_upstream_suspected(run.upstream)
-        work.drop(run)
+            if context.state.can_start_on(run.upstream, context.history.sent_to):
+                context.saw(run, Outcome.UNREACHABLE)
+                context.state.on_upstream_suspected(run.upstream)
+        context.drop(run)
         tries.avoid.add(run.upstream.upstream_id)
         return None
 
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -28,9 +28,9 @@
 class StreamResuming:
     """Find a copy of one stream's run, and send the request there."""
 
-    def __init__(self, work: StreamContext) -> None:
+    def __init__(self, context: StreamContext) -> None:
         """Take the stream."""
-        self._context = work
+        self._context = context
 
     def resume(self, run: StreamRun, cause: str) -> Opened | None:
         """Go on at a copy; return the opened answer, or None where there is no copy."""
