--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -34,7 +34,7 @@
 STALE_AFTER_S: Final = 1.0
 """After a gap of this length between two looks the process has stood still: another one may have
 given permits meanwhile, and stops only when it hears of this one."""
-DEBT: Final = 3.0
+MAX_DEBT_PERMITS: Final = 3.0
 """Permits that streams under way, and calls that are not held back, may take ahead of time. They
 are taken off what follows, so over any longer time the sum stays the same."""
 QUESTIONS: Final = 2.0
@@ -108,7 +108,7 @@
         if now < self._quiet_until:
             return self._deny(wait_s, gap_s, now)
         due_at = max(self._next_at, now - BURST * gap_s)
-        if need.under_way and wait_s <= DEBT * gap_s:
+        if need.under_way and wait_s <= MAX_DEBT_PERMITS * gap_s:
             self._next_at = due_at + gap_s
             return Permit(0.0)
         patience_s = self._patience_s(need, now)
@@ -127,7 +127,7 @@
         """Count one call that is not held back."""
         gap_s = 1 / max(MIN_RATE_PER_S, per_s)
         due_at = max(self._next_at, now - BURST * gap_s)
-        self._next_at = min(due_at + gap_s, now + DEBT * gap_s)
+        self._next_at = min(due_at + gap_s, now + MAX_DEBT_PERMITS * gap_s)
 
     def _deny(self, wait_s: float, gap_s: float, now: float) -> Denial:
         """Refuse, and tell each one a time of its own."""
