--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -24,7 +24,7 @@
     DeadlinePassed,
     Deliver,
     Fail,
-    GrantArrived,
+    GrantReceived,
     GrantRefused,
     OpenStream,
     RelayAction,
@@ -105,7 +105,7 @@
 
     def _late(self, event: RelayEvent) -> list[RelayAction]:
         """Give back a grant that arrives after the end."""
-        if isinstance(event, GrantArrived):
+        if isinstance(event, GrantReceived):
             return [CloseGrant(self._grant_id, self._next, finished=False)]
         return []
 
@@ -129,7 +129,7 @@
         return [ResumeStream(event.runner_id, event.generation, event.next_index)]
 
     @_on.register
-    def _(self, event: GrantArrived) -> list[RelayAction]:
+    def _(self, event: GrantReceived) -> list[RelayAction]:
         if self._generation:
             return []
         self._runner_id = event.runner_id
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GrantArrived:
+class GrantReceived:
     """Receive a grant."""
 
     runner_id: str
@@ -81,7 +81,7 @@
 RelayEvent = (
     Started
     | ResumeRequested
-    | GrantArrived
+    | GrantReceived
     | GrantRefused
     | TokenArrived
     | StreamEnded
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -22,7 +22,7 @@
     DeadlinePassed,
     Deliver,
     Fail,
-    GrantArrived,
+    GrantReceived,
     GrantRefused,
     OpenStream,
     RelayAction,
@@ -341,7 +341,7 @@
             self._keep_waiting,
         )
         if isinstance(answer, Granted):
-            self._feed(GrantArrived(answer.runner_id, answer.rank))
+            self._feed(GrantReceived(answer.runner_id, answer.rank))
         elif isinstance(answer, Problem):
             self._feed(GrantRefused(answer))
         elif time.time() > self._request.deadline:
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -15,7 +15,7 @@
     DeadlinePassed,
     Deliver,
     Fail,
-    GrantArrived,
+    GrantReceived,
     GrantRefused,
     OpenStream,
     RelayAction,
@@ -152,7 +152,7 @@
             self._queue.append(TokenArrived("other-generation", self._machine.produced, b"x"))
             self._queue.append(StreamEnded("other-generation", 1, b"x"))
         elif fault == "late grant":
-            self._queue.append(GrantArrived("engine-9", 0))
+            self._queue.append(GrantReceived("engine-9", 0))
         elif fault == "entry dies":
             self._move_entry()
         elif fault == "caller gone":
@@ -228,7 +228,7 @@
         runners = [f"engine-{index}" for index in range(1, 5)]
         free = [one for one in runners if one not in action.avoid]
         self.open_grants.add(action.grant_id)
-        self._queue.append(GrantArrived(free[0], 0))
+        self._queue.append(GrantReceived(free[0], 0))
 
     def _open(self, action: OpenStream) -> None:
         """Answer as the engine that starts a generation."""
