--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -69,7 +69,7 @@
         """Take one repeat from the common budget."""
         return self.state.try_take_retry(upstream.service, self.admitted.marks.request_id)
 
-    def broke(self, run: StreamRun, fault: Exception | None = None) -> None:
+    def handle_break(self, run: StreamRun, fault: Exception | None = None) -> None:
         """Have it found out whether a run broke off because its upstream has crashed."""
         if self.is_caller_disconnected or run.pending_final_copy is not None:
             return
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -133,7 +133,7 @@
 
     def _after_break(self, run: StreamRun, detail: str) -> Opened | Problem:
         """Go on at a copy after a break before the answer's head."""
-        self._context.broke(run)
+        self._context.handle_break(run)
         resumed = self._resuming.resume(run, detail)
         if resumed is not None:
             return resumed
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -92,7 +92,7 @@
                 return self._complete(run)
             if self._context.is_caller_disconnected:
                 return False
-            self._context.broke(run, broken)
+            self._context.handle_break(run, broken)
             resumed = self._resuming.resume(run, str(broken))
             if resumed is None:
                 return self._break_off(run, str(broken))
@@ -112,7 +112,7 @@
                     parts.append(item.data)
         except (UpstreamError, TimeoutError) as fault:
             log_event(PREFIX_RELAY, f"A failure's body broke off: {fault}", request=run.request_id)
-            self._context.broke(run, fault)
+            self._context.handle_break(run, fault)
             problem = Problem(CODE_RUNNER_FAILED, 502, "the answer broke off", Ran.UNKNOWN)
             return self._answer_problem(problem)
         self._context.saw(run, Outcome.FAILED)
