--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-BURST: Final = 2.0
+BURST_PERMITS: Final = 2.0
 """Permits that add up while none is asked for. Within any time t an upstream gets no more than its
 limit times t and three more (and what streams under way take ahead): a limit of 0.5 a second is
 used by requests that come in pairs."""
@@ -107,7 +107,7 @@
         wait_s = self.wait_s(per_s, now)
         if now < self._quiet_until:
             return self._deny(wait_s, gap_s, now)
-        due_at = max(self._next_at, now - BURST * gap_s)
+        due_at = max(self._next_at, now - BURST_PERMITS * gap_s)
         if need.under_way and wait_s <= MAX_DEBT_PERMITS * gap_s:
             self._next_at = due_at + gap_s
             return Permit(0.0)
@@ -120,13 +120,15 @@
 
     def wait_s(self, per_s: float, now: float) -> float:
         """Return how long it is until the next permit, without taking it."""
-        due_at = max(self._next_at, now - BURST / max(MIN_RATE_PER_S, per_s), self._quiet_until)
+        due_at = max(
+            self._next_at, now - BURST_PERMITS / max(MIN_RATE_PER_S, per_s), self._quiet_until
+        )
         return max(0.0, due_at - now)
 
     def charge(self, per_s: float, now: float) -> None:
         """Count one call that is not held back."""
         gap_s = 1 / max(MIN_RATE_PER_S, per_s)
-        due_at = max(self._next_at, now - BURST * gap_s)
+        due_at = max(self._next_at, now - BURST_PERMITS * gap_s)
         self._next_at = min(due_at + gap_s, now + MAX_DEBT_PERMITS * gap_s)
 
     def _deny(self, wait_s: float, gap_s: float, now: float) -> Denial:
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -100,7 +100,7 @@
 @then("in any 4 s there are at most 4 s of the limit and 3 sends")
 def spaced(context: Any) -> None:
     """Count."""
-    most = 4 * context.load.limit + permits.BURST + 1
+    most = 4 * context.load.limit + permits.BURST_PERMITS + 1
     each(context, lambda one: one.most_in(4.0) <= most, lambda one: (one.most_in(4.0), most))
 
 
@@ -145,7 +145,7 @@
 def falls(context: Any, seconds: float) -> None:
     """Count."""
     since = MINUTE_S / 2 + seconds
-    most = 4 * context.load.falls_to + permits.BURST + 1
+    most = 4 * context.load.falls_to + permits.BURST_PERMITS + 1
     each(context, lambda one: one.most_in(4.0, since) <= most, lambda one: one.most_in(4.0, since))
 
 
