--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -16,7 +16,6 @@
     CODE_RUNNER_FAILED,
 )
 from driftstall.controllers.relay_messages import (
-    AskGrant,
     CallerDisconnected,
     CancelStream,
     CloseGrant,
@@ -29,6 +28,7 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    RequestGrant,
     ResumeRequested,
     ResumeStream,
     Started,
@@ -192,7 +192,7 @@
         self._grant_id = f"{self._request_id}-{self._attempt}"
         self._generation = ""
         self._runner_id = ""
-        return [AskGrant(self._grant_id, self._avoid)]
+        return [RequestGrant(self._grant_id, self._avoid)]
 
     def _resume(self, detail: str) -> list[RelayAction]:
         """Take up the same generation again, a bounded number of times."""
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskGrant:
+class RequestGrant:
     """Ask the owner for a grant, under an id of its own for each attempt."""
 
     grant_id: str
@@ -158,5 +158,5 @@
 
 
 RelayAction = (
-    AskGrant | OpenStream | ResumeStream | CancelStream | CloseGrant | Deliver | Complete | Fail
+    RequestGrant | OpenStream | ResumeStream | CancelStream | CloseGrant | Deliver | Complete | Fail
 )
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -14,7 +14,6 @@
 from driftstall.controllers.grant_messages import Granted
 from driftstall.controllers.relay import RelayMachine
 from driftstall.controllers.relay_messages import (
-    AskGrant,
     CallerDisconnected,
     CancelStream,
     CloseGrant,
@@ -27,6 +26,7 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    RequestGrant,
     ResumeRequested,
     ResumeStream,
     Started,
@@ -294,7 +294,7 @@
     def _carry_out(self, action: RelayAction) -> None:
         """Carry out one action."""
         match action:
-            case AskGrant():
+            case RequestGrant():
                 self._ask(action)
             case OpenStream():
                 self._open(action)
@@ -321,7 +321,7 @@
                 self._drop_stream()
                 self._out.append(Ended(action.problem))
 
-    def _ask(self, action: AskGrant) -> None:
+    def _ask(self, action: RequestGrant) -> None:
         """Wait for a grant."""
         if self._grant_ids:
             self._hub.stats.retries += 1
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -7,7 +7,6 @@
 
 from driftstall.controllers.relay import RelayMachine
 from driftstall.controllers.relay_messages import (
-    AskGrant,
     CallerDisconnected,
     CancelStream,
     CloseGrant,
@@ -20,6 +19,7 @@
     OpenStream,
     RelayAction,
     RelayEvent,
+    RequestGrant,
     ResumeRequested,
     ResumeStream,
     Started,
@@ -203,7 +203,7 @@
     def _carry_out(self, action: RelayAction) -> None:
         """Carry out one action in the world."""
         match action:
-            case AskGrant():
+            case RequestGrant():
                 self._grant(action)
             case OpenStream():
                 self._open(action)
@@ -219,7 +219,7 @@
                 assert self.end is None, "the caller has two final answers"
                 self.end = action
 
-    def _grant(self, action: AskGrant) -> None:
+    def _grant(self, action: RequestGrant) -> None:
         """Answer as the owner."""
         if self._take_fault("owner refuses"):
             problem = Problem("refused_by_policy", 429, "full", Ran.NOT_RUN, 1.0)
