--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -328,9 +328,9 @@
     """Fill the book."""
     book = context.book = LoadTable()
     book.put("r1", Share("u1", 100))
-    book.told("peer-1", (Use("u1", 1, 10),), 1.0)
-    book.told("peer-2", (Use("u2", 1, 20),), 1.0)
-    book.told(f"{POOLED_PREFIX}b", (Use("u1", 5, 1000),), 1.0)
+    book.record_peer("peer-1", (Use("u1", 1, 10),), 1.0)
+    book.record_peer("peer-2", (Use("u2", 1, 20),), 1.0)
+    book.record_peer(f"{POOLED_PREFIX}b", (Use("u1", 5, 1000),), 1.0)
 
 
 @then("the sum for other zones holds only its own zone")
@@ -350,5 +350,5 @@
 def after_change(context: Any) -> None:
     """Hear everything again from one collector."""
     context.book.forget_peers()
-    context.book.told(FLEET_KEY, (Use("u1", 6, 1010),), 2.0)
+    context.book.record_peer(FLEET_KEY, (Use("u1", 6, 1010),), 2.0)
     assert context.book.use("u1", 2.1) == Use("u1", 7, 1110)
