--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -81,7 +81,7 @@
         broken = BrokenRun(run.request_id, self.admitted.fingerprint, under_way)
         self.state.on_run_broken(run.upstream, broken)
 
-    def saw(self, run: StreamRun, outcome: Outcome) -> None:
+    def record_outcome(self, run: StreamRun, outcome: Outcome) -> None:
         """Take in how the upstream did; the time of a stream says nothing of it."""
         self.state.record_outcome(run.upstream.upstream_id, run.upstream.service, outcome, 0.0)
 
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -89,13 +89,13 @@
             if not result.marks.not_run:
                 return result
             tries.detail = f"turned away with {result.head.status}"
-            context.saw(run, Outcome.FULL)
+            context.record_outcome(run, Outcome.FULL)
         elif result.sent:
             return self._after_break(run, str(result))
         else:
             tries.detail = str(result)
             if context.state.can_start_on(run.upstream, context.history.sent_to):
-                context.saw(run, Outcome.UNREACHABLE)
+                context.record_outcome(run, Outcome.UNREACHABLE)
                 context.state.on_upstream_suspected(run.upstream)
         context.drop(run)
         tries.avoid.add(run.upstream.upstream_id)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -115,7 +115,7 @@
             self._context.handle_break(run, fault)
             problem = Problem(CODE_RUNNER_FAILED, 502, "the answer broke off", Ran.UNKNOWN)
             return self._answer_problem(problem)
-        self._context.saw(run, Outcome.FAILED)
+        self._context.record_outcome(run, Outcome.FAILED)
         self._state.stats.failed += 1
         body = b"".join(parts)
         data = whole(opened.head.status, opened.marks.passed, body, keep=self._keep)
@@ -205,7 +205,7 @@
 
     def _complete(self, run: StreamRun) -> bool:
         """End a whole stream."""
-        self._context.saw(run, Outcome.GOOD)
+        self._context.record_outcome(run, Outcome.GOOD)
         if run.exchange is not None and run.exchange.framed:
             # An answer without a length ends with its connection, as a crash does.
             self._state.record_success(self._admitted.fingerprint)
@@ -225,7 +225,7 @@
 
     def _break_off(self, run: StreamRun, cause: str) -> bool:
         """End a stream that cannot go on; without its last chunk it is visibly broken."""
-        self._context.saw(run, Outcome.BROKEN)
+        self._context.record_outcome(run, Outcome.BROKEN)
         self._state.stats.streams_broken += 1
         log_event(
             PREFIX_RELAY,
