--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -37,7 +37,7 @@
 MAX_DEBT_PERMITS: Final = 3.0
 """Permits that streams under way, and calls that are not held back, may take ahead of time. They
 are taken off what follows, so over any longer time the sum stays the same."""
-QUESTIONS: Final = 2.0
+ASKS_PER_PERMIT: Final = 2.0
 """Questions for each permit that who is denied is told to ask: not each one has a request to send
 when its time has come."""
 LONGEST_AGAIN_S: Final = 2.0
@@ -134,7 +134,7 @@
     def _deny(self, wait_s: float, gap_s: float, now: float) -> Denial:
         """Refuse, and tell each one a time of its own."""
         at = max(self._ask_at, now + wait_s)
-        self._ask_at = min(at + gap_s / QUESTIONS, now + max(wait_s, LONGEST_AGAIN_S))
+        self._ask_at = min(at + gap_s / ASKS_PER_PERMIT, now + max(wait_s, LONGEST_AGAIN_S))
         return Denial(at - now)
 
     def _patience_s(self, need: SendNeed, now: float) -> float:
