--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -171,7 +171,7 @@
             return []
         self._maybe_ran = self._maybe_ran or event.sent
         if self._delivered:
-            if event.gone:
+            if event.unknown_generation:
                 return self._end(CODE_INCOMPLETE, 502, event.detail)
             return self._resume(event.detail)
         return self._restart(event)
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -61,7 +61,7 @@
     generation: str
     sent: bool
     """Whether any byte of the request may have reached the runner."""
-    gone: bool
+    unknown_generation: bool
     """Whether the runner says that it does not know the generation."""
     detail: str
     barred: bool = False
