--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -27,7 +27,7 @@
 from driftstall.gateway.crash_refusal import crash_refusal
 from driftstall.gateway.exchange import End, Head, Piece, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.loads import Share
+from driftstall.gateway.loads import RequestLoad
 from driftstall.gateway.model import Headers, Repeat, SendMetadata, Upstream
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.runs import BrokenRun
@@ -211,7 +211,7 @@
     ) -> WholeAnswer | Failure:
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
-        share = Share(upstream.upstream_id)
+        share = RequestLoad(upstream.upstream_id)
         self._state.loads.put(request_id, share)
         self._state.notify_call_load_changed()
         try:
--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class RequestLoad:
     """Hold what one request takes from upstreams."""
 
     upstream_id: str
@@ -83,10 +83,10 @@
 
     def __init__(self) -> None:
         """Start with nothing running."""
-        self._shares: dict[str, Share] = {}
+        self._shares: dict[str, RequestLoad] = {}
         self._own: dict[str, Use] = {}
         self._peers: dict[str, _PeerSums] = {}
-        self._pending_shares: dict[str, Share] = {}
+        self._pending_shares: dict[str, RequestLoad] = {}
         self._pending: dict[str, Use] = {}
         """Sums of what was placed for others that they have not reported yet."""
 
@@ -95,7 +95,7 @@
         """Return this instance's sums, for its peers."""
         return tuple(self._own.values())
 
-    def put(self, request_id: str, share: Share) -> None:
+    def put(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request takes now."""
         self.drop(request_id)
         self._shares[request_id] = share
@@ -107,7 +107,7 @@
         if share is not None:
             _add(self._own, share, -1)
 
-    def put_pending(self, request_id: str, share: Share) -> None:
+    def put_pending(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request will take that was placed for another instance."""
         self.drop_pending(request_id)
         self._pending_shares[request_id] = share
@@ -166,7 +166,7 @@
         return total
 
 
-def _add(sums: dict[str, Use], share: Share, sign: int) -> None:
+def _add(sums: dict[str, Use], share: RequestLoad, sign: int) -> None:
     """Add a request's share to sums, or take it off."""
     use = Use(
         share.upstream_id,
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -24,7 +24,7 @@
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.exchange import Head, OpenExchanges, UpstreamExchange
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.loads import LoadTable, Share, Use
+from driftstall.gateway.loads import LoadTable, RequestLoad, Use
 from driftstall.gateway.model import GatewaySettings, Service, Upstream
 from driftstall.gateway.outcomes import Outcome, OutlierDetector
 from driftstall.gateway.routes import RouteTable
@@ -301,7 +301,7 @@
         left = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
         holder = run.backup or run.replica_target
         covered = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
-        share = Share(
+        share = RequestLoad(
             run.upstream.upstream_id,
             run.held_tokens + int(GROWTH_SHARE * left),
             0 if run.events else marks.input_tokens,
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -20,7 +20,7 @@
 )
 from driftstall.gateway.cold_gate import ColdGate
 from driftstall.gateway.collectors import FleetRoles
-from driftstall.gateway.loads import Share
+from driftstall.gateway.loads import RequestLoad
 from driftstall.gateway.selection import (
     CROSS_ZONE_STREAM_PENALTY,
     Sampler,
@@ -129,7 +129,7 @@
             # What runs from here is in the own sums as soon as it is sent.
             return
         tokens = asked.prompt_tokens + int(GROWTH_SHARE * asked.output_tokens)
-        share = Share(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
+        share = RequestLoad(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
         self._state.loads.put_pending(asked.request_id, share)
         self._pending.add(asked.sender, asked.request_id, self._state.now())
 
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -217,9 +217,9 @@
 
 def _share(upstream_id: str) -> Any:
     """Return the share of a request that fills most of an engine."""
-    from driftstall.gateway.loads import Share
+    from driftstall.gateway.loads import RequestLoad
 
-    return Share(upstream_id, 25_000, 0)
+    return RequestLoad(upstream_id, 25_000, 0)
 
 
 @then('a new stream runs in zone "b"')
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -12,7 +12,7 @@
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Listed, ListedByPeer
-from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, Share, Use
+from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, RequestLoad, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
 from driftstall.gateway.watch_delegation import (
@@ -327,7 +327,7 @@
 def hears_sums(context: Any) -> None:
     """Fill the book."""
     book = context.book = LoadTable()
-    book.put("r1", Share("u1", 100))
+    book.put("r1", RequestLoad("u1", 100))
     book.record_peer("peer-1", (Use("u1", 1, 10),), 1.0)
     book.record_peer("peer-2", (Use("u2", 1, 20),), 1.0)
     book.record_peer(f"{POOLED_PREFIX}b", (Use("u1", 5, 1000),), 1.0)
