--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -53,7 +53,7 @@
         self.run = run
         return self.sender.send(run)
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds that are left."""
         return self.admitted.ends_at - self.state.now()
 
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -46,7 +46,7 @@
     def _try_one(self, tries: _Tries) -> Opened | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         context = self._context
-        if context.left() <= 0 or context.is_caller_disconnected:
+        if context.remaining_s() <= 0 or context.is_caller_disconnected:
             return Problem(CODE_DEADLINE, 504, "the time is over", context.history.ran)
         refusal = context.refusal()
         if refusal is not None:
@@ -137,7 +137,7 @@
         resumed = self._resuming.resume(run, detail)
         if resumed is not None:
             return resumed
-        if self._context.left() <= 0:
+        if self._context.remaining_s() <= 0:
             return Problem(CODE_DEADLINE, 504, "the time is over", self._context.history.ran)
         detail = "the upstream broke off; the request may have run"
         return Problem(CODE_RUNNER_FAILED, 502, detail, self._context.history.ran)
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -36,7 +36,7 @@
         """Go on at a copy; return the opened answer, or None where there is no copy."""
         while (
             run.moves < MAX_RESUMES
-            and self._context.left() > 0
+            and self._context.remaining_s() > 0
             and not self._context.is_caller_disconnected
         ):
             if run.exchange is not None:
@@ -47,7 +47,7 @@
                 return None
             if not self._await_cold(copy.upstream):
                 continue
-            need = self._context.need(min(TURN_WAIT_S, self._context.left()), under_way=True)
+            need = self._context.need(min(TURN_WAIT_S, self._context.remaining_s()), under_way=True)
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
             if not limits.take_turn(engine_id, need, self._context.request_id):
                 continue
@@ -76,7 +76,9 @@
     def _take_copy(self, run: StreamRun) -> ReplicaRef | None:
         """Return the copy to go on at; where all engines with one back off, wait for the first."""
         state, deferred = self._context.state, []
-        while (copy := self._context.replicas.take_replica(run, self._context.left())) is not None:
+        while (
+            copy := self._context.replicas.take_replica(run, self._context.remaining_s())
+        ) is not None:
             if not state.backoff_s(copy.upstream):
                 return copy
             deferred.append(copy)
@@ -84,7 +86,7 @@
         if first is None:
             return None
         wait_s = state.backoff_s(first.upstream)
-        if wait_s > min(BACKOFF_WAIT_S, self._context.left()):
+        if wait_s > min(BACKOFF_WAIT_S, self._context.remaining_s()):
             return None
         gevent.sleep(wait_s)
         return first
@@ -94,7 +96,7 @@
 
         Callers give a stream up after a pause of two seconds or more.
         """
-        until = self._context.state.now() + min(COLD_WAIT_S, self._context.left())
+        until = self._context.state.now() + min(COLD_WAIT_S, self._context.remaining_s())
         while (wait_s := self._context.state.cold_gate.wait_s(upstream)) > 0:
             if self._context.state.now() + wait_s > until:
                 log_event(
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -105,7 +105,7 @@
         parts: list[bytes] = []
         try:
             while True:
-                item = run.exchange.next(max(0.0, self._context.left()))
+                item = run.exchange.next(max(0.0, self._context.remaining_s()))
                 if isinstance(item, End):
                     break
                 if isinstance(item, Piece):
@@ -138,7 +138,10 @@
             except UpstreamError as fault:
                 return fault
             except TimeoutError as fault:
-                if self._context.left() > 0 and not self._context.replicas.has_current_backup(run):
+                if (
+                    self._context.remaining_s() > 0
+                    and not self._context.replicas.has_current_backup(run)
+                ):
                     # The copy's engine has left meanwhile: to wait is all there is.
                     continue
                 return fault
@@ -152,7 +155,7 @@
                 if splitter.inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
                 if not run.exchange.framed and self._context.replicas.may_have_stopped(
-                    run, self._context.left()
+                    run, self._context.remaining_s()
                 ):
                     # A run that is stopped for a move closes its connection just like this.
                     return UpstreamError("the stream ended while it was moved", sent=True)
@@ -160,7 +163,7 @@
 
     def _patience(self, run: StreamRun) -> float:
         """Return how long to wait for the next event, in seconds."""
-        left = max(0.0, self._context.left())
+        left = max(0.0, self._context.remaining_s())
         if self._context.replicas.has_current_backup(run):
             return min(left, SILENCE_S)
         return left
