--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -40,7 +40,7 @@
 ASKS_PER_PERMIT: Final = 2.0
 """Questions for each permit that who is denied is told to ask: not each one has a request to send
 when its time has come."""
-LONGEST_AGAIN_S: Final = 2.0
+MAX_DENIAL_S: Final = 2.0
 """The longest time that one who is denied is told to wait; in fleets of hundreds the questions are
 as many as the instances in this time then."""
 NOT_ASKED_S: Final = 0.3
@@ -134,7 +134,7 @@
     def _deny(self, wait_s: float, gap_s: float, now: float) -> Denial:
         """Refuse, and tell each one a time of its own."""
         at = max(self._ask_at, now + wait_s)
-        self._ask_at = min(at + gap_s / ASKS_PER_PERMIT, now + max(wait_s, LONGEST_AGAIN_S))
+        self._ask_at = min(at + gap_s / ASKS_PER_PERMIT, now + max(wait_s, MAX_DENIAL_S))
         return Denial(at - now)
 
     def _patience_s(self, need: SendNeed, now: float) -> float:
