--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -205,7 +205,7 @@
         """Start elsewhere, since the caller has seen no token yet."""
         dropped = self._drop()
         self._avoid |= {self._runner_id}
-        if event.barred or self._attempt >= MAX_ATTEMPTS or not self._budget.spend():
+        if event.quarantined or self._attempt >= MAX_ATTEMPTS or not self._budget.spend():
             self._done = True
             problem = self._problem(CODE_RUNNER_FAILED, 502, event.detail)
             return [*dropped, Fail(problem)]
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -64,7 +64,7 @@
     unknown_generation: bool
     """Whether the runner says that it does not know the generation."""
     detail: str
-    barred: bool = False
+    quarantined: bool = False
     """Whether the request is to be sent to no further runner: some have crashed under it."""
 
 
