--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -212,7 +212,7 @@
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
         share = RequestLoad(upstream.upstream_id)
-        self._state.loads.put(request_id, share)
+        self._state.loads.set_load(request_id, share)
         self._state.notify_call_load_changed()
         try:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._left()))
--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -95,7 +95,7 @@
         """Return this instance's sums, for its peers."""
         return tuple(self._own.values())
 
-    def put(self, request_id: str, share: RequestLoad) -> None:
+    def set_load(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request takes now."""
         self.drop(request_id)
         self._shares[request_id] = share
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -308,7 +308,7 @@
             holder.upstream_id if holder else "",
             run.held_tokens if run.events and not covered else 0,
         )
-        self.loads.put(run.request_id, share)
+        self.loads.set_load(run.request_id, share)
         self.loads_changed.set()
 
     def memory_load(self, service_name: str) -> float:
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -212,7 +212,7 @@
     UpstreamExchange.connect = classmethod(connect)  # type: ignore[method-assign, assignment]
     context.add_cleanup(setattr, UpstreamExchange, "connect", classmethod(usual))
     # So full that zone "a" is chosen.
-    world.state.loads.put("load", _share(world.engines[2].upstream_id))
+    world.state.loads.set_load("load", _share(world.engines[2].upstream_id))
 
 
 def _share(upstream_id: str) -> Any:
@@ -238,7 +238,7 @@
 
     world = world_of(context)
     for number, one in enumerate(world.engines[:2]):
-        world.state.loads.put(f"load-{number}", _share(one.upstream_id))
+        world.state.loads.set_load(f"load-{number}", _share(one.upstream_id))
     (context.script,) = script_all(world, "s1", [Script(events=8, pause_after=4, break_after=4)])
     context.asked = world.ask_later("/stream/a", "s1", Length_Hint="1500")
     wait_for("four events", lambda: any(run.events >= 4 for run in world.state.runs.all))
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -327,7 +327,7 @@
 def hears_sums(context: Any) -> None:
     """Fill the book."""
     book = context.book = LoadTable()
-    book.put("r1", RequestLoad("u1", 100))
+    book.set_load("r1", RequestLoad("u1", 100))
     book.record_peer("peer-1", (Use("u1", 1, 10),), 1.0)
     book.record_peer("peer-2", (Use("u2", 1, 20),), 1.0)
     book.record_peer(f"{POOLED_PREFIX}b", (Use("u1", 5, 1000),), 1.0)
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -26,7 +26,7 @@
 def loads(context: Any) -> None:
     """Fill a book."""
     context.loads = LoadTable()
-    context.loads.put("r1", RequestLoad("u1", 1000, 600, "u2"))
+    context.loads.set_load("r1", RequestLoad("u1", 1000, 600, "u2"))
     context.loads.record_peer("peer", (Use("u1", 1, 500, 0, 0, 500),), 10.0)
 
 
