--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -61,7 +61,7 @@
         """Return why the request is sent to no upstream, if so."""
         return crash_refusal(self.state, self.admitted, self.history.ran)
 
-    def need(self, most_wait_s: float, *, under_way: bool = False) -> SendNeed:
+    def send_need(self, most_wait_s: float, *, under_way: bool = False) -> SendNeed:
         """Return what a send needs at an upstream that names a limit."""
         return SendNeed(most_wait_s, self.admitted.verdict.rank, under_way)
 
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -74,7 +74,7 @@
         if context.history.arrived and not context.budget_allows(run.upstream):
             return self._unserved(tries)
         engine_id = run.upstream.upstream_id
-        if not limits.take_turn(engine_id, context.need(waits_s), context.request_id):
+        if not limits.take_turn(engine_id, context.send_need(waits_s), context.request_id):
             context.drop(run)
             tries.avoid.add(engine_id)
             tries.denied.append(engine_id)
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -47,7 +47,9 @@
                 return None
             if not self._await_cold(copy.upstream):
                 continue
-            need = self._context.need(min(TURN_WAIT_S, self._context.remaining_s()), under_way=True)
+            need = self._context.send_need(
+                min(TURN_WAIT_S, self._context.remaining_s()), under_way=True
+            )
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
             if not limits.take_turn(engine_id, need, self._context.request_id):
                 continue
