--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -43,7 +43,7 @@
 MAX_DENIAL_S: Final = 2.0
 """The longest time that one who is denied is told to wait; in fleets of hundreds the questions are
 as many as the instances in this time then."""
-NOT_ASKED_S: Final = 0.3
+NOT_OWNER_RETRY_S: Final = 0.3
 """When to ask again one that does not answer for an upstream: the member lists differ."""
 LESS_URGENT_SHARE: Final = 0.5
 """Share of its patience that a request waits while more urgent ones ask as well."""
@@ -175,7 +175,7 @@
         """Give or refuse a permit for an upstream."""
         allowance = self._find(upstream_id, now)
         if allowance is None:
-            return Denial(NOT_ASKED_S)
+            return Denial(NOT_OWNER_RETRY_S)
         return allowance.ask(need, per_s, now)
 
     def charge(self, upstream_id: str, per_s: float, now: float) -> None:
