--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -169,7 +169,7 @@
     def _(self, event: StreamFailed) -> list[RelayAction]:
         if event.generation != self._generation:
             return []
-        self._maybe_ran = self._maybe_ran or event.sent
+        self._maybe_ran = self._maybe_ran or event.may_have_run
         if self._delivered:
             if event.unknown_generation:
                 return self._end(CODE_INCOMPLETE, 502, event.detail)
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -59,7 +59,7 @@
     """Learn that a stream broke, stalled or was refused by the runner."""
 
     generation: str
-    sent: bool
+    may_have_run: bool
     """Whether any byte of the request may have reached the runner."""
     unknown_generation: bool
     """Whether the runner says that it does not know the generation."""
