--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -218,7 +218,7 @@
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._left()))
             exchange = self._state.connect(upstream, timeout_s)
         except UpstreamError as fault:
-            self._state.loads.drop(request_id)
+            self._state.loads.remove_load(request_id)
             return Failure(Outcome.UNREACHABLE, Fate.UNSENT, str(fault))
         self._exchange = exchange
         try:
@@ -238,7 +238,7 @@
         finally:
             exchange.close()
             self._exchange = None
-            self._state.loads.drop(request_id)
+            self._state.loads.remove_load(request_id)
             self._state.notify_call_load_changed()
 
     def _read_answer(self, upstream: Upstream, exchange: UpstreamExchange) -> WholeAnswer | Failure:
--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -97,11 +97,11 @@
 
     def set_load(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request takes now."""
-        self.drop(request_id)
+        self.remove_load(request_id)
         self._shares[request_id] = share
         _add(self._own, share, 1)
 
-    def drop(self, request_id: str) -> None:
+    def remove_load(self, request_id: str) -> None:
         """Forget a request that has ended."""
         share = self._shares.pop(request_id, None)
         if share is not None:
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -90,7 +90,7 @@
         if run.exchange is not None:
             run.exchange.close()
         self.state.runs.remove(run)
-        self.state.loads.drop(run.request_id)
+        self.state.loads.remove_load(run.request_id)
         self.state.loads_changed.set()
 
     def finish(self) -> None:
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -48,7 +48,7 @@
 @then("nothing is left once the request has ended")
 def all_gone(context: Any) -> None:
     """End the request."""
-    context.loads.drop("r1")
+    context.loads.remove_load("r1")
     assert context.loads.own == ()
 
 
