--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -343,7 +343,7 @@
         # A follower knows the platform's list better than any other collector.
         age_s = summary.platform_age_ms / MS
         self._reporting.record_zone_summary(summary)
-        self._reliance.heard(age_s, self._state.now())
+        self._reliance.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if not self._roles.follows and age_s <= FRESH_S:
             self._sharing.compare_fleet(summary)
@@ -357,7 +357,7 @@
             # Its sender does not know yet that this instance collects now.
             return
         self._reporting.record_fleet_summary(summary)
-        self._reliance.heard(summary.platform_age_ms / MS, self._state.now())
+        self._reliance.record_collector_report(summary.platform_age_ms / MS, self._state.now())
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if self._reliance.holds(self._state.now()):
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -62,7 +62,7 @@
         """Return the source of chance."""
         return self._source
 
-    def heard(self, platform_age_s: float, now: float) -> None:
+    def record_collector_report(self, platform_age_s: float, now: float) -> None:
         """Take in a collector's word: how long ago the platform answered it, in seconds."""
         self._heard_at = now
         if platform_age_s <= FRESH_S:
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -235,7 +235,7 @@
     """Let it be one of three, and all rely on them."""
     answered_instance(context)
     reliance = WatchDelegation(random.Random(1))
-    reliance.heard(0.0, 0.0)
+    reliance.record_collector_report(0.0, 0.0)
     context.reach = StoreReachability(
         FeedReachability(context.routes, context.routes),
         FeedReachability(context.list, context.list),
