--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -53,7 +53,7 @@
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
             if not limits.take_turn(engine_id, need, self._context.request_id):
                 continue
-            if self._context.refusal() is not None or not self._context.budget_allows(
+            if self._context.refusal() is not None or not self._context.try_take_repeat(
                 copy.upstream
             ):
                 return None
