--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -45,7 +45,7 @@
 as many as the instances in this time then."""
 NOT_OWNER_RETRY_S: Final = 0.3
 """When to ask again one that does not answer for an upstream: the member lists differ."""
-LESS_URGENT_SHARE: Final = 0.5
+LOW_RANK_WAIT_SHARE: Final = 0.5
 """Share of its patience that a request waits while more urgent ones ask as well."""
 URGENT_IN_A_ROW: Final = 2
 """More urgent requests that get permits before a less urgent one may wait for as long as they."""
@@ -141,7 +141,7 @@
         """Return how long a request may wait: less while more urgent ones come."""
         is_less_urgent = now < self._rank_until and need.rank > self._rank
         if is_less_urgent and self._urgent_in_a_row < URGENT_IN_A_ROW:
-            return LESS_URGENT_SHARE * need.most_wait_s
+            return LOW_RANK_WAIT_SHARE * need.most_wait_s
         return need.most_wait_s
 
     def _note_rank(self, need: SendNeed, now: float) -> None:
