--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -64,7 +64,7 @@
         self._done = False
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Tell whether the caller has its final answer."""
         return self._done
 
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -180,7 +180,7 @@
         try:
             self._feed(self.first)
             yield from self._drain()
-            while not self._machine.done:
+            while not self._machine.is_done:
                 yield from self._pump()
                 yield from self._drain()
         finally:
@@ -188,7 +188,7 @@
 
     def _leave(self) -> None:
         """Free everything if the caller vanished."""
-        if not self._machine.done:
+        if not self._machine.is_done:
             self._caller_left()
         self._drop_stream()
 
@@ -222,7 +222,7 @@
                         yield Tokens(tuple(tokens))
                         tokens = []
                     self._take(event)
-                    if self._stream is not stream or machine.done:
+                    if self._stream is not stream or machine.is_done:
                         # What else arrived belongs to a stream that was given up.
                         return
                 if tokens:
@@ -230,7 +230,7 @@
                     asking.progress(request_id, machine.produced)
                     stats.tokens += len(tokens)
                     yield Tokens(tuple(tokens))
-                if self._out or self._stream is not stream or machine.done:
+                if self._out or self._stream is not stream or machine.is_done:
                     return
                 if time.time() > deadline:
                     self._feed(DeadlinePassed())
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -176,7 +176,7 @@
 
     def _move_entry(self) -> None:
         """Let the entry die; the caller comes back elsewhere with its last token."""
-        if self.end is not None or self.gone or self._machine.done:
+        if self.end is not None or self.gone or self._machine.is_done:
             return
         # The owner drops a dead entry's grants; the engine drops what nobody reads.
         self.open_grants.clear()
