--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -107,7 +107,7 @@
         if share is not None:
             _add(self._own, share, -1)
 
-    def put_pending(self, request_id: str, share: RequestLoad) -> None:
+    def set_pending(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request will take that was placed for another instance."""
         self.drop_pending(request_id)
         self._pending_shares[request_id] = share
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -130,7 +130,7 @@
             return
         tokens = asked.prompt_tokens + int(GROWTH_SHARE * asked.output_tokens)
         share = RequestLoad(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
-        self._state.loads.put_pending(asked.request_id, share)
+        self._state.loads.set_pending(asked.request_id, share)
         self._pending.add(asked.sender, asked.request_id, self._state.now())
 
     def _forget_expired(self) -> None:
