--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -360,7 +360,7 @@
         self._reliance.record_collector_report(summary.platform_age_ms / MS, self._state.now())
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
-        if self._reliance.holds(self._state.now()):
+        if self._reliance.is_delegated(self._state.now()):
             self._sharing.compare_fleet(summary)
 
     def _take_signals(
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -93,7 +93,7 @@
             return not self.is_answered
         if self._is_first_to_miss():
             return True
-        is_relied_on = self._reliance.holds(self._now())
+        is_relied_on = self._reliance.is_delegated(self._now())
         return not is_relied_on and self._upstreams.pace.age_s > FRESH_S
 
     def _is_first_to_miss(self) -> bool:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -69,7 +69,7 @@
             self._good_at = now
             self._next_try.clear()
 
-    def holds(self, now: float) -> bool:
+    def is_delegated(self, now: float) -> bool:
         """Tell whether a collector follows the platform for this instance."""
         return now - self._good_at <= TRUST_S
 
@@ -78,7 +78,7 @@
 
         Feeds of one name share the questions of an outage.
         """
-        if self.holds(now):
+        if self.is_delegated(now):
             return self._good_at + TRUST_S - now
         if now - self._heard_at > TRUST_S:
             return 0.0
@@ -135,7 +135,7 @@
     @property
     def covered(self) -> bool:
         """Tell whether a collector follows the feed for this instance."""
-        return not self._follows_always and self._reliance.holds(self._now())
+        return not self._follows_always and self._reliance.is_delegated(self._now())
 
     def hold_s(self) -> float:
         """Return for how long to make no call."""
