--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -85,7 +85,7 @@
         """Take in how the upstream did; the time of a stream says nothing of it."""
         self.state.record_outcome(run.upstream.upstream_id, run.upstream.service, outcome, 0.0)
 
-    def drop(self, run: StreamRun) -> None:
+    def remove_run(self, run: StreamRun) -> None:
         """Take a run off the books."""
         if run.exchange is not None:
             run.exchange.close()
@@ -102,4 +102,4 @@
         if run.exchange is not None:
             run.exchange.close()
         self.mover.drop_replica(run)
-        self.drop(run)
+        self.remove_run(run)
--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -69,13 +69,13 @@
         refusal = context.refusal()
         if refusal is not None:
             # It was learned while the stream waited for its place.
-            context.drop(run)
+            context.remove_run(run)
             return refusal
         if context.history.arrived and not context.try_take_repeat(run.upstream):
             return self._unserved(tries)
         engine_id = run.upstream.upstream_id
         if not limits.take_turn(engine_id, context.send_need(waits_s), context.request_id):
-            context.drop(run)
+            context.remove_run(run)
             tries.avoid.add(engine_id)
             tries.denied.append(engine_id)
             return None
@@ -97,7 +97,7 @@
             if context.state.can_start_on(run.upstream, context.history.sent_to):
                 context.record_outcome(run, Outcome.UNREACHABLE)
                 context.state.on_upstream_suspected(run.upstream)
-        context.drop(run)
+        context.remove_run(run)
         tries.avoid.add(run.upstream.upstream_id)
         return None
 
