--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -47,7 +47,7 @@
 """When to ask again one that does not answer for an upstream: the member lists differ."""
 LOW_RANK_WAIT_SHARE: Final = 0.5
 """Share of its patience that a request waits while more urgent ones ask as well."""
-URGENT_IN_A_ROW: Final = 2
+MAX_URGENT_IN_A_ROW: Final = 2
 """More urgent requests that get permits before a less urgent one may wait for as long as they."""
 URGENT_SEEN_S: Final = 2.0
 """How long a question counts by which more urgent requests are known to come."""
@@ -140,7 +140,7 @@
     def _patience_s(self, need: SendNeed, now: float) -> float:
         """Return how long a request may wait: less while more urgent ones come."""
         is_less_urgent = now < self._rank_until and need.rank > self._rank
-        if is_less_urgent and self._urgent_in_a_row < URGENT_IN_A_ROW:
+        if is_less_urgent and self._urgent_in_a_row < MAX_URGENT_IN_A_ROW:
             return LOW_RANK_WAIT_SHARE * need.most_wait_s
         return need.most_wait_s
 
