--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -94,7 +94,7 @@
             return self._late(event)
         return self._on(event)
 
-    def accept(self, generation: str, index: int) -> bool:
+    def accept_token(self, generation: str, index: int) -> bool:
         """Tell whether a token is the next one, and count it: the short way."""
         if self._done or generation != self._generation or index != self._next:
             return False
@@ -153,7 +153,7 @@
             return []
         if event.index > self._next:
             return self._resume("a token is missing")
-        self.accept(event.generation, event.index)
+        self.accept_token(event.generation, event.index)
         return [Deliver(event.generation, event.index, event.data)]
 
     @_on.register
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -215,7 +215,7 @@
             for events in stream:
                 tokens = []
                 for event in events:
-                    if type(event) is EngineToken and machine.accept(*event[:2]):
+                    if type(event) is EngineToken and machine.accept_token(*event[:2]):
                         tokens.append(Token(*event[:2], runner_id, event.data))
                         continue
                     if tokens:
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -108,7 +108,7 @@
     @staticmethod
     def _handle(machine: RelayMachine, event: RelayEvent) -> list[RelayAction]:
         """Hand an event over as the shell does: the next token takes the short way."""
-        if isinstance(event, TokenArrived) and machine.accept(event.generation, event.index):
+        if isinstance(event, TokenArrived) and machine.accept_token(event.generation, event.index):
             return [Deliver(event.generation, event.index, event.data)]
         return machine.handle(event)
 
