--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -109,11 +109,11 @@
 
     def set_pending(self, request_id: str, share: RequestLoad) -> None:
         """Set what a request will take that was placed for another instance."""
-        self.drop_pending(request_id)
+        self.remove_pending(request_id)
         self._pending_shares[request_id] = share
         _add(self._pending, share, 1)
 
-    def drop_pending(self, request_id: str) -> None:
+    def remove_pending(self, request_id: str) -> None:
         """Forget a request that its instance reports by now, or never began."""
         share = self._pending_shares.pop(request_id, None)
         if share is not None:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -87,7 +87,7 @@
     def handle_report(self, member: str) -> None:
         """Learn that a member has reported all that it runs."""
         for request_id in self._pending.reported(member, self._state.now()):
-            self._state.loads.drop_pending(request_id)
+            self._state.loads.remove_pending(request_id)
 
     def _choose(self, asked: PlacementAsked) -> PlacementGiven | None:
         """Choose the engine and where a copy is kept, and remember it."""
@@ -136,4 +136,4 @@
     def _forget_expired(self) -> None:
         """Forget choices that nobody has reported."""
         for request_id in self._pending.expired(self._state.now()):
-            self._state.loads.drop_pending(request_id)
+            self._state.loads.remove_pending(request_id)
