--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -110,9 +110,9 @@
         self._at = max(self._at, upstream.revision)
         if not event.from_peer:
             self._told_to = max(self._told_to, upstream.revision)
-        if not event.unknown_generation and event.from_peer:
+        if not event.gone and event.from_peer:
             self._put_late_word(upstream, now)
-        elif not event.unknown_generation:
+        elif not event.gone:
             self._put(upstream, now, since)
         elif 0 < upstream.born < self._latest_start(upstream.name):
             # The end of a start says nothing of the one that has followed it.
--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -107,9 +107,7 @@
             values = [_versioned(one) for one in listing.objects]
             return listing.at.revision, tuple(values)
         answer = self._store.watch(kind, StoreVersion.of(self._store.era, after), WATCH_S)
-        return answer.at.revision, tuple(
-            _value(event) for event in answer.events if not event.unknown_generation
-        )
+        return answer.at.revision, tuple(_value(event) for event in answer.events if not event.gone)
 
     def members(self) -> tuple[ListedMember, ...]:
         """Return the platform's list of instances and runners."""
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -74,11 +74,11 @@
 
     def _change(self, event: WatchEvent) -> ItemChange[Item] | None:
         """Decode one change."""
-        if event.unknown_generation and self._decode_gone is not None:
+        if event.gone and self._decode_gone is not None:
             return ItemChange(self._decode_gone(event.changed), gone=True)
         item = self._item(event.changed)
         if item is not None:
-            return ItemChange(item, event.unknown_generation)
+            return ItemChange(item, event.gone)
         if self._decode_gone is not None:
             return ItemChange(self._decode_gone(event.changed), gone=True)
         return None
