--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -80,7 +80,7 @@
 class WatchPacing(Protocol):
     """Tell a follower when to call, and how long a watch may wait."""
 
-    def hold_s(self) -> float:
+    def delay_s(self) -> float:
         """Return for how long to make no call; zero to go on now."""
 
     def watch_s(self) -> float:
@@ -149,9 +149,9 @@
         """Make one call and pass on what it brought, or wait where none is to be made."""
         if self._lists_next:
             self._at, self._lists_next = None, False
-        hold_s = self._pace.hold_s() if self._at is not None else 0.0
-        if hold_s > 0:
-            self._sleep(min(hold_s, HOLD_CHECK_S))
+        delay_s = self._pace.delay_s() if self._at is not None else 0.0
+        if delay_s > 0:
+            self._sleep(min(delay_s, HOLD_CHECK_S))
             return
         try:
             if self._at is None:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -73,7 +73,7 @@
         """Tell whether a collector follows the platform for this instance."""
         return now - self._good_at <= TRUST_S
 
-    def hold_s(self, now: float, feed: str = "") -> float:
+    def delay_s(self, now: float, feed: str = "") -> float:
         """Return for how long to leave the platform alone; zero to ask it now.
 
         Feeds of one name share the questions of an outage.
@@ -137,14 +137,14 @@
         """Tell whether a collector follows the feed for this instance."""
         return not self._follows_always and self._reliance.is_delegated(self._now())
 
-    def hold_s(self) -> float:
+    def delay_s(self) -> float:
         """Return for how long to make no call."""
         left_s = self._settled_at - self._now()
         if left_s > 0:
             return left_s
         if self._follows_always or self.age_s <= FRESH_S and not self.covered:
             return 0.0
-        return self._reliance.hold_s(self._now(), self._feed)
+        return self._reliance.delay_s(self._now(), self._feed)
 
     def watch_s(self) -> float:
         """Return how long an idle watch waits."""
@@ -180,7 +180,7 @@
         self._roles = roles
         self._behind = behind
 
-    def hold_s(self) -> float:
+    def delay_s(self) -> float:
         """Return for how long to make no call."""
         roles = self._roles()
         return 0.0 if roles.follows or self._behind() else TRUST_S
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -69,7 +69,7 @@
             if platform_age_s is not None and self.clock.now - spoke_at >= WORD_EVERY_S:
                 spoke_at = self.clock.now
                 self.reliance.record_collector_report(platform_age_s, self.clock.now)
-            if self.pace.hold_s() <= 0:
+            if self.pace.delay_s() <= 0:
                 self.calls.append(self.clock.now)
             self.clock.now += STEP_S
 
@@ -184,7 +184,7 @@
 def at_once(context: Any) -> None:
     """Look at the pace."""
     context.follows.reliance.record_collector_report(30.0, context.follows.clock.now)
-    assert context.follows.pace.hold_s() == 0.0
+    assert context.follows.pace.delay_s() == 0.0
 
 
 @given("a collector of a large fleet, and an instance of a small one")
@@ -197,9 +197,9 @@
 def any_time(context: Any) -> None:
     """Ask after a good word as well."""
     for one in context.both:
-        assert one.pace.hold_s() == 0.0
+        assert one.pace.delay_s() == 0.0
         one.reliance.record_collector_report(0.1, one.clock.now)
-        assert one.pace.hold_s() == 0.0
+        assert one.pace.delay_s() == 0.0
         assert not one.pace.covered
 
 
@@ -213,9 +213,9 @@
 @then("it leaves the policies alone until a collector tells of revision 9")
 def until_newer(context: Any) -> None:
     """Compare before and after."""
-    assert context.policy_pace.hold_s() > 0
+    assert context.policy_pace.delay_s() > 0
     context.told_revision = 9
-    assert context.policy_pace.hold_s() == 0.0
+    assert context.policy_pace.delay_s() == 0.0
 
 
 @given('the platform tells of an upstream "{name}" at revision {revision:d}')
