--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.placement import StreamPlacement
-from driftstall.gateway.resumption import ReplicaFinder
+from driftstall.gateway.replica_finder import ReplicaFinder
 from driftstall.gateway.runs import BrokenRun, StreamRun
 from driftstall.gateway.sending import Opened, StreamSender
 from driftstall.gateway.state import GatewayState
