--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -49,7 +49,7 @@
 """Share of its patience that a request waits while more urgent ones ask as well."""
 MAX_URGENT_IN_A_ROW: Final = 2
 """More urgent requests that get permits before a less urgent one may wait for as long as they."""
-URGENT_SEEN_S: Final = 2.0
+URGENT_MEMORY_S: Final = 2.0
 """How long a question counts by which more urgent requests are known to come."""
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 5.0
@@ -148,7 +148,7 @@
         """Remember the most urgent rank of late, and how often in a row it has had its turn."""
         if now >= self._rank_until or need.rank <= self._rank:
             self._urgent_in_a_row += 1
-            self._rank, self._rank_until = need.rank, now + URGENT_SEEN_S
+            self._rank, self._rank_until = need.rank, now + URGENT_MEMORY_S
         else:
             self._urgent_in_a_row = 0
 
