--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -91,7 +91,7 @@
     def handle(self, event: RelayEvent) -> list[RelayAction]:
         """Take one event and return the actions it leads to."""
         if self._done:
-            return self._late(event)
+            return self._handle_late(event)
         return self._on(event)
 
     def accept_token(self, generation: str, index: int) -> bool:
@@ -103,7 +103,7 @@
         self._resumes = 0
         return True
 
-    def _late(self, event: RelayEvent) -> list[RelayAction]:
+    def _handle_late(self, event: RelayEvent) -> list[RelayAction]:
         """Give back a grant that arrives after the end."""
         if isinstance(event, GrantReceived):
             return [CloseGrant(self._grant_id, self._next, finished=False)]
