--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -129,7 +129,7 @@
         )
         option = self._choose_open(options)
         if option is not None:
-            gate.took(option.upstream)
+            gate.record_send(option.upstream)
             return option
         if not options or tries.history.ran is not Ran.NOT_RUN:
             return self._unserved(tries)
@@ -145,7 +145,7 @@
             retry_s = max(FULL_RETRY_S, wait_s)
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, retry_s)
         # The turn is taken at once: others that come meanwhile wait for the next one.
-        gate.took(first.upstream)
+        gate.record_send(first.upstream)
         gevent.sleep(wait_s)
         return first
 
--- a/driftstall/gateway/cold_gate.py
+++ b/driftstall/gateway/cold_gate.py
@@ -42,7 +42,7 @@
             return 0.0
         return min(cold_s, self._slots.wait_s(upstream.upstream_id, part, now))
 
-    def took(self, upstream: Upstream) -> None:
+    def record_send(self, upstream: Upstream) -> None:
         """Use the slot for a request to an upstream, if it is cold."""
         is_cold = self._cold.ends_in_s(upstream.upstream_id, self._now()) > 0
         part = self._part(upstream.service) if is_cold else None
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -168,7 +168,7 @@
         backup = self._choose_backup(chosen.upstream, need, frozenset())
         room = has_room(chosen, self.engine, need)
         if room or taken_anyway:
-            gate.took(chosen.upstream)
+            gate.record_send(chosen.upstream)
         return Placement(chosen.upstream, backup, room, settings.instance_id)
 
     def _choose_backup(
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -114,7 +114,7 @@
             has_room(chosen, engine, need),
         )
         if given.has_room or asked.taken_anyway:
-            self._cold_gate.took(chosen.upstream)
+            self._cold_gate.record_send(chosen.upstream)
             self._remember(asked, given)
         return given
 
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -109,7 +109,7 @@
                 )
                 return False
             gevent.sleep(wait_s)
-        self._context.state.cold_gate.took(upstream)
+        self._context.state.cold_gate.record_send(upstream)
         return True
 
     def _log_resumed(
