--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -83,7 +83,7 @@
     def delay_s(self) -> float:
         """Return for how long to make no call; zero to go on now."""
 
-    def watch_s(self) -> float:
+    def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits, in seconds."""
 
     def longest_pause_s(self) -> float:
@@ -172,7 +172,7 @@
 
     def _watch(self, at: StoreVersion) -> None:
         """Wait for changes."""
-        answer = self._feed.watch(at, self._pace.watch_s())
+        answer = self._feed.watch(at, self._pace.watch_timeout_s())
         self._answered()
         self._at = answer.at
         for change in answer.changes:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -146,7 +146,7 @@
             return 0.0
         return self._reliance.delay_s(self._now(), self._feed)
 
-    def watch_s(self) -> float:
+    def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits."""
         longest_s = self._longest_wait()
         if self._roles().large:
@@ -185,7 +185,7 @@
         roles = self._roles()
         return 0.0 if roles.follows or self._behind() else TRUST_S
 
-    def watch_s(self) -> float:
+    def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits."""
         return SELDOM_WATCH_S
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -325,7 +325,7 @@
 @when("all their questions begin at one moment, 100 times")
 def questions_begin(context: Any) -> None:
     """Ask each for how long it waits."""
-    context.waits = [[pace.watch_s() for pace in context.paces] for _ in range(100)]
+    context.waits = [[pace.watch_timeout_s() for pace in context.paces] for _ in range(100)]
 
 
 @then("the first of them ends after 1.0 s on average, and none later than after 1.6 s")
@@ -340,7 +340,7 @@
 def collector_waits(context: Any) -> None:
     """Ask it."""
     pace = pace_of(1, FleetRoles(large=True, collects=True, follows=True))
-    assert {pace.watch_s() for _ in range(10)} == {0.8}
+    assert {pace.watch_timeout_s() for _ in range(10)} == {0.8}
 
 
 @when("its engine takes no copy to an engine that says that it ends soon")
