--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.stream_context import StreamContext
-from driftstall.gateway.stream_resuming import StreamResuming
+from driftstall.gateway.stream_resuming import StreamResumer
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 class StreamOpening:
     """Have one stream taken by an upstream."""
 
-    def __init__(self, context: StreamContext, resuming: StreamResuming) -> None:
+    def __init__(self, context: StreamContext, resuming: StreamResumer) -> None:
         """Take the stream, and who goes on with it where its upstream breaks."""
         self._context = context
         self._resuming = resuming
--- a/driftstall/gateway/stream_resuming.py
+++ b/driftstall/gateway/stream_resuming.py
@@ -25,7 +25,7 @@
 OK: Final = 200
 
 
-class StreamResuming:
+class StreamResumer:
     """Find a copy of one stream's run, and send the request there."""
 
     def __init__(self, context: StreamContext) -> None:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -30,7 +30,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_opening import StreamOpening
-from driftstall.gateway.stream_resuming import OK, StreamResuming
+from driftstall.gateway.stream_resuming import OK, StreamResumer
 from driftstall.helpers.log import log_event
 
 SILENCE_S: Final = 1.2
@@ -57,7 +57,7 @@
         self._connection = connection
         self._admitted = admitted
         self._context = StreamContext(state, mover, call, admitted)
-        self._resuming = StreamResuming(self._context)
+        self._resuming = StreamResumer(self._context)
         self._opening = StreamOpening(self._context, self._resuming)
         self._order = EventOrder()
         self._head_sent = False
