--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -17,7 +17,7 @@
 
 MOST_COMPARED: Final = 64
 """Engines that are compared for one stream; where there are more, as many are drawn by lot."""
-PATIENCE_S: Final = 0.05
+PLACEMENT_TIMEOUT_S: Final = 0.05
 """How long an answer is waited for: a hop within a zone takes 1.4 ms one way; a stream that
 waits in vain loses a thirtieth of its target of 1.5 s."""
 LEFT_OUT_S: Final = 1.0
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -14,7 +14,7 @@
 from driftstall.const import PREFIX_ROUTING
 from driftstall.decisions.cold_starts import ColdPart
 from driftstall.decisions.placers import (
-    PATIENCE_S,
+    PLACEMENT_TIMEOUT_S,
     PendingPlacements,
     PlacerOrder,
 )
@@ -64,7 +64,7 @@
         answer = self._waiting[asked.request_id] = AsyncResult()
         try:
             self._send(placer, asked)
-            given: PlacementGiven | None = answer.wait(timeout=PATIENCE_S)
+            given: PlacementGiven | None = answer.wait(timeout=PLACEMENT_TIMEOUT_S)
         finally:
             del self._waiting[asked.request_id]
         if given is None:
