--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -56,7 +56,7 @@
         self._grant_id = ""
         self._runner_id = ""
         self._generation = ""
-        self._next = 0
+        self._next_index = 0
         self._delivered = False
         self._resumes = 0
         self._maybe_ran = False
@@ -86,7 +86,7 @@
     @property
     def produced(self) -> int:
         """Return the tokens delivered so far."""
-        return self._next
+        return self._next_index
 
     def handle(self, event: RelayEvent) -> list[RelayAction]:
         """Take one event and return the actions it leads to."""
@@ -96,9 +96,9 @@
 
     def accept_token(self, generation: str, index: int) -> bool:
         """Tell whether a token is the next one, and count it: the short way."""
-        if self._done or generation != self._generation or index != self._next:
+        if self._done or generation != self._generation or index != self._next_index:
             return False
-        self._next += 1
+        self._next_index += 1
         self._delivered = True
         self._resumes = 0
         return True
@@ -106,7 +106,7 @@
     def _handle_late(self, event: RelayEvent) -> list[RelayAction]:
         """Give back a grant that arrives after the end."""
         if isinstance(event, GrantReceived):
-            return [CloseGrant(self._grant_id, self._next, finished=False)]
+            return [CloseGrant(self._grant_id, self._next_index, finished=False)]
         return []
 
     @singledispatchmethod
@@ -123,7 +123,7 @@
     def _(self, event: ResumeRequested) -> list[RelayAction]:
         self._runner_id = event.runner_id
         self._generation = event.generation
-        self._next = event.next_index
+        self._next_index = event.next_index
         self._delivered = True
         self._maybe_ran = True
         return [ResumeStream(event.runner_id, event.generation, event.next_index)]
@@ -149,9 +149,9 @@
 
     @_on.register
     def _(self, event: TokenArrived) -> list[RelayAction]:
-        if event.generation != self._generation or event.index < self._next:
+        if event.generation != self._generation or event.index < self._next_index:
             return []
-        if event.index > self._next:
+        if event.index > self._next_index:
             return self._resume("a token is missing")
         self.accept_token(event.generation, event.index)
         return [Deliver(event.generation, event.index, event.data)]
@@ -160,10 +160,10 @@
     def _(self, event: StreamEnded) -> list[RelayAction]:
         if event.generation != self._generation:
             return []
-        if event.total > self._next:
+        if event.total > self._next_index:
             return self._resume("the last tokens are missing")
         self._done = True
-        return [CloseGrant(self._grant_id, self._next, finished=True), Complete(event.data)]
+        return [CloseGrant(self._grant_id, self._next_index, finished=True), Complete(event.data)]
 
     @_on.register
     def _(self, event: StreamFailed) -> list[RelayAction]:
@@ -199,7 +199,7 @@
         self._resumes += 1
         if self._resumes > MAX_RESUMES:
             return self._end(CODE_INCOMPLETE, 502, detail)
-        return [ResumeStream(self._runner_id, self._generation, self._next)]
+        return [ResumeStream(self._runner_id, self._generation, self._next_index)]
 
     def _restart(self, event: StreamFailed) -> list[RelayAction]:
         """Start elsewhere, since the caller has seen no token yet."""
@@ -216,7 +216,7 @@
         actions: list[RelayAction] = []
         if self._generation:
             actions.append(CancelStream(self._runner_id, self._generation))
-        actions.append(CloseGrant(self._grant_id, self._next, finished=False))
+        actions.append(CloseGrant(self._grant_id, self._next_index, finished=False))
         return actions
 
     def _end(self, code: str, status: int, detail: str) -> list[RelayAction]:
