--- a/driftstall/gateway/cold_gate.py
+++ b/driftstall/gateway/cold_gate.py
@@ -29,7 +29,7 @@
         self._part = part
         self._now = now
 
-    def open(self, options: Iterable[Option]) -> list[Option]:
+    def select_open(self, options: Iterable[Option]) -> list[Option]:
         """Return the options that may be sent a request now."""
         return [one for one in options if not self.wait_s(one.upstream)]
 
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -161,7 +161,7 @@
         settings = self._state.settings
         gate = self._state.cold_gate
         chosen = choose_stream(
-            gate.open(options), self.engine, need, settings.zone, self._state.sampler
+            gate.select_open(options), self.engine, need, settings.zone, self._state.sampler
         )
         if chosen is None:
             return None
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -100,7 +100,9 @@
         sampler = Sampler(self._state.source, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
-        chosen = choose_stream(self._cold_gate.open(options), engine, need, asked.zone, sampler)
+        chosen = choose_stream(
+            self._cold_gate.select_open(options), engine, need, asked.zone, sampler
+        )
         if chosen is None:
             return PlacementGiven(self._own_id, asked.request_id, "", "", False)
         backup = None
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -101,7 +101,7 @@
     gate = world.state.cold_gate
 
     def chosen() -> set[str]:
-        return {one.upstream.upstream_id for one in gate.open(world.state.options("portal"))}
+        return {one.upstream.upstream_id for one in gate.select_open(world.state.options("portal"))}
 
     assert chosen() == {context.warm}
     world.pass_time(1.6)
