--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -86,7 +86,7 @@
     def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits, in seconds."""
 
-    def longest_pause_s(self) -> float:
+    def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls, in seconds."""
 
     def answered(self, *, after_failure: bool) -> None:
@@ -194,5 +194,5 @@
             )
         if self._failures == LOST_AFTER:
             self._listener.platform_lost(cause)
-        pause = min(self._pace.longest_pause_s(), FIRST_PAUSE_S * 2**self._failures)
+        pause = min(self._pace.max_backoff_s(), FIRST_PAUSE_S * 2**self._failures)
         self._sleep(pause * (0.5 + self._source.random()))
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -155,7 +155,7 @@
         # silence that begins meanwhile would be found out by all only then.
         return longest_s * (1.0 - DRAWN_SHARE * self._source.random())
 
-    def longest_pause_s(self) -> float:
+    def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls."""
         return LONGEST_PAUSE_S if self._follows_always else OTHERS_PAUSE_S
 
@@ -189,7 +189,7 @@
         """Return how long an idle watch waits."""
         return SELDOM_WATCH_S
 
-    def longest_pause_s(self) -> float:
+    def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls."""
         return OTHERS_PAUSE_S
 
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -214,8 +214,8 @@
 def answered_in_time(context: Any, seconds: float, spare: float) -> None:
     """Add up what passes until the answer on another connection."""
     given_up_s = longest_wait_s(seconds) + ANSWER_MARGIN_S
-    longest_pause_s = FIRST_PAUSE_S * 2 * 1.5
-    assert given_up_s + longest_pause_s + SLOW_ANSWER_S <= seconds - spare
+    max_backoff_s = FIRST_PAUSE_S * 2 * 1.5
+    assert given_up_s + max_backoff_s + SLOW_ANSWER_S <= seconds - spare
 
 
 @given("a settings file with a wrong address and without a zone")
