--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -26,7 +26,7 @@
     detail: str = "no upstream takes requests"
 
 
-class StreamOpening:
+class StreamOpener:
     """Have one stream taken by an upstream."""
 
     def __init__(self, context: StreamContext, resuming: StreamResumer) -> None:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -29,7 +29,7 @@
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_context import StreamContext
-from driftstall.gateway.stream_opening import StreamOpening
+from driftstall.gateway.stream_opening import StreamOpener
 from driftstall.gateway.stream_resuming import OK, StreamResumer
 from driftstall.helpers.log import log_event
 
@@ -58,7 +58,7 @@
         self._admitted = admitted
         self._context = StreamContext(state, mover, call, admitted)
         self._resuming = StreamResumer(self._context)
-        self._opening = StreamOpening(self._context, self._resuming)
+        self._opening = StreamOpener(self._context, self._resuming)
         self._order = EventOrder()
         self._head_sent = False
         self._longest_gap_s = 0.0
