--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -20,7 +20,7 @@
 PLACEMENT_TIMEOUT_S: Final = 0.05
 """How long an answer is waited for: a hop within a zone takes 1.4 ms one way; a stream that
 waits in vain loses a thirtieth of its target of 1.5 s."""
-LEFT_OUT_S: Final = 1.0
+EXCLUSION_S: Final = 1.0
 """How long one that gave no answer is not asked. About as long as it takes the member list to
 find out that an instance is gone."""
 LONGEST_LEFT_OUT_S: Final = 8.0
@@ -57,7 +57,7 @@
         if before is not None and now < before.until:
             # One of several questions that it was asked at the same time.
             return
-        for_s = LEFT_OUT_S
+        for_s = EXCLUSION_S
         if before is not None and now - before.until <= before.for_s:
             for_s = min(LONGEST_LEFT_OUT_S, 2 * before.for_s)
         self._left_out[placer] = _LeftOut(now + for_s, for_s)
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from driftstall.decisions.placers import LEFT_OUT_S, PlacerOrder
+from driftstall.decisions.placers import EXCLUSION_S, PlacerOrder
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.fleet_events import Listed
@@ -242,8 +242,8 @@
     assert order.first(placers, 5.0) == "first"
     order.silent("first", 5.0)
     assert order.first(placers, 5.0) == "second"
-    assert order.first(placers, 5.0 + LEFT_OUT_S - 0.01) == "second"
-    assert order.first(placers, 5.0 + LEFT_OUT_S) == "first"
+    assert order.first(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
+    assert order.first(placers, 5.0 + EXCLUSION_S) == "first"
     order.silent("second", 6.0)
     order.silent("first", 6.0)
     assert order.first(placers, 6.5) is None
@@ -262,7 +262,7 @@
         waits.append(round(now - began))
     assert waits == [1, 2, 4, 8, 8], waits
     order.silent("first", now + 30.0)
-    assert order.first(("first",), now + 30.0 + LEFT_OUT_S) == "first"
+    assert order.first(("first",), now + 30.0 + EXCLUSION_S) == "first"
 
 
 @given("its zone's placer gives no answer")
