--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -184,7 +184,7 @@
     @_on.register
     def _(self, event: CallerDisconnected) -> list[RelayAction]:
         self._done = True
-        return self._drop()
+        return self._release_attempt()
 
     def _ask(self) -> list[RelayAction]:
         """Ask for a grant under a new id."""
@@ -203,7 +203,7 @@
 
     def _restart(self, event: StreamFailed) -> list[RelayAction]:
         """Start elsewhere, since the caller has seen no token yet."""
-        dropped = self._drop()
+        dropped = self._release_attempt()
         self._avoid |= {self._runner_id}
         if event.quarantined or self._attempt >= MAX_ATTEMPTS or not self._budget.spend():
             self._done = True
@@ -211,7 +211,7 @@
             return [*dropped, Fail(problem)]
         return [*dropped, *self._ask()]
 
-    def _drop(self) -> list[RelayAction]:
+    def _release_attempt(self) -> list[RelayAction]:
         """Free what the current attempt holds."""
         actions: list[RelayAction] = []
         if self._generation:
@@ -222,7 +222,7 @@
     def _end(self, code: str, status: int, detail: str) -> list[RelayAction]:
         """End with a problem and free what is held."""
         self._done = True
-        return [*self._drop(), Fail(self._problem(code, status, detail))]
+        return [*self._release_attempt(), Fail(self._problem(code, status, detail))]
 
     def _problem(self, code: str, status: int, detail: str) -> Problem:
         """Describe a failure, saying 'not run' only where it is certain."""
