--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -1,4 +1,4 @@
-"""Hold what an owner knows of grants and runners."""
+"""State of the open grants and of the runners of a group, as their owner keeps it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from driftstall.decisions.routing import PREFILL_TOKENS_PER_S
 
 MIN_UNACCOUNTED_SHARE: Final = 0.1
-"""Share of the memory under which a difference is taken for the report's lag."""
+"""Share of a runner's memory. A smaller difference to its report is attributed to the
+report's lag."""
 
 
 @dataclass(slots=True)
 class OpenGrant:
-    """Hold one grant."""
+    """An open grant and the progress of its generation."""
 
     entry: str
     request: Request
@@ -26,30 +27,30 @@
     runner_id: str
     since: float
     cached_tokens: int
-    """Prompt tokens that the prefix cache held."""
+    """Prompt tokens found in the runner's prefix cache."""
     produced: int = 0
     yields: int = 0
     running_since: float = 0.0
     last_report_at: float = 0.0
     paused: bool = False
     reserved: float = 0.0
-    """Tokens reserved from the workspace's limit."""
+    """Tokens reserved from the workspace's token limit."""
 
     @property
     def held_tokens(self) -> int:
-        """Return the memory that the generation holds while it runs, in tokens."""
+        """Return the memory that the generation occupies while it runs, in tokens."""
         return self.request.input_tokens + self.produced
 
     @property
     def long_prompt_tokens(self) -> int:
-        """Return the prompt tokens of a long prefill of a lower rank, else zero."""
+        """Return the prompt tokens of a long prefill below the first rank, otherwise zero."""
         tokens = self.request.input_tokens
         return tokens if self.verdict.rank > 0 and tokens >= LONG_PREFILL else 0
 
 
 @dataclass(slots=True)
 class RunnerState:
-    """Hold what the owner knows of one runner."""
+    """State of one runner: open grants, prefix cache model and memory forecast."""
 
     runner_id: str
     memory: int
@@ -63,18 +64,18 @@
     pending_at: float = 0.0
     first_rank: int = 0
     long_prompt_tokens: float = 0.0
-    """Memory held by long prompts of lower ranks, in tokens of input."""
+    """Memory occupied by long prompts below the first rank, in tokens of input."""
     last_yield_at: float = -1e9
     cached_tokens: float = 0.0
-    """Tokens of open grants that the prefix cache holds anyway."""
+    """Tokens of open grants that are counted in the prefix cache as well."""
     unaccounted_tokens: float = 0.0
-    """Memory the runner reports beyond our grants, in tokens."""
+    """Memory in use by the runner's report beyond the open grants, in tokens."""
     per_s: float | None = None
-    """Generations a second that may begin there; None where it names no limit."""
+    """Generations a second that may start there; None without a limit."""
     allowance: Allowance | None = None
 
     def set_rate_limit(self, per_s: float | None, now: float) -> None:
-        """Take in the limit that it names, or that it names none."""
+        """Set the runner's rate limit, or remove it with None."""
         self.per_s = per_s
         if per_s is None:
             self.allowance = None
@@ -82,32 +83,32 @@
             self.allowance = Allowance(now)
 
     def can_start(self, now: float) -> bool:
-        """Tell whether a generation may begin now, by the limit that it names."""
+        """Return True if the runner's rate limit allows a generation to start now."""
         if self.per_s is None or self.allowance is None:
             return True
         return not self.allowance.wait_s(self.per_s, now)
 
     def record_start(self, rank: int, now: float) -> None:
-        """Count a generation that begins now."""
+        """Count a generation that starts now against the rate limit."""
         if self.per_s is not None and self.allowance is not None:
             self.allowance.ask(SendNeed(0.0, rank), self.per_s, now)
 
     def decay_pending_prefill(self, now: float) -> float:
-        """Return the prefill tokens that should still be pending."""
+        """Return the prefill tokens not yet computed, estimated from the time passed."""
         done = (now - self.pending_at) * PREFILL_TOKENS_PER_S
         self.pending_prefill = max(0.0, self.pending_prefill - done)
         self.pending_at = now
         return self.pending_prefill
 
     def add(self, grant: OpenGrant) -> None:
-        """Count an open grant."""
+        """Add an open grant."""
         self.grants[grant.request.request_id] = grant
         self.first_rank += grant.verdict.rank == 0
         self.cached_tokens += grant.cached_tokens
         self.long_prompt_tokens += grant.long_prompt_tokens
 
     def remove(self, grant: OpenGrant) -> bool:
-        """Count a grant out; return whether it was open here."""
+        """Remove a grant; return False if it is not open here."""
         if self.grants.pop(grant.request.request_id, None) is None:
             return False
         self.first_rank -= grant.verdict.rank == 0
@@ -116,10 +117,10 @@
         return True
 
     def apply_report(self, used: int, memory: int) -> None:
-        """Learn from the runner's own, lagging report what our grants do not explain."""
+        """Update the memory in use beyond the open grants from the runner's lagging report."""
         self.memory = memory or self.memory
-        known = sum(one.held_tokens for one in self.grants.values() if not one.paused)
-        unexplained = max(0.0, used - known - self.pending_prefill)
+        known = sum(grant.held_tokens for grant in self.grants.values() if not grant.paused)
+        unaccounted = max(0.0, used - known - self.pending_prefill)
         self.unaccounted_tokens = (
-            unexplained if unexplained >= MIN_UNACCOUNTED_SHARE * self.memory else 0.0
+            unaccounted if unaccounted >= MIN_UNACCOUNTED_SHARE * self.memory else 0.0
         )
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -1,8 +1,8 @@
-"""Grant engines to requests: the state an owner keeps for its group of runners.
+"""Admission control and scheduling for one group of runners.
 
-Pure: events and the time go in, actions come out. The daemon and the measuring
-driver run this same code. Nothing is kept: a new owner rebuilds the state from
-the entries' announcements.
+A state machine without I/O: it takes events and the time, and returns actions. The
+daemon and the load measurements run this same code. Nothing is persisted: a new owner
+rebuilds the state from the announcements of the entries.
 """
 
 from __future__ import annotations
@@ -47,20 +47,20 @@
 from driftstall.decisions.yielding import Candidate, choose_victim
 
 YIELD_WAIT_S: Final = 0.4
-"""How long the first rank waits before a lower rank is asked to yield."""
+"""How long a first-rank request waits before a lower rank is preempted."""
 YIELD_SPACING_S: Final = 1.0
-"""Seconds between two yields asked of one runner."""
+"""Minimum time between two preemptions on one runner."""
 GRANT_TIMEOUT_S: Final = 15.0
-"""A grant of which its entry says nothing for so long has ended; its close was lost."""
+"""A grant without progress reports for this long is closed: its Close message was lost."""
 GRANT_TIMEOUT_CHECK_S: Final = 1.0
 MAX_PENDING_PREFILL: Final = 16_000
-"""Prefill tokens granted and not done on one runner, in tokens."""
+"""Maximum prefill tokens granted and not yet computed on one runner."""
 LEARNING_EVENTS: Final = (Progress, CacheEvents, RunnerReport)
-"""Events that free nothing; the next tick uses what they taught."""
+"""Events that free no capacity: they update estimates, which the next tick uses."""
 
 
 class GrantsController:
-    """Admit, queue, place, yield and refuse for one group of runners."""
+    """Admit, queue, place, preempt and refuse requests for one group of runners."""
 
     def __init__(
         self,
@@ -72,9 +72,11 @@
         overflow: float = 0.01,
         certain: bool = False,
     ) -> None:
-        """Start without runners.
+        """Initialize without runners.
 
-        certain: the lengths are known or worst-case, so no deviation is added.
+        source: random source for the jitter of retry times.
+        overflow: accepted probability that a runner's memory overflows.
+        certain: output lengths are exact or worst-case, so no safety margin is added.
         """
         self.group = group
         self._lengths = lengths
@@ -92,36 +94,36 @@
         self._long_prefill_max_wait_s = 0.0
         self._last_silence_check_at = 0.0
         self._actions: list[GrantAction] = []
-        # Looking a dispatching method up anew costs more than most events do.
+        # Looking up a singledispatchmethod on each call costs more than most events do.
         self._handler: Callable[[GrantEvent, float], None] = self._apply
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._queues_by_rank)
 
     @property
     def open_grants(self) -> int:
-        """Return how many grants are open."""
+        """Return the number of open grants."""
         return len(self._grants)
 
     @property
     def runners(self) -> dict[str, RunnerState]:
-        """Return the runners' states by id."""
+        """Return the state of each runner by id."""
         return self._runners
 
     def configure(self, weights: Weights, overflow: float) -> None:
-        """Take over the weights and the bound of a new policy."""
+        """Apply the weights and the overflow bound of a new policy."""
         self._weights = weights
         if not self._certain:
             self._registry.deviations = quantile(overflow)
 
     def load(self, now: float) -> float:
-        """Return the forecast share of memory in use, from 0 to 1."""
+        """Return the forecast share of the group's memory in use, from 0 to 1."""
         return self._registry.load(now)
 
     def handle(self, event: GrantEvent, now: float) -> list[GrantAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         self._actions = []
         self._handler(event, now)
         if not isinstance(event, LEARNING_EVENTS):
@@ -143,7 +145,7 @@
             return
         open_grant = self._grants.get(request.request_id)
         if open_grant is not None:
-            # The answer was lost on the way; asking again must not open a second grant.
+            # The reply was lost: a repeated Ask must not open a second grant.
             self._actions.append(
                 Granted(
                     event.entry,
@@ -156,7 +158,7 @@
             return
         output = self._lengths.expected(request)
         cost = request.input_tokens + output
-        returned = self._queues_by_rank.release_place(verdict.rank, event.ticket)
+        had_reservation = self._queues_by_rank.release_place(verdict.rank, event.ticket)
         if not self._runners:
             self._refuse(event.entry, request, CODE_NO_RUNNER, 2.0, "", "no runner is live")
             return
@@ -167,7 +169,9 @@
             return
         if verdict.rank == 0:
             self._registry.record_first_rank_arrival(cost, now)
-        wait_s = 0.0 if returned else self._queues_by_rank.forecast(request, verdict, cost, now)
+        wait_s = (
+            0.0 if had_reservation else self._queues_by_rank.forecast(request, verdict, cost, now)
+        )
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
             self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
@@ -228,7 +232,7 @@
     @_apply.register
     def _(self, event: RunnersChanged, now: float) -> None:
         wanted = {runner_id for runner_id, _, _ in event.runners}
-        for runner_id in [one for one in self._runners if one not in wanted]:
+        for runner_id in [known for known in self._runners if known not in wanted]:
             self._drain_runner(self._registry.retire_runner(runner_id), now)
         for runner_id, memory, zone in event.runners:
             self._registry.add_runner(runner_id, memory, zone, now)
@@ -240,7 +244,7 @@
             runner.set_rate_limit(limits.get(runner.runner_id), now)
 
     def _drain_runner(self, runner: RunnerState, now: float) -> None:
-        """Give a leaving runner no new work, but let what has yielded there end."""
+        """Resume the paused generations of a leaving runner, so that they can end there."""
         for request_id, grant in runner.grants.items():
             if grant.paused:
                 self._registry.resume(grant, now)
@@ -250,14 +254,14 @@
 
     @_apply.register
     def _(self, event: EntryLost, now: float) -> None:
-        lost = [one for one, grant in self._grants.items() if grant.entry == event.entry]
+        lost = [grant_id for grant_id, grant in self._grants.items() if grant.entry == event.entry]
         lost += self._queues_by_rank.requests_of_entry(event.entry)
         for request_id in lost:
             self._apply(Close(self.group, request_id, 0, finished=False), now)
 
     @_apply.register
     def _(self, event: Tick, now: float) -> None:
-        """Let time pass: renew forecasts, end grants whose entry has long been silent."""
+        """Refresh due forecasts and close grants without recent progress reports."""
         self._registry.refresh_due(now)
         if now - self._last_silence_check_at < GRANT_TIMEOUT_CHECK_S:
             return
@@ -271,7 +275,7 @@
     def _refuse_with_reservation(
         self, entry: str, request: Request, verdict: Verdict, cost: float, wait_s: float, now: float
     ) -> None:
-        """Refuse, say when to come back and keep a place until then."""
+        """Refuse a request with a retry time, and reserve its place in the queue until then."""
         after = retry_after(wait_s, self._source)
         ticket = request.request_id
         until = now + after + GRACE_S
@@ -286,7 +290,7 @@
         self._actions.append(Refused(entry, request.request_id, code, after, ticket, reason))
 
     def _expire(self, now: float) -> None:
-        """Refuse at once what has waited as long as the policy allows."""
+        """Refuse the queued requests whose maximum wait has passed."""
         for item in self._queues_by_rank.pop_expired(now):
             self._limits.settle(item.request, item.cost, 0.0)
             wait_s = self._queues_by_rank.forecast(item.request, item.verdict, item.cost, now)
@@ -297,25 +301,25 @@
     # Placement
 
     def _dispatch(self, now: float, *, resize: bool) -> None:
-        """Grant what has room, best rank first."""
+        """Grant queued requests that fit, best rank first."""
         self._long_prefill_waiting_since = None
         self._grant_all(now)
         if resize and self._resize_long_set(now):
             self._grant_all(now)
 
     def _resize_long_set(self, now: float) -> bool:
-        """Let the set of runners for long prefills follow the load; return if it grew."""
+        """Resize the set of runners for long prefills by load; return True if it grew."""
         if not self._long_set.applies(self._weights):
             return False
         loads = [
             RunnerLoad(
-                one.runner_id,
-                one.memory,
-                one.hold.means[0] / max(1, one.memory),
-                one.long_prompt_tokens,
-                one.first_rank,
+                runner.runner_id,
+                runner.memory,
+                runner.hold.means[0] / max(1, runner.memory),
+                runner.long_prompt_tokens,
+                runner.first_rank,
             )
-            for one in self._runners.values()
+            for runner in self._runners.values()
         ]
         waited = (
             None
@@ -327,7 +331,7 @@
         )
 
     def _grant_all(self, now: float) -> None:
-        """Grant in order of rank until one has to wait."""
+        """Grant in order of rank until a request has to wait."""
         if self._paused:
             self._resume(now)
         for rank, queue in self._queues_by_rank.queues_by_rank():
@@ -339,7 +343,7 @@
                 return
 
     def _grant_next(self, queue: FairQueue, now: float) -> bool:
-        """Grant the first request in fair order that has room."""
+        """Grant the first request in fair order that fits; return False if none does."""
         for item in queue.candidates():
             choice = self._place(item, now)
             if choice is None:
@@ -350,14 +354,14 @@
         return False
 
     def _place(self, item: Waiting, now: float) -> Choice | None:
-        """Choose a runner with room, or none."""
+        """Choose a runner with room for a request; return None if there is none."""
         request, rank = item.request, item.verdict.rank
         headroom = self._registry.headroom(rank, now)
         own_peak = item.hold.peak(self._registry.deviations)
         members = self._long_set.members
         isolate = rank > 0 and self._long_set.applies(self._weights)
         views = []
-        closed = False
+        is_isolated = False
         for runner in self._runners.values():
             if runner.runner_id in item.avoid and len(self._runners) > len(item.avoid):
                 continue
@@ -368,7 +372,7 @@
                 continue
             uncached = request.input_tokens - runner.prefixes.match(request.prefix)
             if isolate and uncached >= LONG_PREFILL and runner.runner_id not in members:
-                closed = True
+                is_isolated = True
                 continue
             pending = runner.decay_pending_prefill(now)
             if rank > 0 and pending > 0 and pending + uncached > MAX_PENDING_PREFILL:
@@ -385,7 +389,7 @@
                     long_prefills=runner.runner_id in members,
                 )
             )
-        if closed and not views:
+        if is_isolated and not views:
             self._record_long_prefill_wait(item)
         return choose(
             views,
@@ -395,7 +399,7 @@
         )
 
     def _record_long_prefill_wait(self, item: Waiting) -> None:
-        """Note how long the oldest long prompt has waited for a runner of the set."""
+        """Record since when the oldest long prompt has waited for a runner of the set."""
         if (
             self._long_prefill_waiting_since is None
             or item.since < self._long_prefill_waiting_since
@@ -404,12 +408,12 @@
             self._long_prefill_max_wait_s = item.verdict.wait_s
 
     def _grant(self, item: Waiting, choice: Choice, now: float) -> None:
-        """Open a grant and tell the entry."""
+        """Open a grant and notify the entry."""
         runner = self._runners[choice.runner_id]
         request = item.request
-        shared = runner.prefixes.touch(request.prefix)
-        uncached = request.input_tokens - shared
-        grant = OpenGrant(item.entry, request, item.verdict, runner.runner_id, now, shared)
+        cached = runner.prefixes.touch(request.prefix)
+        uncached = request.input_tokens - cached
+        grant = OpenGrant(item.entry, request, item.verdict, runner.runner_id, now, cached)
         grant.reserved = item.cost
         grant.running_since = now
         self._open(runner, grant, item.hold, now)
@@ -424,14 +428,14 @@
         )
 
     def _open(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
-        """Add a grant, and the memory it is forecast to hold, to a runner's state."""
+        """Add a grant and its memory forecast to a runner's state."""
         request_id = grant.request.request_id
         grant.last_report_at = now
         self._grants[request_id] = grant
         self._registry.add(runner, grant, addition, now)
 
     def _close(self, grant: OpenGrant, event: Close, now: float) -> None:
-        """Free a grant's memory and learn from its length."""
+        """Release a grant's memory and update the length model with its output."""
         self._paused.pop(event.request_id, None)
         if event.produced > grant.produced:
             self._lengths.progressed(grant.request, grant.produced, event.produced)
@@ -442,18 +446,20 @@
         reply = (event.reply,) if event.reply else ()
         self._registry.remove(grant, (*grant.request.prefix, *reply) if event.finished else ())
 
-    # Yielding
+    # Preemption
 
     def _yield_for(self, queue: FairQueue, now: float) -> None:
-        """Let a lower rank yield when the first rank has waited too long."""
+        """Preempt a lower-rank generation if the first rank has waited too long."""
         item = next(queue.candidates())
         if now - item.since < YIELD_WAIT_S:
             return
         runners = [
-            one for one in self._runners.values() if now - one.last_yield_at >= YIELD_SPACING_S
+            runner
+            for runner in self._runners.values()
+            if now - runner.last_yield_at >= YIELD_SPACING_S
         ]
         candidates = [
-            self._candidate(grant, now) for one in runners for grant in one.grants.values()
+            self._candidate(grant, now) for runner in runners for grant in runner.grants.values()
         ]
         victim = choose_victim(candidates, item.verdict.rank)
         if victim is None:
@@ -465,7 +471,7 @@
         self._actions.append(YieldAsked(grant.entry, victim.grant_id, grant.runner_id, reason))
 
     def _candidate(self, grant: OpenGrant, now: float) -> Candidate:
-        """Describe a grant as one that could yield."""
+        """Return a grant as a candidate for preemption."""
         held = grant.held_tokens
         ahead = 64
         chance = self._lengths.keeps_going(grant.request, grant.produced, ahead)
@@ -482,7 +488,7 @@
         )
 
     def _resume(self, now: float) -> None:
-        """Resume paused generations where there is room, best rank and oldest first."""
+        """Resume paused generations that fit, best rank and oldest first."""
         blocked = self._queues_by_rank.first_waiting_rank
         order = sorted(self._paused.items(), key=lambda pair: (pair[1].verdict.rank, pair[1].since))
         for request_id, grant in order:
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -1,4 +1,4 @@
-"""Keep the waiting requests of all ranks, their bounds and promised places."""
+"""Queues of waiting requests by rank, with wait bounds, reservations and token limits."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 )
 
 AFTER_ALL_RANKS = 99
-"""Comes after every rank that a policy can give."""
+"""Sorts after every rank that a policy can assign."""
 
 
 class RankQueues:
-    """Hold one fair queue, one service rate and the promised places for each rank."""
+    """Keep a fair queue, a service rate and the queue reservations of each rank."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize without requests."""
         self._queues: dict[int, FairQueue] = {}
         self._rates: dict[int, ServiceRate] = {}
-        self._promises: dict[int, QueueReservations] = {}
+        self._reservations: dict[int, QueueReservations] = {}
         self._waiting: dict[str, Waiting] = {}
         self._expiry: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def __contains__(self, request_id: str) -> bool:
-        """Tell whether a request waits."""
+        """Return True if a request waits."""
         return request_id in self._waiting
 
     @property
     def first_waiting_rank(self) -> int:
-        """Return the best rank of which a request waits, or one behind all ranks."""
+        """Return the best rank with a waiting request, or AFTER_ALL_RANKS."""
         return min(
             (rank for rank, queue in self._queues.items() if len(queue)), default=AFTER_ALL_RANKS
         )
@@ -51,11 +51,11 @@
             yield rank, self._queues[rank]
 
     def requests_of_entry(self, entry: str) -> list[str]:
-        """Return the requests that wait for one entry."""
-        return [one for one, item in self._waiting.items() if item.entry == entry]
+        """Return the ids of the waiting requests of one entry."""
+        return [request_id for request_id, item in self._waiting.items() if item.entry == entry]
 
     def push(self, item: Waiting) -> None:
-        """Let a request wait, until its bound or deadline."""
+        """Queue a request until its maximum wait or its deadline passes."""
         request, verdict = item.request, item.verdict
         self._waiting[request.request_id] = item
         self._queues.setdefault(verdict.rank, FairQueue()).push(item)
@@ -63,21 +63,21 @@
         heapq.heappush(self._expiry, (min(until, request.deadline), request.request_id))
 
     def serve(self, item: Waiting, now: float) -> None:
-        """Take out a request that is granted, and charge its workspace."""
+        """Remove a granted request and charge its workspace."""
         rank = item.verdict.rank
         self._queues[rank].serve(item)
         self._rates.setdefault(rank, ServiceRate(FLOOR_RATE)).add(item.cost, now)
         del self._waiting[item.request.request_id]
 
     def discard(self, request_id: str) -> Waiting | None:
-        """Take out a request that no longer waits, if it does."""
+        """Remove and return a request, or return None if it does not wait."""
         item = self._waiting.pop(request_id, None)
         if item is not None:
             self._queues[item.verdict.rank].discard(item)
         return item
 
     def pop_expired(self, now: float) -> Iterator[Waiting]:
-        """Take out and yield what has waited as long as it may."""
+        """Remove and yield the requests whose maximum wait has passed."""
         while self._expiry and self._expiry[0][0] <= now:
             _, request_id = heapq.heappop(self._expiry)
             item = self.discard(request_id)
@@ -85,18 +85,20 @@
                 yield item
 
     def release_place(self, rank: int, ticket: str) -> bool:
-        """Give up a promised place on its holder's return; return whether it was kept."""
-        return bool(ticket) and rank in self._promises and self._promises[rank].take(ticket)
+        """Release the reservation of a ticket; return True if it was still held."""
+        return bool(ticket) and rank in self._reservations and self._reservations[rank].take(ticket)
 
     def reserve_place(
         self, rank: int, ticket: str, workspace: str, cost: float, until: float
     ) -> None:
-        """Promise a place until a time."""
-        self._promises.setdefault(rank, QueueReservations()).make(ticket, workspace, cost, until)
+        """Reserve a place in a rank's queue for a ticket until a time."""
+        self._reservations.setdefault(rank, QueueReservations()).make(
+            ticket, workspace, cost, until
+        )
 
     def forecast(self, request: Request, verdict: Verdict, cost: float, now: float) -> float:
-        """Forecast the wait of a newcomer, in seconds."""
-        promises = self._promises.setdefault(verdict.rank, QueueReservations())
+        """Forecast the wait of a new request, in seconds."""
+        promises = self._reservations.setdefault(verdict.rank, QueueReservations())
         promises.expire(now)
         queue = self._queues.setdefault(verdict.rank, FairQueue())
         if not len(queue) and not promises.cost:
@@ -113,14 +115,14 @@
 
 
 class WorkspaceLimits:
-    """Hold the token limits of workspaces."""
+    """Token buckets that enforce the token limits of workspaces."""
 
     def __init__(self) -> None:
-        """Start with full buckets."""
+        """Initialize without buckets; each starts full."""
         self._buckets: dict[str, TokenBucket] = {}
 
     def reserve(self, request: Request, verdict: Verdict, cost: float, now: float) -> float:
-        """Reserve tokens and return zero, or return the seconds to wait."""
+        """Reserve tokens and return zero, or return the time to wait in seconds."""
         if not verdict.limit_tokens_per_s:
             return 0.0
         bucket = self._buckets.get(request.workspace)
@@ -130,7 +132,7 @@
         return bucket.reserve(cost, now)
 
     def settle(self, request: Request, reserved: float, used: float) -> None:
-        """Give back what a request reserved and did not use."""
+        """Return the tokens that a request reserved and did not use."""
         bucket = self._buckets.get(request.workspace)
         if bucket is not None:
             bucket.settle(reserved, used)
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -1,4 +1,4 @@
-"""Keep the runners of a group with their memory forecasts."""
+"""Registry of the runners of a group, with a forecast of each runner's memory use."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from driftstall.decisions.retry_schedule import ServiceRate
 
 REFRESH_INTERVAL_S: Final = 0.25
-"""Ticks renew a runner's forecast this often."""
+"""A tick refreshes the forecasts that are older than this."""
 MAX_FORECAST_AGE_S: Final = 1.0
-"""An older forecast is renewed even within a decision."""
+"""A forecast older than this is refreshed on use, even while a request is placed."""
 HEADROOM_S: Final = 2.0
-"""Seconds of first-rank arrivals for which lower ranks leave room."""
+"""Lower ranks leave room for the first-rank arrivals of this many seconds."""
 MAX_HEADROOM_SHARE: Final = 0.15
-"""Share of a runner's memory that headroom takes at most."""
+"""Maximum headroom as a share of a runner's memory."""
 INITIAL_FIRST_RANK_TOKENS: Final = 1_500.0
-"""Tokens that a first-rank request is taken to hold before any was seen."""
+"""Assumed memory of a first-rank request before any has arrived, in tokens."""
 LEARNING_RATE: Final = 0.02
 
 
 class RunnerRegistry:
-    """Hold the runners' states and forecast their memory."""
+    """Keep the states of live and leaving runners, and forecast their memory use."""
 
     def __init__(self, lengths: LengthModel, deviations: float) -> None:
-        """Start without runners.
+        """Initialize without runners.
 
-        deviations: standard deviations that a forecast's peak stands above its mean.
+        deviations: safety margin of a forecast's peak above its mean, in standard deviations.
         """
         self._lengths = lengths
         self.deviations = deviations
@@ -39,39 +39,39 @@
         self._first_rank_tokens = INITIAL_FIRST_RANK_TOKENS
 
     def add_runner(self, runner_id: str, memory: int, zone: str, now: float) -> None:
-        """Take a runner in, or back with what still runs there."""
+        """Add a runner; one that was leaving comes back with its open grants."""
         if runner_id not in self.runners:
-            fresh = RunnerState(runner_id, memory, zone, pending_at=now)
-            self.runners[runner_id] = self._leaving.pop(runner_id, fresh)
+            new = RunnerState(runner_id, memory, zone, pending_at=now)
+            self.runners[runner_id] = self._leaving.pop(runner_id, new)
 
     def retire_runner(self, runner_id: str) -> RunnerState:
-        """Give a runner no new work; what is open there is still counted."""
+        """Exclude a leaving runner from placement; its open grants are still counted."""
         runner = self._leaving[runner_id] = self.runners.pop(runner_id)
         return runner
 
     def load(self, now: float) -> float:
-        """Return the forecast share of memory in use, from 0 to 1."""
-        memory = sum(one.memory for one in self.runners.values())
+        """Return the forecast share of the group's memory in use, from 0 to 1."""
+        memory = sum(runner.memory for runner in self.runners.values())
         if not memory:
             return 1.0
-        used = sum(self.hold(one, now).means[0] for one in self.runners.values())
+        used = sum(self.hold(runner, now).means[0] for runner in self.runners.values())
         return min(1.0, used / memory)
 
     def record_first_rank_arrival(self, cost: float, now: float) -> None:
-        """Learn how much memory the first rank asks for."""
+        """Update the arrival rate and the mean memory of first-rank requests."""
         self._first_rank_arrivals.add(1.0, now)
         self._first_rank_tokens += LEARNING_RATE * (cost - self._first_rank_tokens)
 
     def headroom(self, rank: int, now: float) -> float:
-        """Return the memory that a rank leaves free on each runner, in tokens."""
+        """Return the memory that a rank must leave free on each runner, in tokens."""
         if rank == 0 or not self.runners:
             return 0.0
         expected = self._first_rank_arrivals.value(now) * HEADROOM_S * self._first_rank_tokens
-        least = min(one.memory for one in self.runners.values())
-        return min(expected / len(self.runners), MAX_HEADROOM_SHARE * least)
+        smallest = min(runner.memory for runner in self.runners.values())
+        return min(expected / len(self.runners), MAX_HEADROOM_SHARE * smallest)
 
     def hold(self, runner: RunnerState, now: float) -> Hold:
-        """Return a runner's memory forecast; ticks keep it fresh, not decisions."""
+        """Return a runner's memory forecast, which ticks normally keep fresh."""
         if now - runner.forecast_at >= MAX_FORECAST_AGE_S:
             self._refresh(runner, now)
         return runner.hold
@@ -79,30 +79,31 @@
     def has_room(
         self, runner: RunnerState, addition: Hold, peak: float, limit: float, now: float
     ) -> bool:
-        """Tell whether an addition, whose peak is known, fits under a limit.
+        """Return True if a generation with a given peak fits below a memory limit.
 
-        An empty runner takes anything: else what is larger than it could never run.
+        An empty runner accepts any request: one larger than its memory could never run
+        otherwise.
         """
         hold = self.hold(runner, now)
-        # The peak of a sum is at most the sum of the peaks, which is quick to see.
+        # The peak of a sum is at most the sum of the peaks, which is cheap to compute.
         if not runner.grants or runner.peak + peak <= limit:
             return True
         return hold.fits(addition, self.deviations, limit)
 
     def refresh_due(self, now: float) -> None:
-        """Renew the forecasts that are old enough."""
+        """Refresh the forecasts that are due."""
         for runner in self.runners.values():
             if now - runner.forecast_at >= REFRESH_INTERVAL_S:
                 self._refresh(runner, now)
 
     def add(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
-        """Count an open grant and what it is forecast to hold."""
+        """Add an open grant and its memory forecast to a runner."""
         hold = self.hold(runner, now)
         runner.add(grant)
         self._set_hold(runner, hold.plus(addition))
 
     def remove(self, grant: OpenGrant, cached: tuple[PrefixMark, ...]) -> None:
-        """Count a grant out; its engine now caches a prefix, if it ended by itself."""
+        """Remove a grant; cached is the prefix that its runner caches after a complete output."""
         runner = self._runner_of(grant)
         if runner is None or not runner.remove(grant):
             return
@@ -111,7 +112,7 @@
         runner.prefixes.store(cached)
 
     def pause(self, grant: OpenGrant, now: float) -> None:
-        """Count out the memory of a generation that yields."""
+        """Release the memory of a generation that is preempted."""
         grant.paused = True
         grant.yields += 1
         runner = self._runner_of(grant)
@@ -120,7 +121,7 @@
             self._set_hold(runner, runner.hold.minus(self._hold_of(grant)))
 
     def resume(self, grant: OpenGrant, now: float) -> None:
-        """Count in the memory of a generation that goes on, and its prefill."""
+        """Add the memory of a resumed generation, and its repeated prefill."""
         grant.paused = False
         grant.running_since = now
         runner = self._runner_of(grant)
@@ -129,22 +130,22 @@
             runner.pending_prefill = runner.decay_pending_prefill(now) + grant.request.input_tokens
 
     def _runner_of(self, grant: OpenGrant) -> RunnerState | None:
-        """Return a grant's runner, live or leaving."""
+        """Return the live or leaving runner of a grant, or None."""
         return self.runners.get(grant.runner_id) or self._leaving.get(grant.runner_id)
 
     def _hold_of(self, grant: OpenGrant) -> Hold:
-        """Forecast what one grant holds."""
+        """Forecast the memory of one grant."""
         return hold_of(self._lengths, grant.request, grant.produced)
 
     def _set_hold(self, runner: RunnerState, hold: Hold) -> None:
-        """Store a runner's forecast with its peak, which is asked for most."""
+        """Store a runner's forecast and its peak, which is read most often."""
         runner.hold = hold
         runner.peak = hold.peak(self.deviations)
 
     def _refresh(self, runner: RunnerState, now: float) -> None:
-        """Forecast a runner's memory anew."""
-        running = (one for one in runner.grants.values() if not one.paused)
-        generations = ((one.request, one.produced) for one in running)
+        """Recompute a runner's memory forecast and shrink its prefix cache model to fit."""
+        running = (grant for grant in runner.grants.values() if not grant.paused)
+        generations = ((grant.request, grant.produced) for grant in running)
         self._set_hold(runner, total(self._lengths, generations))
         runner.forecast_at = now
         runner.prefixes.shrink(runner.memory - runner.hold.means[0] + runner.cached_tokens)
