--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -229,7 +229,7 @@
                 return Failure(Outcome.NOT_SENT, Fate.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
             if first:
-                self._state.budget(upstream.service).request(self._state.now())
+                self._state.budget(upstream.service).record_request(self._state.now())
             return self._read_answer(upstream, exchange)
         except UpstreamError as fault:
             return Failure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault), broke=True)
--- a/driftstall/gateway/shared_budget.py
+++ b/driftstall/gateway/shared_budget.py
@@ -68,7 +68,7 @@
         """Forget what peers have told: it will come in other sums, and must not count twice."""
         self._peers.clear()
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count one request, at its first send."""
         self._requests.append(now)
         self._forget(now)
--- a/features/steps/gateway_budget_steps.py
+++ b/features/steps/gateway_budget_steps.py
@@ -28,7 +28,7 @@
     """Let each instance send ten requests."""
     for budget in context.budgets:
         for index in range(10):
-            budget.request(float(index) / 2)
+            budget.record_request(float(index) / 2)
 
 
 def hear(group: list[SharedRetryBudget], now: float) -> None:
