--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -292,7 +292,7 @@
             self._reliance,
             self._roles,
             self.state.now,
-            longest_wait=self._longest_wait,
+            max_watch_s=self._longest_wait,
             settle_s=SETTLE_S,
             feed=feed,
         )
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -100,7 +100,7 @@
         roles: Callable[[], FleetRoles],
         now: Callable[[], float],
         *,
-        longest_wait: Callable[[], float],
+        max_watch_s: Callable[[], float],
         settle_s: float = 0.0,
         feed: str = "",
     ) -> None:
@@ -116,7 +116,7 @@
         self._now = now
         self._answered_at = float("-inf")
         self._silence_s = 0.0
-        self._longest_wait = longest_wait
+        self._longest_wait = max_watch_s
         self._settled_at = now() + settle_s
 
     @property
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -313,7 +313,7 @@
 def pace_of(seed: int, roles: FleetRoles) -> DelegatedWatchPacing:
     """Return the pace of one feed of one instance."""
     reliance = WatchDelegation(random.Random(seed))
-    return DelegatedWatchPacing(reliance, lambda: roles, lambda: 0.0, longest_wait=lambda: 1.6)
+    return DelegatedWatchPacing(reliance, lambda: roles, lambda: 0.0, max_watch_s=lambda: 1.6)
 
 
 @given("6 instances of a small fleet that follow two feeds each")
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -95,7 +95,7 @@
     context.recorder = Recorder()
     feed = ScriptedFeed(list(steps))
     pace = DelegatedWatchPacing(
-        WatchDelegation(random.Random(1)), FleetRoles, lambda: 0.0, longest_wait=lambda: 1.6
+        WatchDelegation(random.Random(1)), FleetRoles, lambda: 0.0, max_watch_s=lambda: 1.6
     )
     follower = Follower(feed, context.recorder, random.Random(1), pace, sleep=lambda _: None)
     for _ in steps:
@@ -123,7 +123,7 @@
     context.recorder = Recorder()
     feed = EndingFeed(context.steps)
     pace = DelegatedWatchPacing(
-        WatchDelegation(random.Random(1)), FleetRoles, lambda: 0.0, longest_wait=lambda: 1.6
+        WatchDelegation(random.Random(1)), FleetRoles, lambda: 0.0, max_watch_s=lambda: 1.6
     )
     context.follower = Follower(
         feed, context.recorder, random.Random(1), pace, sleep=lambda _: gevent.sleep(0)
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -56,7 +56,7 @@
             self.reliance,
             lambda: self.roles,
             self.clock,
-            longest_wait=lambda: 1.6,
+            max_watch_s=lambda: 1.6,
             settle_s=settle_s,
         )
         self.calls: list[float] = []
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -88,7 +88,7 @@
     )
     reliance = WatchDelegation(random.Random(1))
     context.pace = DelegatedWatchPacing(
-        reliance, FleetRoles, world.state.now, longest_wait=lambda: 1.6
+        reliance, FleetRoles, world.state.now, max_watch_s=lambda: 1.6
     )
     feed = upstream_feed(context.store)
     context.follower = Follower(
