--- a/driftstall/gateway/stream_opening.py
+++ b/driftstall/gateway/stream_opening.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.stream_context import StreamContext
-from driftstall.gateway.stream_resuming import StreamResumer
+from driftstall.gateway.stream_resumer import StreamResumer
 
 
 @dataclass(slots=True)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -30,7 +30,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_opening import StreamOpener
-from driftstall.gateway.stream_resuming import OK, StreamResumer
+from driftstall.gateway.stream_resumer import OK, StreamResumer
 from driftstall.helpers.log import log_event
 
 SILENCE_S: Final = 1.2
