--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -23,7 +23,7 @@
 EXCLUSION_S: Final = 1.0
 """How long one that gave no answer is not asked. About as long as it takes the member list to
 find out that an instance is gone."""
-LONGEST_LEFT_OUT_S: Final = 8.0
+MAX_EXCLUSION_S: Final = 8.0
 """The same for one that is silent again and again: it is slow, or cut off from here alone, and each
 question to it costs a stream its patience."""
 PENDING_S: Final = 1.0
@@ -59,7 +59,7 @@
             return
         for_s = EXCLUSION_S
         if before is not None and now - before.until <= before.for_s:
-            for_s = min(LONGEST_LEFT_OUT_S, 2 * before.for_s)
+            for_s = min(MAX_EXCLUSION_S, 2 * before.for_s)
         self._left_out[placer] = _LeftOut(now + for_s, for_s)
 
     def _is_left_out(self, placer: str, now: float) -> bool:
