--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -117,7 +117,7 @@
     @_on.register
     def _(self, event: Started) -> list[RelayAction]:
         self._budget.earn()
-        return self._ask()
+        return self._request_grant()
 
     @_on.register
     def _(self, event: ResumeRequested) -> list[RelayAction]:
@@ -186,7 +186,7 @@
         self._done = True
         return self._release_attempt()
 
-    def _ask(self) -> list[RelayAction]:
+    def _request_grant(self) -> list[RelayAction]:
         """Ask for a grant under a new id."""
         self._attempt += 1
         self._grant_id = f"{self._request_id}-{self._attempt}"
@@ -209,7 +209,7 @@
             self._done = True
             problem = self._problem(CODE_RUNNER_FAILED, 502, event.detail)
             return [*dropped, Fail(problem)]
-        return [*dropped, *self._ask()]
+        return [*dropped, *self._request_grant()]
 
     def _release_attempt(self) -> list[RelayAction]:
         """Free what the current attempt holds."""
