--- a/driftstall/gateway/shared_budget.py
+++ b/driftstall/gateway/shared_budget.py
@@ -73,7 +73,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Count one repeat if the budget allows it; return whether it does."""
         self._forget(now)
         if len(self._repeats) + 1 > self.allowed(now):
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -161,7 +161,7 @@
         """Take one repeat from the common budget; a refusal is logged with its inputs."""
         now = self.now()
         budget = self.budget(service)
-        if budget.take(now):
+        if budget.try_take(now):
             self.stats.repeats += 1
             return True
         own = budget.count(now)
--- a/features/steps/gateway_budget_steps.py
+++ b/features/steps/gateway_budget_steps.py
@@ -45,7 +45,7 @@
     send_requests(context)
     context.made = 0
     for budget in context.budgets:
-        context.made += sum(budget.take(5.0 + index / 25) for index in range(100))
+        context.made += sum(budget.try_take(5.0 + index / 25) for index in range(100))
 
 
 @when("each has 10 requests and hears of the others, and one wants 100 repeats")
@@ -53,7 +53,7 @@
     """Let one instance need all repeats."""
     send_requests(context)
     hear(context.budgets, 5.0)
-    context.made = sum(context.budgets[0].take(5.1) for _ in range(100))
+    context.made = sum(context.budgets[0].try_take(5.1) for _ in range(100))
 
 
 @then("it makes more than twice its even part")
@@ -67,7 +67,7 @@
     """Let the others ask in turn, each hearing of those before."""
     for budget in context.budgets[1:]:
         hear(context.budgets, 5.2)
-        context.made += sum(budget.take(5.2) for _ in range(100))
+        context.made += sum(budget.try_take(5.2) for _ in range(100))
     assert context.made <= 66, context.made
 
 
@@ -80,7 +80,7 @@
         for index in range(100):
             for budget in half:
                 hear(half, 5.0 + index / 25)
-                context.made += budget.take(5.0 + index / 25)
+                context.made += budget.try_take(5.0 + index / 25)
 
 
 @then("at most 66 repeats are made in all")
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -125,5 +125,5 @@
 @then("this instance may make more than its even part, and not all that is left")
 def more_than_even(context: Any) -> None:
     """Take as many as are allowed."""
-    made = sum(context.budget.take(1.5) for _ in range(500))
+    made = sum(context.budget.try_take(1.5) for _ in range(500))
     assert 196 / 78 < made < 196 - 20, made
