--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -31,7 +31,7 @@
         """Return how long ago the platform last answered this instance, in seconds."""
 
     @property
-    def covered(self) -> bool:
+    def is_delegated(self) -> bool:
         """Tell whether a collector follows the feed for this instance."""
 
 
@@ -45,7 +45,7 @@
     @property
     def is_followed(self) -> bool:
         """Tell whether the feed is up to date, by its own watch or a collector's."""
-        return self.pace.covered or self.follower.current
+        return self.pace.is_delegated or self.follower.current
 
 
 class StoreReachability:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -133,7 +133,7 @@
         return self._silence_s
 
     @property
-    def covered(self) -> bool:
+    def is_delegated(self) -> bool:
         """Tell whether a collector follows the feed for this instance."""
         return not self._follows_always and self._reliance.is_delegated(self._now())
 
@@ -142,7 +142,7 @@
         left_s = self._settled_at - self._now()
         if left_s > 0:
             return left_s
-        if self._follows_always or self.age_s <= FRESH_S and not self.covered:
+        if self._follows_always or self.age_s <= FRESH_S and not self.is_delegated:
             return 0.0
         return self._reliance.delay_s(self._now(), self._feed)
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -207,7 +207,7 @@
 
     current: bool = True
     unanswered: bool = False
-    covered: bool = False
+    is_delegated: bool = False
     age_s: float = 0.0
 
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -86,7 +86,7 @@
 def no_call(context: Any) -> None:
     """Count the calls."""
     assert context.follows.calls == []
-    assert context.follows.pace.covered
+    assert context.follows.pace.is_delegated
 
 
 @given("an instance that starts and hears a collector after {seconds:g} s")
@@ -128,7 +128,7 @@
     while follows.clock.now - context.silent_at < 4.0:
         follows.run(WORD_EVERY_S, 0.2 + follows.clock.now - context.silent_at)
     # A change must be in force everywhere within three seconds.
-    assert not follows.pace.covered
+    assert not follows.pace.is_delegated
 
 
 @then("it calls the platform within {seconds:g} s")
@@ -200,7 +200,7 @@
         assert one.pace.delay_s() == 0.0
         one.reliance.record_collector_report(0.1, one.clock.now)
         assert one.pace.delay_s() == 0.0
-        assert not one.pace.covered
+        assert not one.pace.is_delegated
 
 
 @given("an instance of a large fleet with policy revision 7")
