--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -29,7 +29,7 @@
 from driftstall.gateway.sending import Opened
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_context import StreamContext
-from driftstall.gateway.stream_opening import StreamOpener
+from driftstall.gateway.stream_opener import StreamOpener
 from driftstall.gateway.stream_resumer import OK, StreamResumer
 from driftstall.helpers.log import log_event
 
