--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-MOST_COMPARED: Final = 64
+MAX_COMPARED_UPSTREAMS: Final = 64
 """Engines that are compared for one stream; where there are more, as many are drawn by lot."""
 PLACEMENT_TIMEOUT_S: Final = 0.05
 """How long an answer is waited for: a hop within a zone takes 1.4 ms one way; a stream that
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.cold_starts import QUIET_START_S, UNTOLD_S, ColdPart, ColdStarts
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.lengths import LearnedLengths
-from driftstall.decisions.placers import MOST_COMPARED
+from driftstall.decisions.placers import MAX_COMPARED_UPSTREAMS
 from driftstall.decisions.poison_detection import PoisonTracker
 from driftstall.decisions.store_versions import StoreEras
 from driftstall.decisions.upstream_backoff import StaggeredRetries, UpstreamBackoff
@@ -186,7 +186,7 @@
         self,
         service: str,
         avoid: frozenset[str] = frozenset(),
-        most: int | None = MOST_COMPARED,
+        most: int | None = MAX_COMPARED_UPSTREAMS,
         *,
         heeds_backoff: bool = True,
     ) -> list[Option]:
