--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -172,14 +172,14 @@
         self._maybe_ran = self._maybe_ran or event.may_have_run
         if self._delivered:
             if event.unknown_generation:
-                return self._end(CODE_INCOMPLETE, 502, event.detail)
+                return self._fail(CODE_INCOMPLETE, 502, event.detail)
             return self._resume(event.detail)
         return self._restart(event)
 
     @_on.register
     def _(self, event: DeadlinePassed) -> list[RelayAction]:
         self._maybe_ran = self._maybe_ran or bool(self._generation)
-        return self._end(CODE_DEADLINE, 504, "the deadline passed")
+        return self._fail(CODE_DEADLINE, 504, "the deadline passed")
 
     @_on.register
     def _(self, event: CallerDisconnected) -> list[RelayAction]:
@@ -198,7 +198,7 @@
         """Take up the same generation again, a bounded number of times."""
         self._resumes += 1
         if self._resumes > MAX_RESUMES:
-            return self._end(CODE_INCOMPLETE, 502, detail)
+            return self._fail(CODE_INCOMPLETE, 502, detail)
         return [ResumeStream(self._runner_id, self._generation, self._next_index)]
 
     def _restart(self, event: StreamFailed) -> list[RelayAction]:
@@ -219,7 +219,7 @@
         actions.append(CloseGrant(self._grant_id, self._next_index, finished=False))
         return actions
 
-    def _end(self, code: str, status: int, detail: str) -> list[RelayAction]:
+    def _fail(self, code: str, status: int, detail: str) -> list[RelayAction]:
         """End with a problem and free what is held."""
         self._done = True
         return [*self._release_attempt(), Fail(self._problem(code, status, detail))]
