--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -179,7 +179,7 @@
             lacking=lambda: self._peering.peers_without_platform,
         )
         self._registration = Registration(
-            self.state, self._peering.own, access.instances, self._peering.found
+            self.state, self._peering.own, access.instances, self._peering.add_listed_instances
         )
         self._store_return = StoreRecovery(
             self.state,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -168,7 +168,7 @@
                 ping = Ping(self.own.instance_id, 0, "", self._members.changes)
                 self._links.send(ANYONE, address, ping)
 
-    def found(self, instances: tuple[Instance, ...]) -> None:
+    def add_listed_instances(self, instances: tuple[Instance, ...]) -> None:
         """Take in the instances that the platform lists."""
         self._apply(Seeds(instances))
         self._state.loads_changed.set()
