--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -120,7 +120,7 @@
         return self._at is not None and self._failures < LOST_AFTER
 
     @property
-    def unanswered(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Tell whether the newest question got no answer; one cut watch is usual."""
         return self._failures > 0
 
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -19,7 +19,7 @@
         """Tell whether the feed was read and its calls are answered."""
 
     @property
-    def unanswered(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Tell whether the newest question got no answer."""
 
 
@@ -78,7 +78,7 @@
     def is_answered(self) -> bool:
         """Tell whether the platform answers this instance, on whichever feed it was asked last."""
         feeds = (self._routing, self._upstreams)
-        if any(one.follower.unanswered for one in feeds):
+        if any(one.follower.is_unanswered for one in feeds):
             return False
         return self._upstreams.follower.current
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -206,7 +206,7 @@
     """Stand for a feed's follower and its pace."""
 
     current: bool = True
-    unanswered: bool = False
+    is_unanswered: bool = False
     is_delegated: bool = False
     age_s: float = 0.0
 
@@ -281,7 +281,7 @@
 @when("its newest question for routes gets no answer")
 def routes_unanswered(context: Any) -> None:
     """Note it; the feed counts as lost only after the second one."""
-    context.routes.unanswered = True
+    context.routes.is_unanswered = True
 
 
 @then("it asks engines by itself, though its list of upstreams is not lost yet")
@@ -307,7 +307,7 @@
 @when("its question for routes is answered again")
 def routes_answered(context: Any) -> None:
     """Note it."""
-    context.routes.unanswered = False
+    context.routes.is_unanswered = False
 
 
 def pace_of(seed: int, roles: FleetRoles) -> DelegatedWatchPacing:
