--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passage:
+class RequestProgress:
     """Hold a request on its way through the filters."""
 
     host: str
@@ -80,7 +80,7 @@
         self._current = current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
-    def admit(self, passage: Passage, wall: float) -> Admitted | Problem:
+    def admit(self, passage: RequestProgress, wall: float) -> Admitted | Problem:
         """Return the admitted request, or the problem to answer with."""
         hour = datetime.fromtimestamp(wall, UTC).hour
         self._hour = hour
@@ -101,7 +101,7 @@
             passed.started_at + allowed_s,
         )
 
-    def _find_route(self, passage: Passage) -> Passage | Problem:
+    def _find_route(self, passage: RequestProgress) -> RequestProgress | Problem:
         """Set the route and one service of its split."""
         route = self._table.route(passage.host, passage.path)
         if route is None:
@@ -112,7 +112,7 @@
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
         return replace(passage, route=route, service=service, rank=route.rank)
 
-    def _authenticate(self, passage: Passage) -> Passage | Problem:
+    def _authenticate(self, passage: RequestProgress) -> RequestProgress | Problem:
         """Set the workspace that the key speaks for."""
         assert passage.route is not None
         if not self._table.has_workspaces:
@@ -126,7 +126,7 @@
         rank = passage.rank if workspace.rank is None else workspace.rank
         return replace(passage, workspace=workspace.name, rank=rank)
 
-    def _apply_policy(self, passage: Passage) -> Passage | Problem:
+    def _apply_policy(self, passage: RequestProgress) -> RequestProgress | Problem:
         """Set the verdict of the first rule that holds."""
         assert passage.route is not None and passage.service is not None
         facts = Facts(
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -19,7 +19,7 @@
 )
 from driftstall.core import Instance, Problem, Ran
 from driftstall.daemon.answers import JSON_TYPE
-from driftstall.gateway.admission import Admission, Admitted, Passage
+from driftstall.gateway.admission import Admission, Admitted, RequestProgress
 from driftstall.gateway.answers import problem_answer, whole
 from driftstall.gateway.calls import CallRelay, WholeAnswer
 from driftstall.gateway.dialect import BadHeaders
@@ -140,7 +140,7 @@
             load=self._state.memory_load,
             current=self._current,
         )
-        passage = Passage(call.host, call.path, marks, call.read_at)
+        passage = RequestProgress(call.host, call.path, marks, call.read_at)
         admitted = admission.admit(passage, self._state.wall())
         if isinstance(admitted, Problem):
             return admitted
