--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -40,7 +40,7 @@
     for_s: float
 
 
-class PlacerOrder:
+class PlacerSelector:
     """Say who of those that may place is asked."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -16,7 +16,7 @@
 from driftstall.decisions.placers import (
     PLACEMENT_TIMEOUT_S,
     PendingPlacements,
-    PlacerOrder,
+    PlacerSelector,
 )
 from driftstall.gateway.cold_gate import ColdGate
 from driftstall.gateway.collectors import FleetRoles
@@ -49,7 +49,7 @@
         self._own_id = state.settings.instance_id
         self._roles = roles
         self._send = send
-        self._order = PlacerOrder()
+        self._order = PlacerSelector()
         self._pending = PendingPlacements()
         self._waiting: dict[str, AsyncResult] = {}
         self._cold_gate = ColdGate(state.cold, state.source, self._cold_part, state.now)
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from driftstall.decisions.placers import EXCLUSION_S, PlacerOrder
+from driftstall.decisions.placers import EXCLUSION_S, PlacerSelector
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.fleet_events import Listed
@@ -231,7 +231,7 @@
 @given("two instances that place for a zone, of which the first is silent")
 def two_placers(context: Any) -> None:
     """Let the first one be silent now."""
-    context.order = PlacerOrder()
+    context.order = PlacerSelector()
     context.placers = ("first", "second")
 
 
@@ -252,7 +252,7 @@
 @then("it is left out for longer each time that it is silent again, up to 8 s, and not for ever")
 def left_out_longer(context: Any) -> None:
     """Let it be silent whenever it is asked, then serve for a while."""
-    order, now, waits = PlacerOrder(), 0.0, []
+    order, now, waits = PlacerSelector(), 0.0, []
     for _ in range(5):
         order.silent("first", now)
         order.silent("first", now + 0.01)
