--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -144,7 +144,7 @@
         self._done = True
         problem = event.problem
         if self._maybe_ran:
-            problem = self._problem(CODE_RUNNER_FAILED, 502, problem.detail)
+            problem = self._build_problem(CODE_RUNNER_FAILED, 502, problem.detail)
         return [Fail(problem)]
 
     @_on.register
@@ -207,7 +207,7 @@
         self._avoid |= {self._runner_id}
         if event.quarantined or self._attempt >= MAX_ATTEMPTS or not self._budget.spend():
             self._done = True
-            problem = self._problem(CODE_RUNNER_FAILED, 502, event.detail)
+            problem = self._build_problem(CODE_RUNNER_FAILED, 502, event.detail)
             return [*dropped, Fail(problem)]
         return [*dropped, *self._request_grant()]
 
@@ -222,9 +222,9 @@
     def _fail(self, code: str, status: int, detail: str) -> list[RelayAction]:
         """End with a problem and free what is held."""
         self._done = True
-        return [*self._release_attempt(), Fail(self._problem(code, status, detail))]
+        return [*self._release_attempt(), Fail(self._build_problem(code, status, detail))]
 
-    def _problem(self, code: str, status: int, detail: str) -> Problem:
+    def _build_problem(self, code: str, status: int, detail: str) -> Problem:
         """Describe a failure, saying 'not run' only where it is certain."""
         ran = Ran.UNKNOWN if self._maybe_ran else Ran.NOT_RUN
         return Problem(code, status, detail, ran, RETRY_AFTER_S)
