--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -197,7 +197,7 @@
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = SmallListener(settings.ready_listen, ReadyAnswers(self.state))
-        locate = LocateAnswers(self.state, self._peering.located)
+        locate = LocateAnswers(self.state, self._peering.locatable_instances)
         self._locate = SmallListener(settings.locate_listen, locate)
         metrics = MetricsAnswers(self.state, self._gauges)
         self._metrics = SmallListener(settings.metrics_listen, metrics)
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -173,7 +173,7 @@
         self._apply(Seeds(instances))
         self._state.loads_changed.set()
 
-    def located(self) -> tuple[Instance, ...]:
+    def locatable_instances(self) -> tuple[Instance, ...]:
         """Return the instances that callers may use, this one included if it is ready."""
         live = self._members.live
         ready = self._reporting.ready_peers()
