--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -149,7 +149,7 @@
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
 
 
-def request_of(admitted: Admitted) -> Request:
+def build_request(admitted: Admitted) -> Request:
     """Return the request as the forecasts see it."""
     marks = admitted.marks
     prefix = tuple(
--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -6,7 +6,7 @@
 
 from driftstall.const import CODE_LEAVING, PREFIX_DRAIN
 from driftstall.core import Problem, Ran
-from driftstall.gateway.admission import Admitted, request_of
+from driftstall.gateway.admission import Admitted, build_request
 from driftstall.gateway.model import Repeat
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -52,7 +52,7 @@
         if admitted.route.repeat is not Repeat.STREAM:
             return CALL_S
         marks = admitted.marks
-        tokens = self._state.expected_tokens(request_of(admitted), marks.length_hint)
+        tokens = self._state.expected_tokens(build_request(admitted), marks.length_hint)
         return FIRST_EVENT_S + TOKEN_S * tokens
 
     @property
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -7,7 +7,7 @@
 from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.sends import SendHistory
 from driftstall.exceptions import UpstreamError
-from driftstall.gateway.admission import Admitted, request_of
+from driftstall.gateway.admission import Admitted, build_request
 from driftstall.gateway.crash_refusal import crash_refusal
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Upstream
@@ -30,7 +30,7 @@
         self.state = state
         self.mover = mover
         self.admitted = admitted
-        self.request = request_of(admitted)
+        self.request = build_request(admitted)
         self.request_id = admitted.marks.request_id
         self.placement = StreamPlacement(state, call, admitted, self.request)
         self.history = SendHistory(admitted.route.max_runs)
