--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -51,7 +51,7 @@
         """Return the first that is not left out."""
         return next((one for one in placers if not self._is_left_out(one, now)), None)
 
-    def silent(self, placer: str, now: float) -> None:
+    def record_timeout(self, placer: str, now: float) -> None:
         """Leave one out that gave no answer in time; longer if it has hardly been asked again."""
         before = self._left_out.get(placer)
         if before is not None and now < before.until:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -68,7 +68,7 @@
         finally:
             del self._waiting[asked.request_id]
         if given is None:
-            self._order.silent(placer, self._state.now())
+            self._order.record_timeout(placer, self._state.now())
             log_event(PREFIX_ROUTING, f"{placer} gives no place in time", request=asked.request_id)
         return given
 
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -240,12 +240,12 @@
     """Ask at three times."""
     order, placers = context.order, context.placers
     assert order.first(placers, 5.0) == "first"
-    order.silent("first", 5.0)
+    order.record_timeout("first", 5.0)
     assert order.first(placers, 5.0) == "second"
     assert order.first(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
     assert order.first(placers, 5.0 + EXCLUSION_S) == "first"
-    order.silent("second", 6.0)
-    order.silent("first", 6.0)
+    order.record_timeout("second", 6.0)
+    order.record_timeout("first", 6.0)
     assert order.first(placers, 6.5) is None
 
 
@@ -254,14 +254,14 @@
     """Let it be silent whenever it is asked, then serve for a while."""
     order, now, waits = PlacerSelector(), 0.0, []
     for _ in range(5):
-        order.silent("first", now)
-        order.silent("first", now + 0.01)
+        order.record_timeout("first", now)
+        order.record_timeout("first", now + 0.01)
         began = now
         while order.first(("first",), now) is None:
             now += 0.1
         waits.append(round(now - began))
     assert waits == [1, 2, 4, 8, 8], waits
-    order.silent("first", now + 30.0)
+    order.record_timeout("first", now + 30.0)
     assert order.first(("first",), now + 30.0 + EXCLUSION_S) == "first"
 
 
