--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -281,7 +281,7 @@
 
     @_take.register
     def _(self, message: RoutingOffered) -> None:
-        self._sharing.take_routing(message)
+        self._sharing.handle_routing_offer(message)
 
     @_take.register
     def _(self, message: FleetAsked) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -189,7 +189,7 @@
         if version > asked.version:
             self._send(asked.sender, RoutingOffered(self._own_id, version, text))
 
-    def take_routing(self, offered: RoutingOffered) -> None:
+    def handle_routing_offer(self, offered: RoutingOffered) -> None:
         """Take in a peer's routing document if it is newer."""
         if offered.version <= max(self._intake.routing()[0], self._taking):
             return
