--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -76,7 +76,7 @@
         self._await_turn(upstream)
         tried: set[str] = set()
         engine_id, fleet = upstream.upstream_id, self._state.fleet
-        while self._state.now() < began + GIVE_UP_S and not fleet.stays(engine_id):
+        while self._state.now() < began + GIVE_UP_S and not fleet.is_staying(engine_id):
             runs = self._state.runs.running_on(engine_id)
             waiting = [run for run in runs if self._is_movable(run) and run.request_id not in tried]
             if not waiting or self._state.backoff_s(upstream):
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -134,7 +134,7 @@
         if kept is None:
             return
         self._hold(run, None)
-        source_stays = self._state.fleet.stays(run.upstream.upstream_id)
+        source_stays = self._state.fleet.is_staying(run.upstream.upstream_id)
         holder = run.upstream if source_stays else kept.copy.upstream
         if self._state.backoff_s(holder):
             # Engines drop an unused copy by themselves after a while.
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -75,7 +75,7 @@
                 continue
             if now < self._not_before.get(run.request_id, 0.0):
                 continue
-            if not self._state.fleet.stays(run.upstream.upstream_id):
+            if not self._state.fleet.is_staying(run.upstream.upstream_id):
                 continue
             if self._state.backoff_s(run.upstream):
                 continue
@@ -98,7 +98,7 @@
                 or run.pending_final_copy is not None
             ):
                 continue
-            if not self._state.fleet.stays(run.upstream.upstream_id):
+            if not self._state.fleet.is_staying(run.upstream.upstream_id):
                 # Its engine is leaving: the copy is where the run goes on soon.
                 continue
             use = self._state.loads.use(kept.copy.upstream.upstream_id, self._state.now())
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -117,7 +117,7 @@
         """Tell whether an upstream is known, not leaving and in no cordoned zone."""
         return self.find(upstream_id) is not None
 
-    def stays(self, upstream_id: str) -> bool:
+    def is_staying(self, upstream_id: str) -> bool:
         """Tell whether an upstream is known and not leaving; its zone may be cordoned."""
         entry = self._find(upstream_id)
         return entry is not None and entry.leaving_since is None
