--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class UpstreamResponse:
     """Hold an upstream's whole answer."""
 
     status: int
@@ -76,7 +76,7 @@
 
     history: SendHistory
     avoid: set[str] = field(default_factory=set)
-    answer: WholeAnswer | None = None
+    answer: UpstreamResponse | None = None
     """The newest failure that an upstream answered."""
     failure: Failure | None = None
 
@@ -98,7 +98,7 @@
         if self._exchange is not None:
             self._exchange.close()
 
-    def serve(self) -> WholeAnswer | Problem:
+    def serve(self) -> UpstreamResponse | Problem:
         """Return the answer, or the problem where there is none."""
         tries = _Tries(SendHistory(self._admitted.route.max_runs))
         while True:
@@ -178,7 +178,7 @@
         marks = self._admitted.marks
         return self._state.try_take_retry(self._admitted.service.name, marks.request_id)
 
-    def _send(self, upstream: Upstream, tries: _Tries) -> WholeAnswer | None:
+    def _send(self, upstream: Upstream, tries: _Tries) -> UpstreamResponse | None:
         """Try one upstream; return the final answer, or None to go on."""
         tries.avoid.add(upstream.upstream_id)
         first = not tries.history.arrived
@@ -208,7 +208,7 @@
 
     def _exchange_with(
         self, upstream: Upstream, tries: _Tries, *, first: bool
-    ) -> WholeAnswer | Failure:
+    ) -> UpstreamResponse | Failure:
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
         share = RequestLoad(upstream.upstream_id)
@@ -241,7 +241,9 @@
             self._state.loads.remove_load(request_id)
             self._state.notify_call_load_changed()
 
-    def _read_answer(self, upstream: Upstream, exchange: UpstreamExchange) -> WholeAnswer | Failure:
+    def _read_answer(
+        self, upstream: Upstream, exchange: UpstreamExchange
+    ) -> UpstreamResponse | Failure:
         """Send, then read the answer that carries the request's id."""
         send = SendMetadata(
             upstream_name=upstream.name,
@@ -273,7 +275,7 @@
                 if marks.not_run:
                     detail = f"turned away with {head.status}"
                     return Failure(Outcome.FULL, Fate.TURNED_AWAY, detail)
-                return WholeAnswer(head.status, marks.passed, b"".join(parts))
+                return UpstreamResponse(head.status, marks.passed, b"".join(parts))
 
     def _left(self) -> float:
         """Return the seconds that are left."""
@@ -312,6 +314,6 @@
         )
 
 
-def _outcome_of(answer: WholeAnswer) -> Outcome:
+def _outcome_of(answer: UpstreamResponse) -> Outcome:
     """Judge a whole answer."""
     return Outcome.FAILED if answer.status >= FIRST_SERVER_ERROR else Outcome.GOOD
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -21,7 +21,7 @@
 from driftstall.daemon.answers import JSON_TYPE
 from driftstall.gateway.admission import Admission, Admitted, RequestProgress
 from driftstall.gateway.answers import problem_answer, whole
-from driftstall.gateway.calls import CallRelay, WholeAnswer
+from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.ingress import CallerConnection, CallerRequest, Closed, Malformed
@@ -179,7 +179,7 @@
     def _answer_call(
         self,
         connection: CallerConnection,
-        result: WholeAnswer | Problem,
+        result: UpstreamResponse | Problem,
         admitted: Admitted,
         *,
         keep: bool,
