--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -47,7 +47,7 @@
         """Start with nobody left out."""
         self._left_out: dict[str, _LeftOut] = {}
 
-    def first(self, placers: Iterable[str], now: float) -> str | None:
+    def select(self, placers: Iterable[str], now: float) -> str | None:
         """Return the first that is not left out."""
         return next((one for one in placers if not self._is_left_out(one, now)), None)
 
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -56,7 +56,7 @@
 
     def place(self, asked: PlacementAsked) -> PlacementGiven | None:
         """Return where a stream should run; None where this instance is to choose by itself."""
-        placer = self._order.first(self._roles().placers, self._state.now())
+        placer = self._order.select(self._roles().placers, self._state.now())
         if placer is None:
             return None
         if placer == self._own_id:
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -239,14 +239,14 @@
 def left_out(context: Any) -> None:
     """Ask at three times."""
     order, placers = context.order, context.placers
-    assert order.first(placers, 5.0) == "first"
+    assert order.select(placers, 5.0) == "first"
     order.record_timeout("first", 5.0)
-    assert order.first(placers, 5.0) == "second"
-    assert order.first(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
-    assert order.first(placers, 5.0 + EXCLUSION_S) == "first"
+    assert order.select(placers, 5.0) == "second"
+    assert order.select(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
+    assert order.select(placers, 5.0 + EXCLUSION_S) == "first"
     order.record_timeout("second", 6.0)
     order.record_timeout("first", 6.0)
-    assert order.first(placers, 6.5) is None
+    assert order.select(placers, 6.5) is None
 
 
 @then("it is left out for longer each time that it is silent again, up to 8 s, and not for ever")
@@ -257,12 +257,12 @@
         order.record_timeout("first", now)
         order.record_timeout("first", now + 0.01)
         began = now
-        while order.first(("first",), now) is None:
+        while order.select(("first",), now) is None:
             now += 0.1
         waits.append(round(now - began))
     assert waits == [1, 2, 4, 8, 8], waits
     order.record_timeout("first", now + 30.0)
-    assert order.first(("first",), now + 30.0 + EXCLUSION_S) == "first"
+    assert order.select(("first",), now + 30.0 + EXCLUSION_S) == "first"
 
 
 @given("its zone's placer gives no answer")
