--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -234,7 +234,7 @@
         return self._epoch
 
     @property
-    def wants_flush(self) -> bool:
+    def should_flush(self) -> bool:
         """Tell whether a group waits to be written."""
         return self._phase is _Phase.HELD and bool(self._staged.asks or self._staged.settled)
 
@@ -273,7 +273,7 @@
 
     @_on.register
     def _(self, event: FlushDue, wall: float) -> None:
-        if self.wants_flush:
+        if self.should_flush:
             self._flush(wall)
 
     @_on.register
--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -130,7 +130,7 @@
         """Write groups of claims."""
         now = self._hub.now()
         for shard, holder in list(self._holders.items()):
-            if not holder.wants_flush:
+            if not holder.should_flush:
                 continue
             bucket = self._write_buckets.get(shard)
             if bucket is None:
