--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -289,7 +289,7 @@
 
     @_take.register
     def _(self, message: FleetOffered) -> None:
-        self._sharing.take_fleet(message)
+        self._sharing.handle_fleet_offer(message)
 
     @_take.register
     def _(self, message: UpstreamNews) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -209,7 +209,7 @@
         fleet = self._state.fleet
         self._send(asked.sender, FleetOffered(self._own_id, fleet.at, fleet.taking))
 
-    def take_fleet(self, offered: FleetOffered) -> None:
+    def handle_fleet_offer(self, offered: FleetOffered) -> None:
         """Take in a collector's upstreams."""
         log_event(
             PREFIX_ROUTING,
