--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -110,7 +110,7 @@
         self._policies = PolicySource(self.state)
         self._upstreams = UpstreamSource(
             self.state,
-            leaving=Evacuation(self.state, mover).start,
+            on_leaving=Evacuation(self.state, mover).start,
             publish_change=self._pass_change,
             publish_action=self._pass_action,
             announce=self._announce,
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -80,7 +80,7 @@
     context.fleet = world.state.fleet
     context.source = UpstreamSource(
         world.state,
-        leaving=lambda _: None,
+        on_leaving=lambda _: None,
         publish_change=lambda _: None,
         publish_action=lambda action, *, from_peer: None,
         announce=lambda: None,
