--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -77,7 +77,7 @@
         drain_s = self._state.settings.bounds.drain_s
         if self._is_old(moved) or self._state.fleet.is_replaced(moved.copy.named_by):
             return False
-        return self._state.fleet.serves(engine_id, now, drain_s)
+        return self._state.fleet.can_still_serve(engine_id, now, drain_s)
 
     def _is_old(self, kept: Replica) -> bool:
         """Tell whether an engine may have dropped a copy."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -251,7 +251,9 @@
 
     def can_send(self, upstream: Upstream) -> bool:
         """Tell whether an upstream may be sent anything, just before it is."""
-        serves = self.fleet.serves(upstream.upstream_id, self.now(), self.settings.bounds.drain_s)
+        serves = self.fleet.can_still_serve(
+            upstream.upstream_id, self.now(), self.settings.bounds.drain_s
+        )
         return serves and not self.backoff_s(upstream)
 
     def can_start_on(self, upstream: Upstream, tried: frozenset[str]) -> bool:
@@ -266,7 +268,7 @@
             return True
         if self.options(upstream.service, tried | {upstream_id}):
             return False
-        return self.fleet.serves(upstream_id, self.now(), self.max_new_request_drain_s)
+        return self.fleet.can_still_serve(upstream_id, self.now(), self.max_new_request_drain_s)
 
     @property
     def max_new_request_drain_s(self) -> float:
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -150,10 +150,10 @@
             for entry in self._entries.values()
             if entry.upstream.service == service
             and self.has_signalled_leaving(entry.upstream.upstream_id)
-            and self.serves(entry.upstream.upstream_id, now, drain_s)
+            and self.can_still_serve(entry.upstream.upstream_id, now, drain_s)
         )
 
-    def serves(self, upstream_id: str, now: float, drain_s: float) -> bool:
+    def can_still_serve(self, upstream_id: str, now: float, drain_s: float) -> bool:
         """Tell whether an upstream may still be sent what has run there or was copied there."""
         entry = self._find(upstream_id)
         if entry is not None:
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -59,13 +59,13 @@
 @then('{seconds:g} s after the notice "{name}" may be sent what has run there')
 def still_serves(context: Any, seconds: float, name: str) -> None:
     """Ask within the time to drain."""
-    assert context.fleet.serves(name, NOTICE_AT + seconds, DRAIN_S)
+    assert context.fleet.can_still_serve(name, NOTICE_AT + seconds, DRAIN_S)
 
 
 @then('{seconds:g} s after the notice "{name}" may be sent nothing')
 def serves_no_more(context: Any, seconds: float, name: str) -> None:
     """Ask after the time to drain."""
-    assert not context.fleet.serves(name, NOTICE_AT + seconds, DRAIN_S)
+    assert not context.fleet.can_still_serve(name, NOTICE_AT + seconds, DRAIN_S)
 
 
 @when('the entry of "{name}" is removed')
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -163,7 +163,7 @@
 def serves(context: Any, name: str) -> bool:
     """Ask whether an upstream may be sent what has run there."""
     state = context.world.state
-    return bool(context.fleet.serves(name, state.now(), state.settings.bounds.drain_s))
+    return bool(context.fleet.can_still_serve(name, state.now(), state.settings.bounds.drain_s))
 
 
 @then('"u1" may not be sent what has run there')
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -161,7 +161,7 @@
     first = replace(upstream_of(NAME, 1), born=FIRST_START)
     context.fleet.handle(Listed((first,), StoreVersion(1)), 0.0)
     context.fleet.handle(Changed(gone_upstream(NAME, StoreVersion(2)), True), 1.0)
-    assert context.fleet.serves(first.upstream_id, 1.5, DRAIN_S)
+    assert context.fleet.can_still_serve(first.upstream_id, 1.5, DRAIN_S)
 
 
 @when('"u1" is listed with the start at 2000')
@@ -176,7 +176,7 @@
     """Ask, and look at what follows."""
     old_id = f"{NAME}@{FIRST_START}"
     assert context.fleet.is_replaced(old_id)
-    assert not context.fleet.serves(old_id, 1.6, DRAIN_S)
+    assert not context.fleet.can_still_serve(old_id, 1.6, DRAIN_S)
     told = [one.upstream.upstream_id for one in context.told if isinstance(one, UpstreamReplaced)]
     assert told == [old_id], context.told
     assert context.fleet.accepts_requests(f"{NAME}@{LATER_START}")
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -95,14 +95,14 @@
 @then('"{name}" may be sent what has run there at {before:g} s, and nothing at {after:g} s')
 def serves_until(context: Any, name: str, before: float, after: float) -> None:
     """Ask before and after the end of the time to drain."""
-    assert context.fleet.serves(name, before, DRAIN_S)
-    assert not context.fleet.serves(name, after, DRAIN_S)
+    assert context.fleet.can_still_serve(name, before, DRAIN_S)
+    assert not context.fleet.can_still_serve(name, after, DRAIN_S)
 
 
 @then('"{name}" may be sent nothing at {at:g} s')
 def serves_nothing(context: Any, name: str, at: float) -> None:
     """Ask after the end of the time to drain."""
-    assert not context.fleet.serves(name, at, DRAIN_S)
+    assert not context.fleet.can_still_serve(name, at, DRAIN_S)
 
 
 @then("the later start takes requests")
