--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Failure:
+class SendFailure:
     """Tell why a send gave no answer."""
 
     outcome: Outcome
@@ -78,7 +78,7 @@
     avoid: set[str] = field(default_factory=set)
     answer: UpstreamResponse | None = None
     """The newest failure that an upstream answered."""
-    failure: Failure | None = None
+    failure: SendFailure | None = None
 
 
 class CallRelay:
@@ -186,11 +186,11 @@
         started = self._state.now()
         result = self._exchange_with(upstream, tries, first=first)
         seconds = self._state.now() - started
-        outcome = result.outcome if isinstance(result, Failure) else _outcome_of(result)
+        outcome = result.outcome if isinstance(result, SendFailure) else _outcome_of(result)
         if not self._caller_gone:
             self._state.record_outcome(upstream.upstream_id, upstream.service, outcome, seconds)
         self._log_send(upstream, outcome, seconds, tries)
-        if isinstance(result, Failure):
+        if isinstance(result, SendFailure):
             tries.history.end(result.fate)
             if result.broke and not self._caller_gone:
                 run = BrokenRun(
@@ -208,7 +208,7 @@
 
     def _exchange_with(
         self, upstream: Upstream, tries: _Tries, *, first: bool
-    ) -> UpstreamResponse | Failure:
+    ) -> UpstreamResponse | SendFailure:
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
         share = RequestLoad(upstream.upstream_id)
@@ -219,22 +219,22 @@
             exchange = self._state.connect(upstream, timeout_s)
         except UpstreamError as fault:
             self._state.loads.remove_load(request_id)
-            return Failure(Outcome.UNREACHABLE, Fate.UNSENT, str(fault))
+            return SendFailure(Outcome.UNREACHABLE, Fate.UNSENT, str(fault))
         self._exchange = exchange
         try:
             if self._caller_gone:
-                return Failure(Outcome.GOOD, Fate.UNSENT, "the caller has left")
+                return SendFailure(Outcome.GOOD, Fate.UNSENT, "the caller has left")
             if not self._state.can_start_on(upstream, tries.history.sent_to):
                 detail = "the upstream takes no more requests"
-                return Failure(Outcome.NOT_SENT, Fate.UNSENT, detail)
+                return SendFailure(Outcome.NOT_SENT, Fate.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
             if first:
                 self._state.budget(upstream.service).record_request(self._state.now())
             return self._read_answer(upstream, exchange)
         except UpstreamError as fault:
-            return Failure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault), broke=True)
+            return SendFailure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault), broke=True)
         except TimeoutError as fault:
-            return Failure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault))
+            return SendFailure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault))
         finally:
             exchange.close()
             self._exchange = None
@@ -243,7 +243,7 @@
 
     def _read_answer(
         self, upstream: Upstream, exchange: UpstreamExchange
-    ) -> UpstreamResponse | Failure:
+    ) -> UpstreamResponse | SendFailure:
         """Send, then read the answer that carries the request's id."""
         send = SendMetadata(
             upstream_name=upstream.name,
@@ -274,7 +274,7 @@
                     continue
                 if marks.not_run:
                     detail = f"turned away with {head.status}"
-                    return Failure(Outcome.FULL, Fate.TURNED_AWAY, detail)
+                    return SendFailure(Outcome.FULL, Fate.TURNED_AWAY, detail)
                 return UpstreamResponse(head.status, marks.passed, b"".join(parts))
 
     def _left(self) -> float:
