--- a/driftstall/controllers/grant_messages.py
+++ b/driftstall/controllers/grant_messages.py
@@ -1,4 +1,4 @@
-"""Define the events and actions of the grants controller."""
+"""Events and actions of the grants controller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask the owner of a group for a grant."""
+    """Request a grant from the owner of a group."""
 
     group: str
     entry: str
@@ -17,12 +17,12 @@
     verdict: Verdict
     ticket: str = ""
     avoid: tuple[str, ...] = ()
-    """Runners on which this request has already failed."""
+    """Runners on which this request has failed before."""
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tell a new owner of a grant that is already open."""
+    """Announce an open grant to a new owner."""
 
     group: str
     entry: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Report how far a generation is; produced counts output tokens."""
+    """Report the output tokens that a generation has produced so far."""
 
     group: str
     request_id: str
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """End a grant or a wait for one."""
+    """Close a grant, or withdraw a request that waits for one."""
 
     group: str
     request_id: str
     produced: int
     finished: bool
-    """Whether the output ended by itself."""
+    """True if the generation ran to its end."""
     reply: PrefixMark | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerReport:
-    """Carry an engine's own, lagging report."""
+    """Carry an engine's report of its memory and queue; it lags behind the grants."""
 
     group: str
     runner_id: str
@@ -67,18 +67,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Carry an engine's late cache events."""
+    """Carry an engine's prefix cache events, which arrive late."""
 
     group: str
     runner_id: str
     stored: tuple[tuple[PrefixMark, ...], ...]
-    """Each with all its prefixes, from short to long."""
+    """Each item lists all prefixes of a stored prompt, shortest first."""
     evicted: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RunnersChanged:
-    """Set the group's runners: id, memory in tokens and zone; none is leaving."""
+    """Set the group's runners: id, memory in tokens and zone. Leaving runners are not listed."""
 
     group: str
     runners: tuple[tuple[str, int, str], ...]
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnersLimited:
-    """Set which runners name a limit: id, and generations a second that may begin there."""
+    """Set the runners with a rate limit: id, and generations a second that may start there."""
 
     group: str
     limits: tuple[tuple[str, float], ...]
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLost:
-    """Learn that an entry instance died; what it streamed is over."""
+    """Report that an entry instance has failed; its streams have ended."""
 
     entry: str
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Let time pass."""
+    """Trigger the periodic work."""
 
 
 GrantEvent = (
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Refuse a request and say when to come back."""
+    """Refuse a request, with the time after which to retry."""
 
     entry: str
     request_id: str
--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -1,8 +1,8 @@
-"""Relay one generation: each token once, in order, from a single generation.
+"""Relay of one generation to a caller: each token exactly once, in order, from one generation.
 
-Pure: one machine for one request. Before the first token is delivered the
-request may start elsewhere; after it, only the same generation goes on, or the
-answer ends with an explicit problem.
+A state machine without I/O for each request. Before the first token is delivered, a
+failed request is retried on another runner. After it, only the same generation is
+resumed, or the response ends with an explicit problem.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 
 MAX_ATTEMPTS: Final = 3
 MAX_RESUMES: Final = 4
-"""Resumes without a token between them."""
+"""Maximum number of consecutive resumes that deliver no token."""
 RETRY_AFTER_S: Final = 1.0
 
 
 class RelayMachine:
-    """Hold the state of one relayed generation."""
+    """State machine of one relayed generation."""
 
     def __init__(self, request_id: str, budget: RetryBudget) -> None:
-        """Start before the first grant; the budget is shared by the instance."""
+        """Initialize without a grant; the retry budget is shared by the whole instance."""
         self._request_id = request_id
         self._budget = budget
         self._attempt = 0
@@ -65,37 +65,40 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the caller has its final answer."""
+        """Return True if the caller has its final response or has disconnected."""
         return self._done
 
     @property
     def generation(self) -> str:
-        """Return the current generation, or empty."""
+        """Return the id of the current generation, or an empty string."""
         return self._generation
 
     @property
     def runner_id(self) -> str:
-        """Return the current runner, or empty."""
+        """Return the id of the current runner, or an empty string."""
         return self._runner_id
 
     @property
     def grant_id(self) -> str:
-        """Return the current grant, or empty."""
+        """Return the id of the current grant, or an empty string."""
         return self._grant_id
 
     @property
     def produced(self) -> int:
-        """Return the tokens delivered so far."""
+        """Return the number of tokens delivered so far."""
         return self._next_index
 
     def handle(self, event: RelayEvent) -> list[RelayAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         if self._done:
             return self._handle_late(event)
         return self._on(event)
 
     def accept_token(self, generation: str, index: int) -> bool:
-        """Tell whether a token is the next one, and count it: the short way."""
+        """Count a token if it is the next one; return False otherwise.
+
+        The fast path for tokens, which needs no event and no action.
+        """
         if self._done or generation != self._generation or index != self._next_index:
             return False
         self._next_index += 1
@@ -104,7 +107,7 @@
         return True
 
     def _handle_late(self, event: RelayEvent) -> list[RelayAction]:
-        """Give back a grant that arrives after the end."""
+        """Close a grant that arrives after the end."""
         if isinstance(event, GrantReceived):
             return [CloseGrant(self._grant_id, self._next_index, finished=False)]
         return []
@@ -139,7 +142,7 @@
     @_on.register
     def _(self, event: GrantRefused) -> list[RelayAction]:
         if self._generation:
-            # Two owners at once: one has granted before the other refused.
+            # The group has two owners for a moment: one granted before the other refused.
             return []
         self._done = True
         problem = event.problem
@@ -187,7 +190,7 @@
         return self._release_attempt()
 
     def _request_grant(self) -> list[RelayAction]:
-        """Ask for a grant under a new id."""
+        """Request a grant under a new id."""
         self._attempt += 1
         self._grant_id = f"{self._request_id}-{self._attempt}"
         self._generation = ""
@@ -195,24 +198,24 @@
         return [RequestGrant(self._grant_id, self._avoid)]
 
     def _resume(self, detail: str) -> list[RelayAction]:
-        """Take up the same generation again, a bounded number of times."""
+        """Resume the same generation, up to MAX_RESUMES times without a token between."""
         self._resumes += 1
         if self._resumes > MAX_RESUMES:
             return self._fail(CODE_INCOMPLETE, 502, detail)
         return [ResumeStream(self._runner_id, self._generation, self._next_index)]
 
     def _restart(self, event: StreamFailed) -> list[RelayAction]:
-        """Start elsewhere, since the caller has seen no token yet."""
-        dropped = self._release_attempt()
+        """Retry on another runner, since the caller has received no token yet."""
+        released = self._release_attempt()
         self._avoid |= {self._runner_id}
         if event.quarantined or self._attempt >= MAX_ATTEMPTS or not self._budget.spend():
             self._done = True
             problem = self._build_problem(CODE_RUNNER_FAILED, 502, event.detail)
-            return [*dropped, Fail(problem)]
-        return [*dropped, *self._request_grant()]
+            return [*released, Fail(problem)]
+        return [*released, *self._request_grant()]
 
     def _release_attempt(self) -> list[RelayAction]:
-        """Free what the current attempt holds."""
+        """Cancel the current stream and close the current grant."""
         actions: list[RelayAction] = []
         if self._generation:
             actions.append(CancelStream(self._runner_id, self._generation))
@@ -220,11 +223,11 @@
         return actions
 
     def _fail(self, code: str, status: int, detail: str) -> list[RelayAction]:
-        """End with a problem and free what is held."""
+        """End the response with a problem and release the current attempt."""
         self._done = True
         return [*self._release_attempt(), Fail(self._build_problem(code, status, detail))]
 
     def _build_problem(self, code: str, status: int, detail: str) -> Problem:
-        """Describe a failure, saying 'not run' only where it is certain."""
+        """Build a problem; it says 'not run' only if the request certainly did not run."""
         ran = Ran.UNKNOWN if self._maybe_ran else Ran.NOT_RUN
         return Problem(code, status, detail, ran, RETRY_AFTER_S)
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -1,4 +1,4 @@
-"""Define the events and actions of the relay of one generation."""
+"""Events and actions of the relay of one generation."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Begin a new request."""
+    """Start a new request."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequested:
-    """Begin from a resume token, given out by any instance."""
+    """Start from a resume token, which any instance may have issued."""
 
     runner_id: str
     generation: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRefused:
-    """Receive a refusal, as the caller will see it."""
+    """Receive a refusal, as the problem that the caller gets."""
 
     problem: Problem
 
@@ -56,26 +56,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamFailed:
-    """Learn that a stream broke, stalled or was refused by the runner."""
+    """Report that a stream broke, stalled or was refused by the runner."""
 
     generation: str
     may_have_run: bool
-    """Whether any byte of the request may have reached the runner."""
+    """True if any byte of the request may have reached the runner."""
     unknown_generation: bool
-    """Whether the runner says that it does not know the generation."""
+    """True if the runner answered that it does not know the generation."""
     detail: str
     quarantined: bool = False
-    """Whether the request is to be sent to no further runner: some have crashed under it."""
+    """True if the request must not be sent to another runner, because runners crashed under it."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """Learn that the caller's deadline has passed."""
+    """Report that the caller's deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """Learn that nobody waits for the answer any more."""
+    """Report that the caller has disconnected."""
 
 
 RelayEvent = (
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestGrant:
-    """Ask the owner for a grant, under an id of its own for each attempt."""
+    """Request a grant from the owner; each attempt has its own grant id."""
 
     grant_id: str
     avoid: frozenset[str]
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeStream:
-    """Take up a generation again from an index."""
+    """Resume a generation from a token index."""
 
     runner_id: str
     generation: str
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelStream:
-    """Tell a runner to drop a generation."""
+    """Cancel a generation on a runner."""
 
     runner_id: str
     generation: str
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseGrant:
-    """Give a grant, or the wait for it, back to the owner."""
+    """Close a grant at its owner, or withdraw the request for it."""
 
     grant_id: str
     produced: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Give a token to the caller."""
+    """Deliver a token to the caller."""
 
     generation: str
     index: int
@@ -145,14 +145,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """End the answer: it is whole."""
+    """End the complete response."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End the answer with a problem."""
+    """End the response with a problem."""
 
     problem: Problem
 
