--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -28,7 +28,7 @@
 question to it costs a stream its patience."""
 PENDING_S: Final = 1.0
 """How long a choice counts that no report confirms: the longest time between two reports."""
-REPORT_HOP_S: Final = 0.01
+REPORT_DELAY_S: Final = 0.01
 """What a choice and a report take on their ways; a report does not tell of later choices."""
 
 
@@ -92,7 +92,7 @@
         return self._take(
             request_id
             for request_id, one in self._pending.items()
-            if one.member == member and one.at <= now - REPORT_HOP_S
+            if one.member == member and one.at <= now - REPORT_DELAY_S
         )
 
     def expired(self, now: float) -> tuple[str, ...]:
