--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -303,7 +303,7 @@
         if self._write is None or self._write.write_id != event.write_id:
             return
         # Another holder raised the epoch: what it stored decides, so read anew.
-        self._stage_again(self._write)
+        self._restage(self._write)
         self._load()
 
     @_on.register
@@ -316,10 +316,10 @@
     @_on.register
     def _(self, event: WriteRefused, wall: float) -> None:
         if self._write is not None and self._write.write_id == event.write_id:
-            self._stage_again(self._write)
+            self._restage(self._write)
             self._give_up()
 
-    def _stage_again(self, write: _Write) -> None:
+    def _restage(self, write: _Write) -> None:
         """Put what a write carried back in front of what waits; it may be stored already."""
         self._doubtful |= {ask.nonce for ask in write.claims}
         self._staged.asks = write.claims + self._staged.asks
@@ -407,20 +407,20 @@
             return
         if event.version == write.expected:
             # Not there yet, but it may still arrive: our next write fences it by version.
-            self._stage_again(write)
+            self._restage(write)
             self._claims = {record.key: record for record in write.value.claims}
             for ask in write.claims:
                 self._claims.pop(ask.key, None)
             self._flush(wall)
             return
         # Someone wrote after us. Reading anew finds our claims if they are in there.
-        self._stage_again(write)
+        self._restage(write)
         self._load()
 
     def _give_up(self) -> None:
         """Answer all that wait with 'unavailable': none of them was run."""
         if self._write is not None:
-            self._stage_again(self._write)
+            self._restage(self._write)
         self._phase = _Phase.COLD
         waiting, self._staged.asks = self._staged.asks, []
         for ask in waiting:
