--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -327,7 +327,7 @@
     def _(self, report: GatewayReport) -> None:
         self._state.on_store_era(report.store_era)
         self._take_signals(report.rate_limits, report.leaving)
-        self._sharing.take_cordons(report.cordons)
+        self._sharing.handle_cordons(report.cordons)
         self._placer.handle_report(report.sender)
         if self._reporting.record_report(report):
             self._sharing.resend_changes(report.sender)
@@ -339,7 +339,7 @@
     def _(self, summary: ZoneSummary) -> None:
         self._state.on_store_era(summary.store_era)
         self._take_signals(summary.rate_limits, summary.leaving)
-        self._sharing.take_cordons(summary.cordons)
+        self._sharing.handle_cordons(summary.cordons)
         # A follower knows the platform's list better than any other collector.
         age_s = summary.platform_age_ms / MS
         self._reporting.record_zone_summary(summary)
@@ -352,7 +352,7 @@
     def _(self, summary: FleetSummary) -> None:
         self._state.on_store_era(summary.store_era)
         self._take_signals(summary.rate_limits, summary.leaving)
-        self._sharing.take_cordons(summary.cordons)
+        self._sharing.handle_cordons(summary.cordons)
         if self._roles.collects:
             # Its sender does not know yet that this instance collects now.
             return
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -219,7 +219,7 @@
         )
         self._intake.take_fleet(offered.upstreams, offered.at)
 
-    def take_cordons(self, told: Cordons) -> None:
+    def handle_cordons(self, told: Cordons) -> None:
         """Take in which zones a peer knows to be cordoned."""
         self._intake.take_cordons(told)
 
