--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -207,7 +207,7 @@
     def answer_fleet(self, asked: FleetAsked) -> None:
         """Give a peer all upstreams that take requests."""
         fleet = self._state.fleet
-        self._send(asked.sender, FleetOffered(self._own_id, fleet.at, fleet.taking))
+        self._send(asked.sender, FleetOffered(self._own_id, fleet.at, fleet.accepting))
 
     def handle_fleet_offer(self, offered: FleetOffered) -> None:
         """Take in a collector's upstreams."""
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -72,12 +72,12 @@
     def digest(self) -> int:
         """Return a hash of the set of upstreams that take requests by the platform's word."""
         if self._digest is None:
-            taking = sorted(one.upstream_id for one in self.taking)
+            taking = sorted(one.upstream_id for one in self.accepting)
             self._digest = xxhash.xxh3_64_intdigest("|".join(taking).encode())
         return self._digest
 
     @property
-    def taking(self) -> tuple[Upstream, ...]:
+    def accepting(self) -> tuple[Upstream, ...]:
         """Return all upstreams that take requests by the platform's word."""
         return tuple(entry.upstream for entry in self._entries.values() if entry.is_listed)
 
