--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class OpenedResponse:
     """Hold an answer whose head was read."""
 
     head: Head
@@ -42,7 +42,7 @@
         self._history = history
         self._caller_gone = is_caller_disconnected
 
-    def send(self, run: StreamRun) -> Opened | UpstreamError:
+    def send(self, run: StreamRun) -> OpenedResponse | UpstreamError:
         """Send the request to the run's upstream, read the answer's head and keep its fate."""
         if not self._history.arrived:
             self._state.budget(run.upstream.service).record_request(self._state.now())
@@ -56,7 +56,7 @@
             self._history.end(Fate.TURNED_AWAY)
         return result
 
-    def _exchange(self, run: StreamRun, copy_of: str) -> Opened | UpstreamError:
+    def _exchange(self, run: StreamRun, copy_of: str) -> OpenedResponse | UpstreamError:
         """Open a connection, send the request and read the answer's head."""
         marks = SendMetadata(
             upstream_name=run.upstream.name,
@@ -97,7 +97,7 @@
             return run.last_event_id
         return self._admitted.marks.last_event_id if self._admitted.route.resumable else ""
 
-    def _read_head(self, exchange: UpstreamExchange) -> Opened:
+    def _read_head(self, exchange: UpstreamExchange) -> OpenedResponse:
         """Read the head of the answer that carries the request's id."""
         while True:
             item = exchange.next(max(0.0, self._left()))
@@ -105,7 +105,7 @@
                 continue
             marks = self._state.dialect.read_answer(item.status, item.headers)
             if marks.request_id == self._admitted.marks.request_id:
-                return Opened(item, marks)
+                return OpenedResponse(item, marks)
 
     def _left(self) -> float:
         """Return the seconds that are left."""
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.placement import StreamPlacement
 from driftstall.gateway.replica_finder import ReplicaFinder
 from driftstall.gateway.runs import BrokenRun, StreamRun
-from driftstall.gateway.sending import Opened, StreamSender
+from driftstall.gateway.sending import OpenedResponse, StreamSender
 from driftstall.gateway.state import GatewayState
 
 
@@ -48,7 +48,7 @@
         if run is not None and run.exchange is not None:
             run.exchange.close()
 
-    def send(self, run: StreamRun) -> Opened | UpstreamError:
+    def send(self, run: StreamRun) -> OpenedResponse | UpstreamError:
         """Send the request to the run's upstream; from now on a leaving caller closes this one."""
         self.run = run
         return self.sender.send(run)
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.placement import WAIT_FOR_ROOM_SHARE
 from driftstall.gateway.runs import StreamRun
-from driftstall.gateway.sending import Opened
+from driftstall.gateway.sending import OpenedResponse
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_resumer import StreamResumer
 
@@ -34,7 +34,7 @@
         self._context = context
         self._resuming = resuming
 
-    def open(self) -> Opened | Problem:
+    def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
         tries, history = _Tries(), self._context.history
         while history.may_run_anew and history.sends < MAX_SENDS:
@@ -43,7 +43,7 @@
                 return result
         return self._unserved(tries)
 
-    def _try_one(self, tries: _Tries) -> Opened | Problem | None:
+    def _try_one(self, tries: _Tries) -> OpenedResponse | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         context = self._context
         if context.remaining_s() <= 0 or context.is_caller_disconnected:
@@ -81,11 +81,11 @@
             return None
         return self._send(run, tries)
 
-    def _send(self, run: StreamRun, tries: _Tries) -> Opened | Problem | None:
+    def _send(self, run: StreamRun, tries: _Tries) -> OpenedResponse | Problem | None:
         """Send the request where it was placed; return None where that one did not take it."""
         context = self._context
         result = context.send(run)
-        if isinstance(result, Opened):
+        if isinstance(result, OpenedResponse):
             if not result.marks.not_run:
                 return result
             tries.detail = f"turned away with {result.head.status}"
@@ -131,7 +131,7 @@
         )
         return until - self._context.state.now()
 
-    def _after_break(self, run: StreamRun, detail: str) -> Opened | Problem:
+    def _after_break(self, run: StreamRun, detail: str) -> OpenedResponse | Problem:
         """Go on at a copy after a break before the answer's head."""
         self._context.handle_break(run)
         resumed = self._resuming.resume(run, detail)
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -10,7 +10,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import ReplicaRef, StreamRun
-from driftstall.gateway.sending import Opened
+from driftstall.gateway.sending import OpenedResponse
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.helpers.log import log_event
 
@@ -32,7 +32,7 @@
         """Take the stream."""
         self._context = context
 
-    def resume(self, run: StreamRun, cause: str) -> Opened | None:
+    def resume(self, run: StreamRun, cause: str) -> OpenedResponse | None:
         """Go on at a copy; return the opened answer, or None where there is no copy."""
         while (
             run.moves < MAX_RESUMES
@@ -65,7 +65,7 @@
             )
             result = self._context.send(next_run)
             self._log_resumed(run, next_run, result, cause)
-            if isinstance(result, Opened) and result.head.status == OK:
+            if isinstance(result, OpenedResponse) and result.head.status == OK:
                 self._context.state.stats.streams_resumed += 1
                 return result
             # Nothing was made there that could be copied on; another copy of the run as it
@@ -113,7 +113,11 @@
         return True
 
     def _log_resumed(
-        self, run: StreamRun, next_run: StreamRun, result: Opened | UpstreamError, cause: str
+        self,
+        run: StreamRun,
+        next_run: StreamRun,
+        result: OpenedResponse | UpstreamError,
+        cause: str,
     ) -> None:
         """Log how a stream went on."""
         outcome = str(result) if isinstance(result, UpstreamError) else str(result.head.status)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -26,7 +26,7 @@
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
 from driftstall.gateway.runs import StreamRun
-from driftstall.gateway.sending import Opened
+from driftstall.gateway.sending import OpenedResponse
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.gateway.stream_opener import StreamOpener
@@ -78,7 +78,7 @@
         finally:
             self._context.finish()
 
-    def _relay(self, opened: Opened) -> bool:
+    def _relay(self, opened: OpenedResponse) -> bool:
         """Pass the answer on; return whether the caller's connection can be kept."""
         run = self._context.run
         assert run is not None
@@ -99,7 +99,7 @@
             assert self._context.run is not None
             run = self._context.run
 
-    def _relay_failure(self, run: StreamRun, opened: Opened) -> bool:
+    def _relay_failure(self, run: StreamRun, opened: OpenedResponse) -> bool:
         """Pass on an answer that is no stream."""
         assert run.exchange is not None
         parts: list[bytes] = []
@@ -121,7 +121,7 @@
         data = whole(opened.head.status, opened.marks.passed, body, keep=self._keep)
         return self._connection.write(data) and self._keep
 
-    def _send_head(self, opened: Opened) -> bool:
+    def _send_head(self, opened: OpenedResponse) -> bool:
         """Send the answer's head to the caller."""
         extra = (b"Transfer-Encoding: chunked", KEEP if self._keep else CLOSE)
         self._head_sent = True
