--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -161,7 +161,7 @@
         self._allowances: dict[str, Allowance] = {}
         self._looked_at = float("-inf")
 
-    def tend(self, upstream_ids: set[str], now: float) -> None:
+    def sync(self, upstream_ids: set[str], now: float) -> None:
         """Take in for which upstreams this instance is the one to ask; to be told often."""
         if now - self._looked_at > STALE_AFTER_S:
             self._allowances.clear()
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -93,7 +93,7 @@
         """Find out for which upstreams this instance gives permits; to be called often."""
         limited = self._limits.keep_only(self._upstreams)
         mine = {one for one in limited if self._giver(one) == self._own_id}
-        self._allowances.tend(mine, self._now())
+        self._allowances.sync(mine, self._now())
 
     def answer(self, asked: PermitAsked) -> None:
         """Answer another instance."""
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -182,7 +182,7 @@
         if member.is_up:
             member.count.seen(len(member.live), self._now)
             mine = self._owner(member) == member.name and member.knows_limit
-            member.allowances.tend({UPSTREAM} if mine else set(), self._now)
+            member.allowances.sync({UPSTREAM} if mine else set(), self._now)
         if self._members[member.name] is member:
             self._at(self._now + TEND_S, lambda: self._tend(member))
 
