--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -224,7 +224,7 @@
         self._staged = _Staged()
         self._write: _Write | None = None
         self._writes = 0
-        self._doubtful: set[str] = set()
+        self._uncertain_nonces: set[str] = set()
         """Tries whose claim an unsettled write may have stored."""
         self._actions: list[ClaimAction] = []
 
@@ -321,7 +321,7 @@
 
     def _restage(self, write: _Write) -> None:
         """Put what a write carried back in front of what waits; it may be stored already."""
-        self._doubtful |= {ask.nonce for ask in write.claims}
+        self._uncertain_nonces |= {ask.nonce for ask in write.claims}
         self._staged.asks = write.claims + self._staged.asks
         self._staged.settled = write.settled + self._staged.settled
         self._write = None
@@ -388,7 +388,7 @@
     def _confirm(self, write: _Write, version: int, wall: float) -> None:
         """Grant the claims that a write made durable."""
         self._write = None
-        self._doubtful.clear()
+        self._uncertain_nonces.clear()
         self._version = version
         self._claims = {record.key: record for record in write.value.claims}
         self._phase = _Phase.HELD
@@ -425,12 +425,12 @@
         waiting, self._staged.asks = self._staged.asks, []
         for ask in waiting:
             self._answer(ask, ClaimAnswerKind.UNAVAILABLE)
-            if ask.nonce in self._doubtful:
+            if ask.nonce in self._uncertain_nonces:
                 # A write may have stored the claim; free it once the platform answers.
                 self._staged.settled.append(
                     ClaimSettled(self._shard, ask.key, ask.nonce, False, 0, "", "")
                 )
-        self._doubtful.clear()
+        self._uncertain_nonces.clear()
 
     def _latest(self, known: ClaimRecord) -> ClaimRecord:
         """Return a record with its outcome, even if that is not stored yet."""
