--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -293,7 +293,7 @@
 
     @_take.register
     def _(self, message: UpstreamNews) -> None:
-        self._sharing.take_news(message)
+        self._sharing.handle_upstream_update(message)
 
     @_take.register
     def _(self, message: UpstreamDoubted) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -223,7 +223,7 @@
         """Take in which zones a peer knows to be cordoned."""
         self._intake.take_cordons(told)
 
-    def take_news(self, news: UpstreamNews) -> None:
+    def handle_upstream_update(self, news: UpstreamNews) -> None:
         """Take in one change of an upstream."""
         self._intake.take_news(ItemChange(news.upstream, news.gone))
 
