--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -126,7 +126,7 @@
         """Find out what the request is."""
         self._state.configured.wait(START_WAIT_S)
         table = self._state.table
-        if table is None or not self._state.fleet.known:
+        if table is None or not self._state.fleet.is_loaded:
             detail = "this instance has no configuration yet"
             return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
         try:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -180,7 +180,7 @@
 
     def request_fleet_if_unknown(self, peer: str) -> None:
         """Ask a peer for the upstreams if the platform has never told this instance any."""
-        if not self._state.fleet.known:
+        if not self._state.fleet.is_loaded:
             self._send(peer, FleetAsked(self._own_id))
 
     def answer_routing(self, asked: RoutingAsked) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -127,7 +127,7 @@
     def is_configured(self) -> bool:
         """Tell whether there is something to decide by."""
         knows_cordons = self.cordons.known or not self.settings.bounds.cordon_s
-        return self.table is not None and self.fleet.known and knows_cordons
+        return self.table is not None and self.fleet.is_loaded and knows_cordons
 
     def notify_if_configured(self) -> None:
         """Let waiting requests go on once there is something to decide by."""
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -59,7 +59,7 @@
         self._digest: int | None = None
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Tell whether the list was ever read, from the platform or a peer."""
         return self._read
 
