--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -25,7 +25,7 @@
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.backoff_refusal import backoff_refusal
 from driftstall.gateway.crash_refusal import crash_refusal
-from driftstall.gateway.exchange import End, Head, Piece, UpstreamExchange
+from driftstall.gateway.exchange import BodyChunk, End, Head, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.loads import RequestLoad
 from driftstall.gateway.model import Headers, Repeat, SendMetadata, Upstream
@@ -261,7 +261,7 @@
             item = exchange.next(max(0.0, self._left()))
             if isinstance(item, Head):
                 head, parts, size = item, [], 0
-            elif isinstance(item, Piece):
+            elif isinstance(item, BodyChunk):
                 parts.append(item.data)
                 size += len(item.data)
                 if size > MAX_ANSWER_BYTES:
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class BodyChunk:
     """Hold some bytes of an answer's body."""
 
     data: bytes
@@ -50,7 +50,7 @@
     """Mark the end of an answer that has arrived whole."""
 
 
-Item = Head | Piece | End
+Item = Head | BodyChunk | End
 
 
 class _Reader:
@@ -84,7 +84,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Pass on a piece of the body."""
-        self.items.append(Piece(data))
+        self.items.append(BodyChunk(data))
 
     def on_message_complete(self) -> None:
         """Pass on the end."""
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -15,7 +15,7 @@
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.answers import CLOSE, KEEP, problem_answer, whole
 from driftstall.gateway.events import Event, EventOrder, EventSplitter, Order
-from driftstall.gateway.exchange import End, Piece
+from driftstall.gateway.exchange import BodyChunk, End
 from driftstall.gateway.ingress import (
     LAST_CHUNK,
     CallerConnection,
@@ -108,7 +108,7 @@
                 item = run.exchange.next(max(0.0, self._context.remaining_s()))
                 if isinstance(item, End):
                     break
-                if isinstance(item, Piece):
+                if isinstance(item, BodyChunk):
                     parts.append(item.data)
         except (UpstreamError, TimeoutError) as fault:
             log_event(PREFIX_RELAY, f"A failure's body broke off: {fault}", request=run.request_id)
@@ -147,7 +147,7 @@
                 return fault
             finally:
                 run.waited_s += self._state.now() - waits_since
-            if isinstance(item, Piece):
+            if isinstance(item, BodyChunk):
                 fault_or_none = self._pass_on(run, splitter.feed(item.data))
                 if fault_or_none is not None:
                     return fault_or_none
