--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -286,10 +286,10 @@
     @_on.register
     def _(self, event: ReadFailed, wall: float) -> None:
         if self._phase is _Phase.READING:
-            self._give_up()
+            self._release_shard()
         elif self._phase is _Phase.SETTLING:
             # The write may have taken effect: nobody may run, nobody is told "recorded".
-            self._give_up()
+            self._release_shard()
 
     @_on.register
     def _(self, event: WriteDone, wall: float) -> None:
@@ -317,7 +317,7 @@
     def _(self, event: WriteRefused, wall: float) -> None:
         if self._write is not None and self._write.write_id == event.write_id:
             self._restage(self._write)
-            self._give_up()
+            self._release_shard()
 
     def _restage(self, write: _Write) -> None:
         """Put what a write carried back in front of what waits; it may be stored already."""
@@ -417,7 +417,7 @@
         self._restage(write)
         self._load()
 
-    def _give_up(self) -> None:
+    def _release_shard(self) -> None:
         """Answer all that wait with 'unavailable': none of them was run."""
         if self._write is not None:
             self._restage(self._write)
