--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -297,7 +297,7 @@
 
     @_take.register
     def _(self, message: UpstreamDoubted) -> None:
-        self._sharing.take_doubt(message)
+        self._sharing.handle_suspicion(message)
 
     @_take.register
     def _(self, message: PlacementAsked) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -227,7 +227,7 @@
         """Take in one change of an upstream."""
         self._intake.take_news(ItemChange(news.upstream, news.gone))
 
-    def take_doubt(self, told: UpstreamDoubted) -> None:
+    def handle_suspicion(self, told: UpstreamDoubted) -> None:
         """Take in that a peer has asked an upstream, which leaves or is gone."""
         self._intake.take_doubt(told.upstream_id)
 
