--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -114,7 +114,7 @@
             publish_change=self._pass_change,
             publish_action=self._pass_action,
             announce=self._announce,
-            silence=lambda: self._upstream_pace.silence_s,
+            store_silence_s=lambda: self._upstream_pace.silence_s,
         )
         self._cordons = CordonSource(
             self.state,
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -84,7 +84,7 @@
         publish_change=lambda _: None,
         publish_action=lambda action, *, from_peer: None,
         announce=lambda: None,
-        silence=lambda: context.pace.silence_s,
+        store_silence_s=lambda: context.pace.silence_s,
     )
     reliance = WatchDelegation(random.Random(1))
     context.pace = DelegatedWatchPacing(
