--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -163,7 +163,7 @@
 class SilentBook(PoisonTracker):
     """Hold what this instance alone has seen."""
 
-    def take(self, told: Any, now: float) -> bool:
+    def merge(self, told: Any, now: float) -> bool:
         """Hear nothing."""
         return False
 
