--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -40,7 +40,7 @@
 
     def heard(self, told: Cordons) -> None:
         """Take in what a peer knows."""
-        knew = self._state.cordons.known
+        knew = self._state.cordons.is_loaded
         self._take(self._state.cordons.take(told, keeps=self._keeps()), PEER)
         if not knew:
             self._state.notify_if_configured()
--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -53,7 +53,7 @@
         self._at = UNREAD
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Tell whether a list was ever read, here or by a peer."""
         return self._at != UNREAD
 
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -126,7 +126,7 @@
     @property
     def is_configured(self) -> bool:
         """Tell whether there is something to decide by."""
-        knows_cordons = self.cordons.known or not self.settings.bounds.cordon_s
+        knows_cordons = self.cordons.is_loaded or not self.settings.bounds.cordon_s
         return self.table is not None and self.fleet.is_loaded and knows_cordons
 
     def notify_if_configured(self) -> None:
