--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -25,7 +25,7 @@
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.backoff_refusal import backoff_refusal
 from driftstall.gateway.crash_refusal import crash_refusal
-from driftstall.gateway.exchange import BodyChunk, End, Head, UpstreamExchange
+from driftstall.gateway.exchange import BodyChunk, End, ResponseHead, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.loads import RequestLoad
 from driftstall.gateway.model import Headers, Repeat, SendMetadata, Upstream
@@ -254,12 +254,12 @@
         headers = self._state.dialect.write_send(self._admitted.marks.passed, send)
         self._state.signals.log_send(upstream, self._admitted.marks.request_id)
         exchange.send(self._call.method, self._call.target, headers, self._call.body, self._left())
-        head: Head | None = None
+        head: ResponseHead | None = None
         parts: list[bytes] = []
         size = 0
         while True:
             item = exchange.next(max(0.0, self._left()))
-            if isinstance(item, Head):
+            if isinstance(item, ResponseHead):
                 head, parts, size = item, [], 0
             elif isinstance(item, BodyChunk):
                 parts.append(item.data)
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """Hold the status and headers of an answer."""
 
     status: int
@@ -50,7 +50,7 @@
     """Mark the end of an answer that has arrived whole."""
 
 
-Item = Head | BodyChunk | End
+Item = ResponseHead | BodyChunk | End
 
 
 class _Reader:
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         """Start before the first answer."""
         self.items: deque[Item] = deque()
-        self.new_heads: list[Head] = []
+        self.new_heads: list[ResponseHead] = []
         """Heads that no observer has been given."""
         self.parser: Any = None
         self._headers: list[Header] = []
@@ -77,7 +77,7 @@
             return
         names = {name.lower() for name, _ in self._headers}
         framed = bool(names & {b"content-length", b"transfer-encoding"}) or status in BODYLESS
-        head = Head(status, tuple(self._headers), framed)
+        head = ResponseHead(status, tuple(self._headers), framed)
         self.items.append(head)
         self.new_heads.append(head)
         self._in_body = True
@@ -107,7 +107,7 @@
         self._at_end = False
         self.sent_at = 0.0
         """When the first byte of the request left, in seconds."""
-        self.observe: Callable[[Head], None] = _ignore
+        self.observe: Callable[[ResponseHead], None] = _ignore
         """Takes each head as it arrives, also one of a response that nobody reads."""
 
     @property
@@ -178,7 +178,7 @@
             self._connection.settimeout(min(left, clock.LONGEST_WAIT_S))
             self._receive()
         item = self._reader.items.popleft()
-        if isinstance(item, Head):
+        if isinstance(item, ResponseHead):
             self._framed = item.framed
         return item
 
@@ -219,7 +219,7 @@
         self._reader.items.append(End())
 
 
-def _ignore(_: Head) -> None:
+def _ignore(_: ResponseHead) -> None:
     """Take a head that nobody observes."""
 
 
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -9,7 +9,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
-from driftstall.gateway.exchange import Head, UpstreamExchange
+from driftstall.gateway.exchange import ResponseHead, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import ResponseMetadata, SendMetadata, Upstream
 from driftstall.gateway.runs import StreamRun
@@ -20,7 +20,7 @@
 class OpenedResponse:
     """Hold an answer whose head was read."""
 
-    head: Head
+    head: ResponseHead
     marks: ResponseMetadata
 
 
@@ -101,7 +101,7 @@
         """Read the head of the answer that carries the request's id."""
         while True:
             item = exchange.next(max(0.0, self._left()))
-            if not isinstance(item, Head):
+            if not isinstance(item, ResponseHead):
                 continue
             marks = self._state.dialect.read_answer(item.status, item.headers)
             if marks.request_id == self._admitted.marks.request_id:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -22,7 +22,7 @@
 from driftstall.gateway.cold_gate import ColdGate
 from driftstall.gateway.cordons import CordonRegistry
 from driftstall.gateway.dialect import Dialect
-from driftstall.gateway.exchange import Head, OpenExchanges, UpstreamExchange
+from driftstall.gateway.exchange import OpenExchanges, ResponseHead, UpstreamExchange
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.loads import LoadTable, RequestLoad, Use
 from driftstall.gateway.model import GatewaySettings, Service, Upstream
@@ -227,7 +227,7 @@
         """
         exchange = UpstreamExchange.connect(upstream.address, timeout_s)
 
-        def observe(head: Head) -> None:
+        def observe(head: ResponseHead) -> None:
             signals = self.dialect.read_answer(head.status, head.headers).signals
             self.signals.handle_response(upstream, signals, exchange.sent_at)
 
