--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -432,7 +432,7 @@
                 )
         self._uncertain_nonces.clear()
 
-    def _latest(self, known: ClaimRecord) -> ClaimRecord:
+    def _with_outcome(self, known: ClaimRecord) -> ClaimRecord:
         """Return a record with its outcome, even if that is not stored yet."""
         settled = self._staged.settled + (self._write.settled if self._write else [])
         for one in settled:
@@ -442,7 +442,7 @@
 
     def _answer_known(self, ask: ClaimAsked, known: ClaimRecord) -> None:
         """Answer a claim whose key is already stored."""
-        known = self._latest(known)
+        known = self._with_outcome(known)
         if known.nonce == ask.nonce and known.outcome is None:
             # An earlier write of this very try took effect although its answer was lost.
             self._answer(ask, ClaimAnswerKind.GRANTED)
