--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -124,7 +124,7 @@
         reliance = WatchDelegation(self.state.source)
         intake = PeerUpdateHandlers(
             routing=lambda: (self._routing.version, self._routing.text),
-            take_routing=self._routing.offered,
+            apply_routing=self._routing.offered,
             take_news=self._upstreams.told,
             take_doubt=self._upstreams.doubted,
             take_fleet=self._upstreams.offered,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -64,7 +64,7 @@
 
     routing: Callable[[], tuple[int, str]]
     """Return the version in force and its text."""
-    take_routing: Callable[[str], None]
+    apply_routing: Callable[[str], None]
     take_news: Callable[[ItemChange[Upstream]], None]
     take_doubt: Callable[[str], None]
     take_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
@@ -200,7 +200,7 @@
         )
         self._taking = offered.version
         try:
-            self._intake.take_routing(offered.text)
+            self._intake.apply_routing(offered.text)
         finally:
             self._taking = 0
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -263,7 +263,7 @@
 
     intake = PeerUpdateHandlers(
         routing=lambda: (1, ""),
-        take_routing=lambda _: None,
+        apply_routing=lambda _: None,
         take_news=lambda _: None,
         take_doubt=lambda _: None,
         take_fleet=take_fleet,
