--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -16,7 +16,7 @@
 
 HOLD_CHECK_S: Final = 0.2
 """How often a follower that makes no calls looks whether it should."""
-FIRST_PAUSE_S: Final = 0.05
+INITIAL_BACKOFF_S: Final = 0.05
 """Pause after a failed call; it doubles up to what the pace allows."""
 LOST_AFTER: Final = 2
 """Calls that fail in a row until the platform counts as lost; one cut watch is usual."""
@@ -194,5 +194,5 @@
             )
         if self._failures == LOST_AFTER:
             self._listener.platform_lost(cause)
-        pause = min(self._pace.max_backoff_s(), FIRST_PAUSE_S * 2**self._failures)
+        pause = min(self._pace.max_backoff_s(), INITIAL_BACKOFF_S * 2**self._failures)
         self._sleep(pause * (0.5 + self._source.random()))
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import HistoryGone, PlatformUnavailable, SettingsError
 from driftstall.gateway.collectors import FleetRoles
-from driftstall.gateway.feeds import FIRST_PAUSE_S, Changes, Follower, ItemChange, Snapshot
+from driftstall.gateway.feeds import INITIAL_BACKOFF_S, Changes, Follower, ItemChange, Snapshot
 from driftstall.gateway.model import (
     RoutingText,
 )
@@ -214,7 +214,7 @@
 def answered_in_time(context: Any, seconds: float, spare: float) -> None:
     """Add up what passes until the answer on another connection."""
     given_up_s = longest_wait_s(seconds) + ANSWER_MARGIN_S
-    max_backoff_s = FIRST_PAUSE_S * 2 * 1.5
+    max_backoff_s = INITIAL_BACKOFF_S * 2 * 1.5
     assert given_up_s + max_backoff_s + SLOW_ANSWER_S <= seconds - spare
 
 
