--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -67,7 +67,7 @@
             cordoned=sorted(changed.cordoned),
             lifted=sorted(changed.lifted),
             source=source,
-            at=self._state.cordons.told.at,
+            at=self._state.cordons.snapshot.at,
         )
         self._apply(changed)
         self._announce()
--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -63,7 +63,7 @@
         return frozenset(self._revisions)
 
     @property
-    def told(self) -> Cordons:
+    def snapshot(self) -> Cordons:
         """Return all that is known, for peers."""
         found = sorted(self._revisions.items())
         return Cordons(self._at, tuple(Cordon(zone, revision) for zone, revision in found))
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -79,13 +79,13 @@
 
     def hear_book(self, number: int, other: int) -> None:
         """Let it hear another book."""
-        self._books[number].take(self._books[other].told)
+        self._books[number].take(self._books[other].snapshot)
 
     def check(self) -> None:
         """Compare each book with what held at the revision up to which it knows all."""
         for book in self._books:
-            held = self._history[book.told.at]
-            assert book.zones == held.keys(), (book.told, held)
+            held = self._history[book.snapshot.at]
+            assert book.zones == held.keys(), (book.snapshot, held)
 
     def _told(self, at: int) -> Cordons:
         held = sorted(self._history[at].items())
