--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -25,7 +25,7 @@
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.backoff_refusal import backoff_refusal
 from driftstall.gateway.crash_refusal import crash_refusal
-from driftstall.gateway.exchange import BodyChunk, End, ResponseHead, UpstreamExchange
+from driftstall.gateway.exchange import BodyChunk, ResponseEnd, ResponseHead, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.loads import RequestLoad
 from driftstall.gateway.model import Headers, Repeat, SendMetadata, Upstream
@@ -266,7 +266,7 @@
                 size += len(item.data)
                 if size > MAX_ANSWER_BYTES:
                     raise UpstreamError("the answer is too large", sent=True)
-            elif isinstance(item, End) and head is not None:
+            elif isinstance(item, ResponseEnd) and head is not None:
                 marks = self._state.dialect.read_answer(head.status, head.headers)
                 if marks.request_id != self._admitted.marks.request_id:
                     # A surplus answer to another request; our own may still follow.
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -46,11 +46,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class ResponseEnd:
     """Mark the end of an answer that has arrived whole."""
 
 
-Item = ResponseHead | BodyChunk | End
+Item = ResponseHead | BodyChunk | ResponseEnd
 
 
 class _Reader:
@@ -89,7 +89,7 @@
     def on_message_complete(self) -> None:
         """Pass on the end."""
         if self._in_body:
-            self.items.append(End())
+            self.items.append(ResponseEnd())
         self._headers = []
         self._in_body = False
 
@@ -216,7 +216,7 @@
         if self._framed or self._at_end:
             raise UpstreamError("the answer ended early", sent=True)
         self._at_end = True
-        self._reader.items.append(End())
+        self._reader.items.append(ResponseEnd())
 
 
 def _ignore(_: ResponseHead) -> None:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -15,7 +15,7 @@
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.answers import CLOSE, KEEP, problem_answer, whole
 from driftstall.gateway.events import Event, EventOrder, EventSplitter, Order
-from driftstall.gateway.exchange import BodyChunk, End
+from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
     LAST_CHUNK,
     CallerConnection,
@@ -106,7 +106,7 @@
         try:
             while True:
                 item = run.exchange.next(max(0.0, self._context.remaining_s()))
-                if isinstance(item, End):
+                if isinstance(item, ResponseEnd):
                     break
                 if isinstance(item, BodyChunk):
                     parts.append(item.data)
@@ -151,7 +151,7 @@
                 fault_or_none = self._pass_on(run, splitter.feed(item.data))
                 if fault_or_none is not None:
                     return fault_or_none
-            elif isinstance(item, End):
+            elif isinstance(item, ResponseEnd):
                 if splitter.inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
                 if not run.exchange.framed and self._context.replicas.may_have_stopped(
