--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -279,7 +279,7 @@
     @_on.register
     def _(self, event: ReadDone, wall: float) -> None:
         if self._phase is _Phase.SETTLING:
-            self._settle_lost(event, wall)
+            self._settle_lost_write(event, wall)
         elif self._phase is _Phase.READING:
             self._take_over(event, wall)
 
@@ -396,7 +396,7 @@
             self._answer(ask, ClaimAnswerKind.GRANTED)
         self._answer_staged()
 
-    def _settle_lost(self, event: ReadDone, wall: float) -> None:
+    def _settle_lost_write(self, event: ReadDone, wall: float) -> None:
         """Settle a write whose answer was lost, by what is stored now."""
         write = self._write
         if write is None:
