--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -58,7 +58,7 @@
 def gives_all(context: Any) -> None:
     """Break both guards."""
     for target, name, value in (
-        (permit_world, "heard_part", lambda per_s, *_: per_s),
+        (permit_world, "scaled_limit", lambda per_s, *_: per_s),
         (permits, "SETTLE_S", 0.0),
     ):
         patch = mock.patch.object(target, name, value)
