--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -127,7 +127,7 @@
             apply_routing=self._routing.offered,
             take_news=self._upstreams.told,
             take_doubt=self._upstreams.doubted,
-            take_fleet=self._upstreams.offered,
+            apply_fleet=self._upstreams.offered,
             take_cordons=self._cordons.heard,
             take_leaving=self._take_leaving,
         )
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -67,7 +67,7 @@
     apply_routing: Callable[[str], None]
     take_news: Callable[[ItemChange[Upstream]], None]
     take_doubt: Callable[[str], None]
-    take_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
+    apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
     """Take in all upstreams that take requests, as of a revision."""
     take_cordons: Callable[[Cordons], None]
     take_leaving: Callable[[LeavingRecord], bool]
@@ -217,7 +217,7 @@
             peer=offered.sender,
             revision=offered.at,
         )
-        self._intake.take_fleet(offered.upstreams, offered.at)
+        self._intake.apply_fleet(offered.upstreams, offered.at)
 
     def handle_cordons(self, told: Cordons) -> None:
         """Take in which zones a peer knows to be cordoned."""
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -266,7 +266,7 @@
         apply_routing=lambda _: None,
         take_news=lambda _: None,
         take_doubt=lambda _: None,
-        take_fleet=take_fleet,
+        apply_fleet=take_fleet,
         take_cordons=lambda _: None,
         take_leaving=lambda _: False,
     )
