--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -176,7 +176,7 @@
             now=self.state.now,
             roles=self._roles,
             live=lambda: self._peering.live,
-            lacking=lambda: self._peering.peers_without_platform,
+            peers_without_platform=lambda: self._peering.peers_without_platform,
         )
         self._registration = Registration(
             self.state, self._peering.own, access.instances, self._peering.add_listed_instances
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -226,7 +226,7 @@
         now=lambda: 0.0,
         roles=FleetRoles,
         live=lambda: context.others,
-        lacking=lambda: context.lacking,
+        peers_without_platform=lambda: context.lacking,
     )
 
 
@@ -243,7 +243,7 @@
         now=lambda: 0.1,
         roles=lambda: FleetRoles(large=True, collects=True, follows=True),
         live=lambda: context.others,
-        lacking=lambda: (),
+        peers_without_platform=lambda: (),
     )
 
 
