--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -30,7 +30,7 @@
 
     def listed(self, items: tuple[Cordon, ...], at: StoreVersion) -> None:
         """Take in the whole list, as of a revision."""
-        self._take(self._state.cordons.take(Cordons(at, items), keeps=self._keeps()), PLATFORM)
+        self._take(self._state.cordons.merge(Cordons(at, items), keeps=self._keeps()), PLATFORM)
         self._state.notify_if_configured()
 
     def changed(self, change: ItemChange[Cordon]) -> None:
@@ -41,7 +41,7 @@
     def heard(self, told: Cordons) -> None:
         """Take in what a peer knows."""
         knew = self._state.cordons.is_loaded
-        self._take(self._state.cordons.take(told, keeps=self._keeps()), PEER)
+        self._take(self._state.cordons.merge(told, keeps=self._keeps()), PEER)
         if not knew:
             self._state.notify_if_configured()
 
--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -68,7 +68,7 @@
         found = sorted(self._revisions.items())
         return Cordons(self._at, tuple(Cordon(zone, revision) for zone, revision in found))
 
-    def take(self, told: Cordons, *, keeps: bool = False) -> CordonsChanged:
+    def merge(self, told: Cordons, *, keeps: bool = False) -> CordonsChanged:
         """Take in a whole list, of the platform or of a peer; return what has changed.
 
         Where it keeps what is known, the list may lack what still holds.
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -60,7 +60,7 @@
     def list(self, number: int) -> None:
         """Let a book's instance read the whole list."""
         at = len(self._history) - 1
-        self._books[number].take(self._told(at))
+        self._books[number].merge(self._told(at))
         self._read_to[number] = at
 
     def watch(self, number: int) -> None:
@@ -75,11 +75,11 @@
 
     def hear(self, number: int, back: int) -> None:
         """Let it hear of a peer that knows what held some changes ago."""
-        self._books[number].take(self._told(max(1, len(self._history) - 1 - back)))
+        self._books[number].merge(self._told(max(1, len(self._history) - 1 - back)))
 
     def hear_book(self, number: int, other: int) -> None:
         """Let it hear another book."""
-        self._books[number].take(self._books[other].snapshot)
+        self._books[number].merge(self._books[other].snapshot)
 
     def check(self) -> None:
         """Compare each book with what held at the revision up to which it knows all."""
@@ -124,7 +124,7 @@
 def book_with_cordon(context: Any) -> None:
     """List it."""
     context.book = CordonRegistry()
-    context.book.take(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
+    context.book.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
     assert context.book.zones == {"a"}
 
 
@@ -137,7 +137,7 @@
 @when("a peer still holds it")
 def peer_holds(context: Any) -> None:
     """Tell what held before."""
-    context.book.take(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
+    context.book.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
 
 
 @then("no zone is cordoned")
@@ -159,7 +159,7 @@
     """Read the list."""
     context.book = CordonRegistry()
     listed = cordon_feed(CordonStore("127.0.0.1:1")).list()
-    context.book.take(Cordons(listed.at, listed.items))
+    context.book.merge(Cordons(listed.at, listed.items))
 
 
 @then('the zones "a" are cordoned')
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -296,13 +296,13 @@
 def cordoned(context: Any) -> None:
     """Note it."""
     context.book = CordonRegistry()
-    context.book.take(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
+    context.book.merge(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
 
 
 @when("the store has come back and its list as of 2.50 names no zone")
 def names_none(context: Any) -> None:
     """Take it in, in doubt."""
-    context.book.take(Cordons(version("2.50")), keeps=True)
+    context.book.merge(Cordons(version("2.50")), keeps=True)
 
 
 @then('zone "a" is cordoned')
@@ -314,7 +314,7 @@
 @then("the list after that ends it")
 def lifted(context: Any) -> None:
     """Take the next one in."""
-    assert context.book.take(Cordons(version("2.50"))).lifted == {"a"}
+    assert context.book.merge(Cordons(version("2.50"))).lifted == {"a"}
 
 
 def policy_text(name: str) -> str:
