--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -253,7 +253,7 @@
     def _(self, event: ClaimAsked, wall: float) -> None:
         known = self._claims.get(event.key)
         if known is not None and self._phase is not _Phase.COLD:
-            self._answer_known(event, known)
+            self._answer_existing(event, known)
             return
         for other in self._staged.asks + (self._write.claims if self._write else []):
             if other.key == event.key:
@@ -350,7 +350,7 @@
             if known is None:
                 self._staged.asks.append(ask)
             else:
-                self._answer_known(ask, known)
+                self._answer_existing(ask, known)
 
     def _flush(self, wall: float) -> None:
         """Write everything staged as one group."""
@@ -440,7 +440,7 @@
                 return replace(known, outcome=_outcome(one))
         return known
 
-    def _answer_known(self, ask: ClaimAsked, known: ClaimRecord) -> None:
+    def _answer_existing(self, ask: ClaimAsked, known: ClaimRecord) -> None:
         """Answer a claim whose key is already stored."""
         known = self._with_outcome(known)
         if known.nonce == ask.nonce and known.outcome is None:
