--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -69,7 +69,7 @@
     take_doubt: Callable[[str], None]
     apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
     """Take in all upstreams that take requests, as of a revision."""
-    take_cordons: Callable[[Cordons], None]
+    apply_cordons: Callable[[Cordons], None]
     take_leaving: Callable[[LeavingRecord], bool]
     """Take in that an upstream has signalled that it leaves; return whether it was new."""
 
@@ -221,7 +221,7 @@
 
     def handle_cordons(self, told: Cordons) -> None:
         """Take in which zones a peer knows to be cordoned."""
-        self._intake.take_cordons(told)
+        self._intake.apply_cordons(told)
 
     def handle_upstream_update(self, news: UpstreamNews) -> None:
         """Take in one change of an upstream."""
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -267,7 +267,7 @@
         take_news=lambda _: None,
         take_doubt=lambda _: None,
         apply_fleet=take_fleet,
-        take_cordons=lambda _: None,
+        apply_cordons=lambda _: None,
         take_leaving=lambda _: False,
     )
     roles = FleetRoles(large=True, collects=True, follows=False)
