--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -136,7 +136,7 @@
         self._inquiry = UpstreamProber(
             self.state,
             self._peering.own,
-            askers=lambda: self._reach.askers(),
+            probers=lambda: self._reach.askers(),
             is_platform_silent=lambda: self._reach.is_silent,
             doubt=self._upstreams.doubted,
             tell=self._peering.publish_suspicion,
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -106,7 +106,7 @@
     return UpstreamProber(
         world.state,
         OWN,
-        askers=lambda: (OWN,),
+        probers=lambda: (OWN,),
         is_platform_silent=lambda: True,
         doubt=doubt,
         tell=lambda _: None,
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -159,7 +159,7 @@
     inquiry = UpstreamProber(
         world.state,
         Instance("instance-1", "", "", "a"),
-        askers=tuple,
+        probers=tuple,
         is_platform_silent=lambda: True,
         doubt=lambda _: None,
         tell=lambda _: None,
