--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -35,7 +35,7 @@
 
     def changed(self, change: ItemChange[Cordon]) -> None:
         """Take in one change from the platform."""
-        found = self._state.cordons.change(change.item, lifted=change.gone)
+        found = self._state.cordons.apply_change(change.item, lifted=change.gone)
         self._take(found, PLATFORM)
 
     def heard(self, told: Cordons) -> None:
--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -83,7 +83,7 @@
         self._at = max(self._at, told.at)
         return _difference(before, self.zones)
 
-    def change(self, cordon: Cordon, *, lifted: bool) -> CordonsChanged:
+    def apply_change(self, cordon: Cordon, *, lifted: bool) -> CordonsChanged:
         """Take in one change from the platform, which tells them in order.
 
         What is lifted may carry the revision at which it was cordoned.
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -70,7 +70,9 @@
         for at in range(self._read_to[number] + 1, len(self._history)):
             before, now = self._history[at - 1], self._history[at]
             for zone in before.keys() ^ now.keys():
-                self._books[number].change(Cordon(zone, StoreVersion(at)), lifted=zone not in now)
+                self._books[number].apply_change(
+                    Cordon(zone, StoreVersion(at)), lifted=zone not in now
+                )
             self._read_to[number] = at
 
     def hear(self, number: int, back: int) -> None:
@@ -131,7 +133,7 @@
 @when("that cordon is told to be gone at revision 7")
 def gone_at_same(context: Any) -> None:
     """Tell its end with its own revision, as a removed object may carry it."""
-    context.book.change(Cordon("a", StoreVersion(7)), lifted=True)
+    context.book.apply_change(Cordon("a", StoreVersion(7)), lifted=True)
 
 
 @when("a peer still holds it")
