--- a/driftstall/gateway/events.py
+++ b/driftstall/gateway/events.py
@@ -11,7 +11,7 @@
 MAX_EVENT_BYTES: Final = 4_000_000
 
 
-class Order(StrEnum):
+class EventContinuity(StrEnum):
     """Tell how an event follows the last one."""
 
     NEXT = "next"
@@ -53,17 +53,17 @@
         """Start before the first event."""
         self._last: int | None = None
 
-    def check(self, event: Event) -> Order:
+    def check(self, event: Event) -> EventContinuity:
         """Tell how an event follows the last one that was passed on."""
         if not event.event_id.isdigit():
-            return Order.NEXT
+            return EventContinuity.NEXT
         number = int(event.event_id)
         if self._last is not None and number <= self._last:
-            return Order.REPEATED
+            return EventContinuity.REPEATED
         if self._last is not None and number > self._last + 1:
-            return Order.GAP
+            return EventContinuity.GAP
         self._last = number
-        return Order.NEXT
+        return EventContinuity.NEXT
 
 
 def _event_id(part: bytes) -> str:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -14,7 +14,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.answers import CLOSE, KEEP, problem_answer, whole
-from driftstall.gateway.events import Event, EventOrder, EventSplitter, Order
+from driftstall.gateway.events import Event, EventContinuity, EventOrder, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
     LAST_CHUNK,
@@ -174,10 +174,10 @@
         fault: UpstreamError | None = None
         for event in events:
             order = self._order.check(event)
-            if order is Order.GAP:
+            if order is EventContinuity.GAP:
                 fault = UpstreamError("an event is missing", sent=True)
                 break
-            if order is Order.NEXT:
+            if order is EventContinuity.NEXT:
                 wanted.append(event.data)
                 run.last_event_id = event.event_id or run.last_event_id
         # What came before a gap counts as passed on, so it is, or a resumed stream lacks it.
