--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -15,7 +15,7 @@
 from typing import Final
 
 SHARDS: Final = 32
-WINDOW_S: Final = 24 * 3600.0
+CLAIM_RETENTION_S: Final = 24 * 3600.0
 """How long a claim is kept, in seconds."""
 MAX_CLAIMS: Final = 3_500
 """Claims in one object: with 280 bytes each it stays under the platform's megabyte."""
@@ -357,7 +357,9 @@
         staged = self._staged
         self._staged = _Staged()
         claims = {
-            key: record for key, record in self._claims.items() if wall - record.at < WINDOW_S
+            key: record
+            for key, record in self._claims.items()
+            if wall - record.at < CLAIM_RETENTION_S
         }
         for settled in staged.settled:
             self._apply_settled(claims, settled)
