--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -125,7 +125,7 @@
         intake = PeerUpdateHandlers(
             routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
-            take_news=self._upstreams.told,
+            apply_upstream_change=self._upstreams.told,
             take_doubt=self._upstreams.doubted,
             apply_fleet=self._upstreams.offered,
             apply_cordons=self._cordons.heard,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -65,7 +65,7 @@
     routing: Callable[[], tuple[int, str]]
     """Return the version in force and its text."""
     apply_routing: Callable[[str], None]
-    take_news: Callable[[ItemChange[Upstream]], None]
+    apply_upstream_change: Callable[[ItemChange[Upstream]], None]
     take_doubt: Callable[[str], None]
     apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
     """Take in all upstreams that take requests, as of a revision."""
@@ -225,7 +225,7 @@
 
     def handle_upstream_update(self, news: UpstreamNews) -> None:
         """Take in one change of an upstream."""
-        self._intake.take_news(ItemChange(news.upstream, news.gone))
+        self._intake.apply_upstream_change(ItemChange(news.upstream, news.gone))
 
     def handle_suspicion(self, told: UpstreamDoubted) -> None:
         """Take in that a peer has asked an upstream, which leaves or is gone."""
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -264,7 +264,7 @@
     intake = PeerUpdateHandlers(
         routing=lambda: (1, ""),
         apply_routing=lambda _: None,
-        take_news=lambda _: None,
+        apply_upstream_change=lambda _: None,
         take_doubt=lambda _: None,
         apply_fleet=take_fleet,
         apply_cordons=lambda _: None,
