--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -138,7 +138,7 @@
             self._peering.own,
             probers=lambda: self._reach.askers(),
             is_platform_silent=lambda: self._reach.is_silent,
-            doubt=self._upstreams.doubted,
+            on_suspected=self._upstreams.doubted,
             tell=self._peering.publish_suspicion,
         )
         self.state.on_upstream_suspected = self._inquiry.suspect
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -108,7 +108,7 @@
         OWN,
         probers=lambda: (OWN,),
         is_platform_silent=lambda: True,
-        doubt=doubt,
+        on_suspected=doubt,
         tell=lambda _: None,
     )
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -161,7 +161,7 @@
         Instance("instance-1", "", "", "a"),
         probers=tuple,
         is_platform_silent=lambda: True,
-        doubt=lambda _: None,
+        on_suspected=lambda _: None,
         tell=lambda _: None,
     )
     inquiry._ask(context.run.upstream)
