--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -38,7 +38,7 @@
         found = self._state.cordons.apply_change(change.item, lifted=change.gone)
         self._take(found, PLATFORM)
 
-    def heard(self, told: Cordons) -> None:
+    def handle_peer_report(self, told: Cordons) -> None:
         """Take in what a peer knows."""
         knew = self._state.cordons.is_loaded
         self._take(self._state.cordons.merge(told, keeps=self._keeps()), PEER)
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -128,7 +128,7 @@
             apply_upstream_change=self._upstreams.told,
             take_doubt=self._upstreams.doubted,
             apply_fleet=self._upstreams.offered,
-            apply_cordons=self._cordons.heard,
+            apply_cordons=self._cordons.handle_peer_report,
             take_leaving=self._take_leaving,
         )
         self._peering = Peering(self.state, intake, standing=self._standing, reliance=reliance)
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -316,7 +316,7 @@
     assert not state.ready
     applied: list[Any] = []
     source = CordonSource(state, apply=applied.append, announce=lambda: None)
-    source.heard(Cordons(StoreVersion(4), (Cordon("a", StoreVersion(4)),)))
+    source.handle_peer_report(Cordons(StoreVersion(4), (Cordon("a", StoreVersion(4)),)))
     assert state.ready
     (changed,) = applied
     assert changed.cordoned == {"a"}
