--- a/driftstall/gateway/events.py
+++ b/driftstall/gateway/events.py
@@ -46,7 +46,7 @@
         return [Event(part + EVENT_END, _event_id(part)) for part in whole]
 
 
-class EventOrder:
+class EventSequence:
     """Check that the ids of a stream rise one by one, across upstreams."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -14,7 +14,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.answers import CLOSE, KEEP, problem_answer, whole
-from driftstall.gateway.events import Event, EventContinuity, EventOrder, EventSplitter
+from driftstall.gateway.events import Event, EventContinuity, EventSequence, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
     LAST_CHUNK,
@@ -59,7 +59,7 @@
         self._context = StreamContext(state, mover, call, admitted)
         self._resuming = StreamResumer(self._context)
         self._opening = StreamOpener(self._context, self._resuming)
-        self._order = EventOrder()
+        self._order = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
         self._keep = keep
