--- a/driftstall/controllers/configuration.py
+++ b/driftstall/controllers/configuration.py
@@ -67,7 +67,7 @@
         """Return the configuration in force."""
         return self._document
 
-    def offer(self, document: ConfigDocument) -> bool:
+    def apply_if_newer(self, document: ConfigDocument) -> bool:
         """Take over a newer configuration; return whether it was newer."""
         if document.generation <= self._document.generation:
             return False
--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -216,7 +216,7 @@
     def _take(self, document: ConfigDocument) -> None:
         """Put a newer configuration in force."""
         before = self.document.policy
-        if not self._controller.offer(document):
+        if not self._controller.apply_if_newer(document):
             return
         if document.policy and (document.policy != before or self._policy is None):
             self._policy = parse_policy(document.policy)
