--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -126,7 +126,7 @@
             routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
             apply_upstream_change=self._upstreams.told,
-            take_doubt=self._upstreams.doubted,
+            mark_suspected=self._upstreams.doubted,
             apply_fleet=self._upstreams.offered,
             apply_cordons=self._cordons.handle_peer_report,
             take_leaving=self._take_leaving,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -66,7 +66,7 @@
     """Return the version in force and its text."""
     apply_routing: Callable[[str], None]
     apply_upstream_change: Callable[[ItemChange[Upstream]], None]
-    take_doubt: Callable[[str], None]
+    mark_suspected: Callable[[str], None]
     apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
     """Take in all upstreams that take requests, as of a revision."""
     apply_cordons: Callable[[Cordons], None]
@@ -229,7 +229,7 @@
 
     def handle_suspicion(self, told: UpstreamDoubted) -> None:
         """Take in that a peer has asked an upstream, which leaves or is gone."""
-        self._intake.take_doubt(told.upstream_id)
+        self._intake.mark_suspected(told.upstream_id)
 
     def _ask_routing(self, notice: RoutingNotice) -> None:
         """Ask for a newer routing document that has not come meanwhile."""
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -265,7 +265,7 @@
         routing=lambda: (1, ""),
         apply_routing=lambda _: None,
         apply_upstream_change=lambda _: None,
-        take_doubt=lambda _: None,
+        mark_suspected=lambda _: None,
         apply_fleet=take_fleet,
         apply_cordons=lambda _: None,
         take_leaving=lambda _: False,
