--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -197,7 +197,7 @@
     write_id: str
     expected: int
     value: ShardObject
-    claims: list[ClaimAsked]
+    requests: list[ClaimAsked]
     settled: list[ClaimSettled]
 
 
@@ -255,7 +255,7 @@
         if known is not None and self._phase is not _Phase.COLD:
             self._answer_existing(event, known)
             return
-        for other in self._staged.asks + (self._write.claims if self._write else []):
+        for other in self._staged.asks + (self._write.requests if self._write else []):
             if other.key == event.key:
                 same = other.nonce == event.nonce
                 if not same:
@@ -321,8 +321,8 @@
 
     def _restage(self, write: _Write) -> None:
         """Put what a write carried back in front of what waits; it may be stored already."""
-        self._uncertain_nonces |= {ask.nonce for ask in write.claims}
-        self._staged.asks = write.claims + self._staged.asks
+        self._uncertain_nonces |= {ask.nonce for ask in write.requests}
+        self._staged.asks = write.requests + self._staged.asks
         self._staged.settled = write.settled + self._staged.settled
         self._write = None
 
@@ -394,7 +394,7 @@
         self._version = version
         self._claims = {record.key: record for record in write.value.claims}
         self._phase = _Phase.HELD
-        for ask in write.claims:
+        for ask in write.requests:
             self._answer(ask, ClaimAnswerKind.GRANTED)
         self._answer_staged()
 
@@ -411,7 +411,7 @@
             # Not there yet, but it may still arrive: our next write fences it by version.
             self._restage(write)
             self._claims = {record.key: record for record in write.value.claims}
-            for ask in write.claims:
+            for ask in write.requests:
                 self._claims.pop(ask.key, None)
             self._flush(wall)
             return
