--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -139,7 +139,7 @@
             probers=lambda: self._reach.askers(),
             is_platform_silent=lambda: self._reach.is_silent,
             on_suspected=self._upstreams.doubted,
-            tell=self._peering.publish_suspicion,
+            publish=self._peering.publish_suspicion,
         )
         self.state.on_upstream_suspected = self._inquiry.suspect
         self.state.signals.leaving = self._signalled_leaving
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -109,7 +109,7 @@
         probers=lambda: (OWN,),
         is_platform_silent=lambda: True,
         on_suspected=doubt,
-        tell=lambda _: None,
+        publish=lambda _: None,
     )
 
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -162,7 +162,7 @@
         probers=tuple,
         is_platform_silent=lambda: True,
         on_suspected=lambda _: None,
-        tell=lambda _: None,
+        publish=lambda _: None,
     )
     inquiry._ask(context.run.upstream)
     assert not calls, calls
