--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -45,7 +45,7 @@
         if not knew:
             self._state.notify_if_configured()
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Log that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is out of reach: {cause}")
 
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -70,7 +70,7 @@
     def changed(self, change: ItemChange[Item]) -> None:
         """Take in one change."""
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Learn that calls fail."""
 
     def platform_back(self) -> None:
@@ -193,6 +193,6 @@
                 PREFIX_CONFIGURATION, f"A question to the platform failed: {cause}", at=self._at
             )
         if self._failures == LOST_AFTER:
-            self._listener.platform_lost(cause)
+            self._listener.platform_unreachable(cause)
         pause = min(self._pace.max_backoff_s(), INITIAL_BACKOFF_S * 2**self._failures)
         self._sleep(pause * (0.5 + self._source.random()))
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -96,7 +96,7 @@
             return
         self._take(RoutingText(document, text), PEER)
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Log that the platform does not answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's configuration is out of reach: {cause}")
 
@@ -163,7 +163,7 @@
         if not change.gone:
             self._take(change.item)
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Log that the platform does not answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's policies are out of reach: {cause}")
 
@@ -273,7 +273,7 @@
         """Take in which zones are cordoned now."""
         self._apply(Cordoned(self._state.cordons.zones, changed.lifted))
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Learn that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of upstreams is out of reach: {cause}")
         self._apply(PlatformUnreachable())
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -76,7 +76,7 @@
         """Record a change."""
         self.told.append("changed")
 
-    def platform_lost(self, cause: str) -> None:
+    def platform_unreachable(self, cause: str) -> None:
         """Record an outage."""
         self.told.append("lost")
 
