--- a/driftstall/gateway/events.py
+++ b/driftstall/gateway/events.py
@@ -36,7 +36,7 @@
         self._rest = b""
 
     @property
-    def inside_event(self) -> bool:
+    def is_inside_event(self) -> bool:
         """Tell whether part of an event was collected."""
         return bool(self._rest)
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -152,7 +152,7 @@
                 if fault_or_none is not None:
                     return fault_or_none
             elif isinstance(item, ResponseEnd):
-                if splitter.inside_event:
+                if splitter.is_inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
                 if not run.exchange.framed and self._context.replicas.may_have_stopped(
                     run, self._context.remaining_s()
