--- a/driftstall/controllers/configuration.py
+++ b/driftstall/controllers/configuration.py
@@ -188,7 +188,7 @@
 
     @_on.register
     def _(self, event: ConfigRead) -> list[SubmitAction]:
-        self._current = self._newest(event.document)
+        self._current = self._newer_document(event.document)
         if self._change.submission in event.document.submissions:
             self._written = self._written or event.document
             self._state = SubmitState.ACCEPTED
@@ -240,6 +240,6 @@
         self._state = SubmitState.WRITING
         return [WriteConfig(read.version, self._written)]
 
-    def _newest(self, stored: ConfigDocument) -> ConfigDocument:
+    def _newer_document(self, stored: ConfigDocument) -> ConfigDocument:
         """Return what a change rests on: a store that came back from a copy holds an older one."""
         return stored if stored.generation >= self._known.generation else self._known
