--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -129,7 +129,7 @@
             mark_suspected=self._upstreams.doubted,
             apply_fleet=self._upstreams.offered,
             apply_cordons=self._cordons.handle_peer_report,
-            take_leaving=self._take_leaving,
+            record_leaving=self._take_leaving,
         )
         self._peering = Peering(self.state, intake, standing=self._standing, reliance=reliance)
         self._reliance = reliance
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -369,7 +369,7 @@
         """Take in what upstreams have signalled to peers; collectors pass news on at once."""
         has_news = self._state.rate_limiting.heard(limits)
         for record in leaving:
-            has_news |= self._intake.take_leaving(record)
+            has_news |= self._intake.record_leaving(record)
         if has_news and self._roles.collects:
             self._reporting.publish_now()
 
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -70,7 +70,7 @@
     apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
     """Take in all upstreams that take requests, as of a revision."""
     apply_cordons: Callable[[Cordons], None]
-    take_leaving: Callable[[LeavingRecord], bool]
+    record_leaving: Callable[[LeavingRecord], bool]
     """Take in that an upstream has signalled that it leaves; return whether it was new."""
 
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -268,7 +268,7 @@
         mark_suspected=lambda _: None,
         apply_fleet=take_fleet,
         apply_cordons=lambda _: None,
-        take_leaving=lambda _: False,
+        record_leaving=lambda _: False,
     )
     roles = FleetRoles(large=True, collects=True, follows=False)
     context.sharing = PlatformDataSharing(
