--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -205,7 +205,7 @@
 class _Staged:
     """Hold what the next write will carry."""
 
-    asks: list[ClaimAsked] = field(default_factory=list)
+    requests: list[ClaimAsked] = field(default_factory=list)
     settled: list[ClaimSettled] = field(default_factory=list)
 
 
@@ -236,7 +236,7 @@
     @property
     def should_flush(self) -> bool:
         """Tell whether a group waits to be written."""
-        return self._phase is _Phase.HELD and bool(self._staged.asks or self._staged.settled)
+        return self._phase is _Phase.HELD and bool(self._staged.requests or self._staged.settled)
 
     def handle(self, event: ClaimEvent, wall: float) -> list[ClaimAction]:
         """Take one event and return the actions; wall is the wall clock."""
@@ -255,13 +255,13 @@
         if known is not None and self._phase is not _Phase.COLD:
             self._answer_existing(event, known)
             return
-        for other in self._staged.asks + (self._write.requests if self._write else []):
+        for other in self._staged.requests + (self._write.requests if self._write else []):
             if other.key == event.key:
                 same = other.nonce == event.nonce
                 if not same:
                     self._answer(event, ClaimAnswerKind.UNKNOWN)
                 return
-        self._staged.asks.append(event)
+        self._staged.requests.append(event)
         if self._phase is _Phase.COLD:
             self._load()
 
@@ -322,7 +322,7 @@
     def _restage(self, write: _Write) -> None:
         """Put what a write carried back in front of what waits; it may be stored already."""
         self._uncertain_nonces |= {ask.nonce for ask in write.requests}
-        self._staged.asks = write.requests + self._staged.asks
+        self._staged.requests = write.requests + self._staged.requests
         self._staged.settled = write.settled + self._staged.settled
         self._write = None
 
@@ -343,12 +343,12 @@
 
     def _answer_staged(self) -> None:
         """Answer waiting claims whose keys turned out to be known."""
-        waiting = self._staged.asks
-        self._staged.asks = []
+        waiting = self._staged.requests
+        self._staged.requests = []
         for ask in waiting:
             known = self._claims.get(ask.key)
             if known is None:
-                self._staged.asks.append(ask)
+                self._staged.requests.append(ask)
             else:
                 self._answer_existing(ask, known)
 
@@ -364,7 +364,7 @@
         for settled in staged.settled:
             self._apply_settled(claims, settled)
         asks = []
-        for ask in staged.asks:
+        for ask in staged.requests:
             if len(claims) >= MAX_CLAIMS:
                 self._answer(ask, ClaimAnswerKind.UNAVAILABLE)
                 continue
@@ -424,7 +424,7 @@
         if self._write is not None:
             self._restage(self._write)
         self._phase = _Phase.COLD
-        waiting, self._staged.asks = self._staged.asks, []
+        waiting, self._staged.requests = self._staged.requests, []
         for ask in waiting:
             self._answer(ask, ClaimAnswerKind.UNAVAILABLE)
             if ask.nonce in self._uncertain_nonces:
