--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -185,7 +185,7 @@
             self.state,
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
-            doubts=self._upstreams.store_returned,
+            on_restored=self._upstreams.store_returned,
             settled=self._list_again,
         )
         self._policy_keeper = PolicyPersistence(self._policies, access.policy)
