--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -49,7 +49,7 @@
         """Log that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is out of reach: {cause}")
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(PREFIX_ROUTING, "The platform's list of cordoned zones is in reach")
 
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -73,7 +73,7 @@
     def platform_unreachable(self, cause: str) -> None:
         """Learn that calls fail."""
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Learn that calls are answered again; called before what they brought."""
 
 
@@ -181,7 +181,7 @@
     def _answered(self) -> None:
         """Note an answered call."""
         if self._failures >= LOST_AFTER:
-            self._listener.platform_back()
+            self._listener.platform_reachable()
         self._pace.answered(after_failure=self._failures > 0)
         self._failures = 0
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -100,7 +100,7 @@
         """Log that the platform does not answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's configuration is out of reach: {cause}")
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
             PREFIX_CONFIGURATION, "The platform's configuration is in reach", version=self.version
@@ -167,7 +167,7 @@
         """Log that the platform does not answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's policies are out of reach: {cause}")
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
             PREFIX_CONFIGURATION, "The platform's policies are in reach", revision=self._revision
@@ -279,7 +279,7 @@
         self._apply(PlatformUnreachable())
         self._announce()
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Learn that the platform answers again."""
         log_event(PREFIX_ROUTING, "The platform's list of upstreams is in reach")
         self._apply(PlatformReachable())
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -80,7 +80,7 @@
         """Record an outage."""
         self.told.append("lost")
 
-    def platform_back(self) -> None:
+    def platform_reachable(self) -> None:
         """Record an outage's end."""
         self.told.append("back")
 
