--- a/driftstall/gateway/answers.py
+++ b/driftstall/gateway/answers.py
@@ -16,7 +16,7 @@
 KEEP: Final = b"Connection: keep-alive"
 
 
-def whole(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
+def encode_response(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
     """Return a whole answer."""
     extra = (b"Content-Length: %d" % len(body), KEEP if keep else CLOSE)
     return head_bytes(status, headers, extra) + body
@@ -29,4 +29,4 @@
         seconds = max(MIN_RETRY_S, problem.retry_after_s)
         headers.append((b"Retry-After", b"%.2f" % seconds))
     body = orjson.dumps(problem_fields(problem))
-    return whole(problem.status, tuple(headers), body, keep=keep)
+    return encode_response(problem.status, tuple(headers), body, keep=keep)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -20,7 +20,7 @@
 from driftstall.core import Instance, Problem, Ran
 from driftstall.daemon.answers import JSON_TYPE
 from driftstall.gateway.admission import Admission, Admitted, RequestProgress
-from driftstall.gateway.answers import problem_answer, whole
+from driftstall.gateway.answers import encode_response, problem_answer
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
@@ -196,7 +196,7 @@
             return self._answer_problem(connection, result, keep=keep)
         self._state.stats.completed += 1
         self._state.stats.answer_s.observe({}, self._state.now() - admitted.started_at)
-        data = whole(result.status, result.headers, result.body, keep=keep)
+        data = encode_response(result.status, result.headers, result.body, keep=keep)
         return connection.write(data) and keep
 
     def _answer_problem(
@@ -252,9 +252,9 @@
         """Answer one check."""
         target = call.target.decode("latin-1")
         if not self._state.dialect.is_ready_path(target):
-            return whole(404, (), b"", keep=call.keep_alive)
+            return encode_response(404, (), b"", keep=call.keep_alive)
         status = 200 if self._state.ready else 503
-        return whole(status, (), b"", keep=call.keep_alive)
+        return encode_response(status, (), b"", keep=call.keep_alive)
 
 
 class MetricsAnswers:
@@ -275,7 +275,7 @@
         if call.path.startswith(f"{CRASHES_PATH}/") and call.method == b"DELETE":
             return self._clear(call)
         body = render(self._state.stats, self._gauges())
-        return whole(200, ((b"Content-Type", b"text/plain"),), body, keep=call.keep_alive)
+        return encode_response(200, ((b"Content-Type", b"text/plain"),), body, keep=call.keep_alive)
 
     def _crashes(self, call: CallerRequest) -> bytes:
         """Name the requests that are sent to no upstream."""
@@ -289,7 +289,7 @@
             for fingerprint, verdict in sorted(found.items())
         ]
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
-        return whole(200, headers, orjson.dumps(rows), keep=call.keep_alive)
+        return encode_response(200, headers, orjson.dumps(rows), keep=call.keep_alive)
 
     def _clear(self, call: CallerRequest) -> bytes:
         """Hold nothing more against a request, here and at the other instances."""
@@ -298,7 +298,7 @@
         if is_known:
             log_event(PREFIX_ROUTING, f"Request {fingerprint} is cleared by an operator")
             self._state.record_success(fingerprint)
-        return whole(200 if is_known else 404, (), b"", keep=call.keep_alive)
+        return encode_response(200 if is_known else 404, (), b"", keep=call.keep_alive)
 
 
 class LocateAnswers:
@@ -313,7 +313,7 @@
         """Answer one question."""
         zone = self._state.dialect.located_zone(call.target.decode("latin-1"))
         if zone is None:
-            return whole(404, (), b"", keep=call.keep_alive)
+            return encode_response(404, (), b"", keep=call.keep_alive)
         chosen = self._choose(zone)
         if not chosen:
             detail = "no instance is ready"
@@ -323,7 +323,7 @@
         body = self._state.dialect.located_answer(tuple(one.address for one in chosen), keep_s)
         log_event(PREFIX_LOCATE, f"A caller of {zone} is sent to {len(chosen)} instances")
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
-        return whole(200, headers, body, keep=call.keep_alive)
+        return encode_response(200, headers, body, keep=call.keep_alive)
 
     def _choose(self, zone: str) -> tuple[Instance, ...]:
         """Return the ready instances of the caller's zone if they suffice, else all."""
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -13,7 +13,7 @@
 from driftstall.core import Problem, Ran
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
-from driftstall.gateway.answers import CLOSE, KEEP, problem_answer, whole
+from driftstall.gateway.answers import CLOSE, KEEP, encode_response, problem_answer
 from driftstall.gateway.events import Event, EventContinuity, EventSequence, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
@@ -118,7 +118,7 @@
         self._context.record_outcome(run, Outcome.FAILED)
         self._state.stats.failed += 1
         body = b"".join(parts)
-        data = whole(opened.head.status, opened.marks.passed, body, keep=self._keep)
+        data = encode_response(opened.head.status, opened.marks.passed, body, keep=self._keep)
         return self._connection.write(data) and self._keep
 
     def _send_head(self, opened: OpenedResponse) -> bool:
