--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -215,7 +215,7 @@
     def _(self, event: Ping, now: float) -> None:
         self._learn_all(event.changes, now)
         sender = self._members.get(event.sender)
-        news = self._news(sender.change if sender else None)
+        news = self._changes_to_send(sender.change if sender else None)
         ack = Ack(self._own_id, event.number, event.on_behalf, news)
         self._actions.append(SendTo(event.sender, ack))
 
@@ -232,7 +232,7 @@
     @_on.register
     def _(self, event: PingRequest, now: float) -> None:
         self._learn_all(event.changes, now)
-        ping = Ping(self._own_id, event.number, event.sender, self._news())
+        ping = Ping(self._own_id, event.number, event.sender, self._changes_to_send())
         self._actions.append(SendTo(event.target, ping))
 
     @_on.register
@@ -282,7 +282,7 @@
         """Send one ping and remember it."""
         self._number += 1
         self._probes[self._number] = _Probe(target.instance_id, now, helped=False)
-        ping = Ping(self._own_id, self._number, "", self._news(target))
+        ping = Ping(self._own_id, self._number, "", self._changes_to_send(target))
         self._actions.append(SendTo(target.instance_id, ping))
 
     def _check_probes(self, now: float) -> None:
@@ -302,7 +302,7 @@
                 and one.change.health in (Health.ALIVE, Health.LEAVING)
             ]
             for helper in self._source.sample(others, min(HELPERS, len(others))):
-                request = PingRequest(self._own_id, number, probe.target, self._news())
+                request = PingRequest(self._own_id, number, probe.target, self._changes_to_send())
                 self._actions.append(SendTo(helper.instance_id, request))
 
     def _suspect(self, instance_id: str, now: float) -> None:
@@ -327,7 +327,7 @@
                 del self._members[member.change.instance_id]
                 self._live = None
 
-    def _news(self, target: Change | None = None) -> tuple[Change, ...]:
+    def _changes_to_send(self, target: Change | None = None) -> tuple[Change, ...]:
         """Return the changes passed on least often, and oneself."""
         limit = SPREAD_FACTOR * max(1, len(self._members).bit_length())
         fresh = sorted(self._spread.items(), key=lambda pair: pair[1])[: MAX_CHANGES - 1]
