--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -123,7 +123,7 @@
         )
         reliance = WatchDelegation(self.state.source)
         intake = PeerUpdateHandlers(
-            routing=lambda: (self._routing.version, self._routing.text),
+            read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
             apply_upstream_change=self._upstreams.told,
             mark_suspected=self._upstreams.doubted,
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -62,7 +62,7 @@
 class PeerUpdateHandlers:
     """Hold how this instance reads and takes in what is shared."""
 
-    routing: Callable[[], tuple[int, str]]
+    read_routing: Callable[[], tuple[int, str]]
     """Return the version in force and its text."""
     apply_routing: Callable[[str], None]
     apply_upstream_change: Callable[[ItemChange[Upstream]], None]
@@ -155,7 +155,7 @@
         roles = self._roles()
         if not roles.collects:
             return
-        version, text = self._intake.routing()
+        version, text = self._intake.read_routing()
         others = () if from_peer else (*roles.own_collectors, *roles.remote_collectors)
         offered = RoutingOffered(self._own_id, version, text)
         self._broadcast((*roles.zone_members, *others), offered)
@@ -164,7 +164,7 @@
 
     def request_newer_routing(self, notice: RoutingNotice) -> None:
         """Ask for a newer document that a peer has, unless it comes by itself."""
-        if notice.version > self._intake.routing()[0]:
+        if notice.version > self._intake.read_routing()[0]:
             pause_s = ASK_AFTER_S * (1 + self._state.source.random())
             gevent.spawn_later(pause_s, self._ask_routing, notice)
 
@@ -185,13 +185,13 @@
 
     def answer_routing(self, asked: RoutingAsked) -> None:
         """Give a peer the routing document, if it is newer than the peer's."""
-        version, text = self._intake.routing()
+        version, text = self._intake.read_routing()
         if version > asked.version:
             self._send(asked.sender, RoutingOffered(self._own_id, version, text))
 
     def handle_routing_offer(self, offered: RoutingOffered) -> None:
         """Take in a peer's routing document if it is newer."""
-        if offered.version <= max(self._intake.routing()[0], self._taking):
+        if offered.version <= max(self._intake.read_routing()[0], self._taking):
             return
         log_event(
             PREFIX_CONFIGURATION,
@@ -234,7 +234,7 @@
     def _ask_routing(self, notice: RoutingNotice) -> None:
         """Ask for a newer routing document that has not come meanwhile."""
         now = self._state.now()
-        version = self._intake.routing()[0]
+        version = self._intake.read_routing()[0]
         if version >= notice.version or now - self._asked_at.get(notice.peer, 0.0) < ASK_AFTER_S:
             return
         self._asked_at[notice.peer] = now
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -262,7 +262,7 @@
         state.fleet.handle(ListedByPeer(upstreams, StoreVersion(at)), 1.0)
 
     intake = PeerUpdateHandlers(
-        routing=lambda: (1, ""),
+        read_routing=lambda: (1, ""),
         apply_routing=lambda _: None,
         apply_upstream_change=lambda _: None,
         mark_suspected=lambda _: None,
