--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -186,7 +186,7 @@
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
             on_restored=self._upstreams.store_returned,
-            settled=self._list_again,
+            on_settled=self._list_again,
         )
         self._policy_keeper = PolicyPersistence(self._policies, access.policy)
         self.state.on_store_era = self._store_return.seen
