--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -39,7 +39,7 @@
 class FleetRoles:
     """Tell who collects, as one instance sees the fleet."""
 
-    large: bool = False
+    is_large: bool = False
     """Whether the fleet needs collectors."""
     collects: bool = False
     """Whether this instance is a collector."""
@@ -69,7 +69,7 @@
         firsts = sorted((some[0] for some in chosen.values() if some), key=_rank)
         followers = {one.instance_id for one in firsts[:MAX_FOLLOWERS]}
         return cls(
-            large=True,
+            is_large=True,
             collects=any(one.instance_id == own.instance_id for one in of_zone),
             follows=own.instance_id in followers,
             own_collectors=tuple(one for one in of_zone if one.instance_id != own.instance_id),
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -223,7 +223,7 @@
     def _blame_hearers(self) -> tuple[Instance, ...]:
         """Return who is told at once of requests beside crashes; collectors pass it on."""
         roles = self._roles
-        if not roles.large:
+        if not roles.is_large:
             return self._members.live
         if roles.collects:
             return (*roles.zone_members, *roles.own_collectors, *roles.remote_collectors)
@@ -248,16 +248,16 @@
     def _take_roles(self, roles: FleetRoles) -> None:
         """Take over the roles; after a change of the own one, sums come from others."""
         before, self._roles = self._roles, roles
-        if (before.large, before.collects) == (roles.large, roles.collects):
+        if (before.is_large, before.collects) == (roles.is_large, roles.collects):
             return
         log_event(
             PREFIX_MEMBERSHIP,
             "This instance collects for its zone" if roles.collects else "This one reports",
-            large=roles.large,
+            large=roles.is_large,
             collectors=[one.instance_id for one in roles.own_collectors],
         )
         self._reporting.forget()
-        self._state.set_load_pooling(roles.large)
+        self._state.set_load_pooling(roles.is_large)
         self._state.loads_changed.set()
 
     def _receive(self, _: str, message: GatewayMessage) -> None:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -122,12 +122,12 @@
         """Return the peers that say they are ready; None where nobody can tell."""
         now = self._state.now()
         roles = self._roles()
-        if roles.large and not roles.collects:
+        if roles.is_large and not roles.collects:
             if self._summary is None or now - self._summary_at > REPORT_VALID_S:
                 return None
             return set(self._summary.ready) - {self._own.instance_id}
         ready = {one.report.sender for one in self._fresh() if one.report.ready}
-        if roles.large:
+        if roles.is_large:
             ready |= {name for zone in self._fresh_zones() for name in zone.ready}
         return ready
 
@@ -151,7 +151,7 @@
             self._state.fleet.leaving_records(self._state.now()),
         )
         roles = self._roles()
-        self._broadcast(roles.own_collectors if roles.large else self._live(), report)
+        self._broadcast(roles.own_collectors if roles.is_large else self._live(), report)
 
     def publish_now(self) -> None:
         """Tell at once what this instance knows, to all who hear it."""
@@ -286,7 +286,7 @@
         while True:
             left = self._reported_at + REPORT_EVERY_S - self._state.now()
             self._state.loads_changed.wait(max(0.0, left))
-            gevent.sleep(LARGE_PAUSE_S if self._roles().large else REPORT_PAUSE_S)
+            gevent.sleep(LARGE_PAUSE_S if self._roles().is_large else REPORT_PAUSE_S)
             self._state.loads_changed.clear()
             self.report_now()
 
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -107,7 +107,7 @@
 
     def publish_change(self, change: ItemChange[Upstream], peers: Iterable[str]) -> None:
         """Tell a change from the platform to peers that the platform does not answer."""
-        if self._roles().large:
+        if self._roles().is_large:
             return
         now = self._state.now()
         self._recent = [(at, one) for at, one in self._recent if now - at <= RECENT_S]
@@ -139,7 +139,7 @@
         ):
             # Follows from what is passed on besides: the later start, or a cordon's end.
             return
-        if not roles.large and leaving and not from_peer:
+        if not roles.is_large and leaving and not from_peer:
             # Peers follow the platform too, which tells them of its removal later.
             gone = action.upstream.state is UpstreamState.READY
             self._broadcast(self._live(), UpstreamNews(self._own_id, action.upstream, gone))
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -89,7 +89,7 @@
         One question without an answer is enough: engines may leave unseen from now on, and a word
         of theirs costs little.
         """
-        if not self._roles().large:
+        if not self._roles().is_large:
             return not self.is_answered
         if self._is_first_to_miss():
             return True
@@ -111,7 +111,7 @@
         In a large one all do, once they all miss it; the follower that misses it first asks alone.
         """
         live = self._live()
-        if self._roles().large:
+        if self._roles().is_large:
             return () if self._is_first_to_miss() else live
         if self.is_answered:
             return live
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -149,7 +149,7 @@
     def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits."""
         longest_s = self._longest_wait()
-        if self._roles().large:
+        if self._roles().is_large:
             return min(LARGE_WATCH_S, longest_s)
         # News wake all instances at once. Were their next questions to end together as well, a
         # silence that begins meanwhile would be found out by all only then.
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -50,7 +50,7 @@
         shuffled = list(context.fleet)
         random.Random(seed).shuffle(shuffled)
         roles = FleetRoles.from_fleet(own, shuffled)
-        assert roles.large
+        assert roles.is_large
         of_zone = ids(roles.own_collectors) | ({own.instance_id} if roles.collects else set())
         assert context.collectors.setdefault(own.zone, of_zone) == of_zone
         assert len(of_zone) == 2 and len(roles.remote_collectors) == 4, roles
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -74,7 +74,7 @@
     def send(_: str, message: GatewayMessage) -> None:
         context.sent.append(message)
 
-    roles = FleetRoles(large=True, collects=True, placers=(PLACER, "instance-1"))
+    roles = FleetRoles(is_large=True, collects=True, placers=(PLACER, "instance-1"))
     context.placer = StreamPlacer(state, roles=lambda: roles, send=send)
 
 
@@ -270,7 +270,7 @@
     """Let another instance place for the zone, to which nothing gets through."""
     world = world_of(context)
     context.sent = []
-    roles = FleetRoles(large=True, placers=(PLACER,))
+    roles = FleetRoles(is_large=True, placers=(PLACER,))
     placer = StreamPlacer(
         world.state, roles=lambda: roles, send=lambda _, message: context.sent.append(message)
     )
