--- a/driftstall/gateway/answers.py
+++ b/driftstall/gateway/answers.py
@@ -22,7 +22,7 @@
     return head_bytes(status, headers, extra) + body
 
 
-def problem_answer(problem: Problem, *, keep: bool) -> bytes:
+def encode_problem(problem: Problem, *, keep: bool) -> bytes:
     """Return the answer that carries a problem; it tells when to come back."""
     headers: list[tuple[bytes, bytes]] = [(b"Content-Type", PROBLEM_TYPE.encode())]
     if problem.retry_after_s is not None:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -20,7 +20,7 @@
 from driftstall.core import Instance, Problem, Ran
 from driftstall.daemon.answers import JSON_TYPE
 from driftstall.gateway.admission import Admission, Admitted, RequestProgress
-from driftstall.gateway.answers import encode_response, problem_answer
+from driftstall.gateway.answers import encode_problem, encode_response
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
@@ -93,7 +93,7 @@
         self._state.stats.malformed += 1
         problem = Problem(CODE_BAD_REQUEST, int(fault.status), fault.detail, Ran.NOT_RUN)
         log_event(PREFIX_RELAY, f"A request is answered {problem.status}: {problem.detail}")
-        connection.write(problem_answer(problem, keep=False))
+        connection.write(encode_problem(problem, keep=False))
 
     def _answer(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Answer one request; return whether the connection is kept."""
@@ -207,7 +207,7 @@
             self._state.stats.refused += 1
         else:
             self._state.stats.failed += 1
-        return connection.write(problem_answer(problem, keep=keep)) and keep
+        return connection.write(encode_problem(problem, keep=keep)) and keep
 
 
 def fingerprint_of(call: CallerRequest, workspace: str) -> str:
@@ -318,7 +318,7 @@
         if not chosen:
             detail = "no instance is ready"
             problem = Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
-            return problem_answer(problem, keep=call.keep_alive)
+            return encode_problem(problem, keep=call.keep_alive)
         keep_s = min(LOCATE_KEEP_S, self._state.settings.bounds.locate_keep_s)
         body = self._state.dialect.located_answer(tuple(one.address for one in chosen), keep_s)
         log_event(PREFIX_LOCATE, f"A caller of {zone} is sent to {len(chosen)} instances")
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -13,7 +13,7 @@
 from driftstall.core import Problem, Ran
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
-from driftstall.gateway.answers import CLOSE, KEEP, encode_response, problem_answer
+from driftstall.gateway.answers import CLOSE, KEEP, encode_problem, encode_response
 from driftstall.gateway.events import Event, EventContinuity, EventSequence, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
@@ -258,4 +258,4 @@
             route=self._admitted.route.name,
             ran=problem.ran.value,
         )
-        return self._connection.write(problem_answer(problem, keep=self._keep)) and self._keep
+        return self._connection.write(encode_problem(problem, keep=self._keep)) and self._keep
