--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -213,7 +213,7 @@
 
     @_on.register
     def _(self, event: Ping, now: float) -> None:
-        self._learn_all(event.changes, now)
+        self._merge_all(event.changes, now)
         sender = self._members.get(event.sender)
         news = self._changes_to_send(sender.change if sender else None)
         ack = Ack(self._own_id, event.number, event.on_behalf, news)
@@ -221,7 +221,7 @@
 
     @_on.register
     def _(self, event: Ack, now: float) -> None:
-        self._learn_all(event.changes, now)
+        self._merge_all(event.changes, now)
         if event.on_behalf and event.on_behalf != self._own_id:
             self._actions.append(SendTo(event.on_behalf, event))
             return
@@ -231,7 +231,7 @@
 
     @_on.register
     def _(self, event: PingRequest, now: float) -> None:
-        self._learn_all(event.changes, now)
+        self._merge_all(event.changes, now)
         ping = Ping(self._own_id, event.number, event.sender, self._changes_to_send())
         self._actions.append(SendTo(event.target, ping))
 
@@ -344,7 +344,7 @@
                 news.append(self._members[instance_id].change)
         return tuple(news)
 
-    def _learn_all(self, changes: tuple[Change, ...], now: float) -> None:
+    def _merge_all(self, changes: tuple[Change, ...], now: float) -> None:
         """Learn from a peer's news."""
         for change in changes:
             self._learn(change, now)
