--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -56,7 +56,7 @@
         return FIRST_EVENT_S + TOKEN_S * tokens
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether the process may end: nothing is open and no caller comes any more."""
         since = self._state.stopping_since
         if since is None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -236,7 +236,7 @@
         checked_at = self.state.now()
         suspended_s = clock.suspended_s()
         told_stop = False
-        while not self._drain.finished:
+        while not self._drain.is_finished:
             gevent.sleep(PERIOD_S)
             self._upstreams.period()
             suspended_s = _log_suspension(suspended_s)
