--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -41,7 +41,7 @@
 
     is_large: bool = False
     """Whether the fleet needs collectors."""
-    collects: bool = False
+    is_collector: bool = False
     """Whether this instance is a collector."""
     follows: bool = True
     """Whether this instance follows the platform whatever others say."""
@@ -70,7 +70,7 @@
         followers = {one.instance_id for one in firsts[:MAX_FOLLOWERS]}
         return cls(
             is_large=True,
-            collects=any(one.instance_id == own.instance_id for one in of_zone),
+            is_collector=any(one.instance_id == own.instance_id for one in of_zone),
             follows=own.instance_id in followers,
             own_collectors=tuple(one for one in of_zone if one.instance_id != own.instance_id),
             remote_collectors=tuple(
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -69,7 +69,7 @@
     def _read(self) -> None:
         """Take in what is kept."""
         roles = self._roles()
-        if not roles.is_large or roles.collects:
+        if not roles.is_large or roles.is_collector:
             self._try(self._take)
 
     def _take(self) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -282,7 +282,7 @@
             "requests_refused_for_crashes": len(self.state.blame.quarantined(self.state.now())),
             "store_era": self.state.eras.era,
             "store_returns": self.state.eras.returns,
-            "collects": float(self._roles().collects),
+            "collects": float(self._roles().is_collector),
             "log_lines_dropped": self._log.dropped_in_all,
         }
 
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -114,7 +114,7 @@
         others = Fleet(
             live=lambda: self._members.live,
             hearers=self._blame_hearers,
-            passes_on=lambda: self._roles.collects,
+            passes_on=lambda: self._roles.is_collector,
             send=self._send,
             broadcast=self._broadcast,
         )
@@ -188,7 +188,7 @@
     def leave(self) -> None:
         """Tell peers that this instance stops; collectors name their successors so."""
         self._reporting.report_now()
-        if self._roles.collects:
+        if self._roles.is_collector:
             self._apply(Leave())
 
     def publish_change(self, change: ItemChange[Upstream]) -> None:
@@ -225,7 +225,7 @@
         roles = self._roles
         if not roles.is_large:
             return self._members.live
-        if roles.collects:
+        if roles.is_collector:
             return (*roles.zone_members, *roles.own_collectors, *roles.remote_collectors)
         return roles.own_collectors
 
@@ -248,11 +248,11 @@
     def _take_roles(self, roles: FleetRoles) -> None:
         """Take over the roles; after a change of the own one, sums come from others."""
         before, self._roles = self._roles, roles
-        if (before.is_large, before.collects) == (roles.is_large, roles.collects):
+        if (before.is_large, before.is_collector) == (roles.is_large, roles.is_collector):
             return
         log_event(
             PREFIX_MEMBERSHIP,
-            "This instance collects for its zone" if roles.collects else "This one reports",
+            "This instance collects for its zone" if roles.is_collector else "This one reports",
             large=roles.is_large,
             collectors=[one.instance_id for one in roles.own_collectors],
         )
@@ -353,7 +353,7 @@
         self._state.on_store_era(summary.store_era)
         self._take_signals(summary.rate_limits, summary.leaving)
         self._sharing.handle_cordons(summary.cordons)
-        if self._roles.collects:
+        if self._roles.is_collector:
             # Its sender does not know yet that this instance collects now.
             return
         self._reporting.record_fleet_summary(summary)
@@ -370,7 +370,7 @@
         has_news = self._state.rate_limiting.heard(limits)
         for record in leaving:
             has_news |= self._intake.record_leaving(record)
-        if has_news and self._roles.collects:
+        if has_news and self._roles.is_collector:
             self._reporting.publish_now()
 
     def _apply(self, event: MembershipEvent) -> None:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -122,7 +122,7 @@
         """Return the peers that say they are ready; None where nobody can tell."""
         now = self._state.now()
         roles = self._roles()
-        if roles.is_large and not roles.collects:
+        if roles.is_large and not roles.is_collector:
             if self._summary is None or now - self._summary_at > REPORT_VALID_S:
                 return None
             return set(self._summary.ready) - {self._own.instance_id}
@@ -200,7 +200,7 @@
     def _summarize(self) -> None:
         """Send the zone's sum to other zones and the sum of all to this one."""
         roles = self._roles()
-        if not roles.collects:
+        if not roles.is_collector:
             return
         self._broadcast(roles.remote_collectors, self._zone_summary())
         self._broadcast(roles.zone_members, self._fleet_summary())
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -143,7 +143,7 @@
             # Peers follow the platform too, which tells them of its removal later.
             gone = action.upstream.state is UpstreamState.READY
             self._broadcast(self._live(), UpstreamNews(self._own_id, action.upstream, gone))
-        if not roles.collects:
+        if not roles.is_collector:
             return
         news = UpstreamNews(self._own_id, action.upstream, leaving)
         self._broadcast((*roles.zone_members, *roles.own_collectors), news)
@@ -153,7 +153,7 @@
     def publish_routing(self, *, from_peer: bool) -> None:
         """Send the routing document in force to the zone, and to other collectors if it is new."""
         roles = self._roles()
-        if not roles.collects:
+        if not roles.is_collector:
             return
         version, text = self._intake.read_routing()
         others = () if from_peer else (*roles.own_collectors, *roles.remote_collectors)
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -51,7 +51,7 @@
         random.Random(seed).shuffle(shuffled)
         roles = FleetRoles.from_fleet(own, shuffled)
         assert roles.is_large
-        of_zone = ids(roles.own_collectors) | ({own.instance_id} if roles.collects else set())
+        of_zone = ids(roles.own_collectors) | ({own.instance_id} if roles.is_collector else set())
         assert context.collectors.setdefault(own.zone, of_zone) == of_zone
         assert len(of_zone) == 2 and len(roles.remote_collectors) == 4, roles
         assert not ids(roles.zone_members) & of_zone
@@ -65,7 +65,7 @@
     """Count those that follow."""
     follow = [one for one in context.fleet if FleetRoles.from_fleet(one, context.fleet).follows]
     assert len(follow) == 3 and {one.zone for one in follow} == set("abc"), follow
-    assert all(FleetRoles.from_fleet(one, context.fleet).collects for one in follow)
+    assert all(FleetRoles.from_fleet(one, context.fleet).is_collector for one in follow)
 
 
 @then("each instance is told by a collector of its zone")
@@ -74,7 +74,7 @@
     told: set[str] = set()
     for own in context.fleet:
         roles = FleetRoles.from_fleet(own, context.fleet)
-        if roles.collects:
+        if roles.is_collector:
             told |= ids(roles.zone_members) | {own.instance_id}
     assert told == ids(context.fleet)
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -27,7 +27,7 @@
 from features.worlds.upstream_samples import upstream_of
 
 MEMBER = FleetRoles(is_large=True, follows=False)
-FOLLOWER = FleetRoles(is_large=True, collects=True, follows=True)
+FOLLOWER = FleetRoles(is_large=True, is_collector=True, follows=True)
 WORD_EVERY_S = 0.5
 STEP_S = 0.05
 
@@ -270,7 +270,7 @@
         apply_cordons=lambda _: None,
         record_leaving=lambda _: False,
     )
-    roles = FleetRoles(is_large=True, collects=True, follows=False)
+    roles = FleetRoles(is_large=True, is_collector=True, follows=False)
     context.sharing = PlatformDataSharing(
         state,
         intake,
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -74,7 +74,7 @@
     def send(_: str, message: GatewayMessage) -> None:
         context.sent.append(message)
 
-    roles = FleetRoles(is_large=True, collects=True, placers=(PLACER, "instance-1"))
+    roles = FleetRoles(is_large=True, is_collector=True, placers=(PLACER, "instance-1"))
     context.placer = StreamPlacer(state, roles=lambda: roles, send=send)
 
 
@@ -310,7 +310,7 @@
     zones = {one.instance_id: one.zone for one in context.fleet}
     assert sorted(zones[placer] for placer in placers) == sorted(set(zones.values())), placers
     collecting = [own for own in context.fleet if own.instance_id in placers]
-    assert all(FleetRoles.from_fleet(own, context.fleet).collects for own in collecting)
+    assert all(FleetRoles.from_fleet(own, context.fleet).is_collector for own in collecting)
 
 
 @then("a small fleet has none")
