--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -20,13 +20,13 @@
 from driftstall.core import Instance, Problem, Ran
 from driftstall.daemon.answers import JSON_TYPE
 from driftstall.gateway.admission import Admission, Admitted, RequestProgress
-from driftstall.gateway.answers import encode_problem, encode_response
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.ingress import CallerConnection, CallerRequest, Closed, Malformed
 from driftstall.gateway.model import Limits, Repeat
 from driftstall.gateway.moves import Mover
+from driftstall.gateway.responses import encode_problem, encode_response
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stats import render
 from driftstall.gateway.streams import StreamRelay
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -13,7 +13,6 @@
 from driftstall.core import Problem, Ran
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
-from driftstall.gateway.answers import CLOSE, KEEP, encode_problem, encode_response
 from driftstall.gateway.events import Event, EventContinuity, EventSequence, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
@@ -25,6 +24,7 @@
 )
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
+from driftstall.gateway.responses import CLOSE, KEEP, encode_problem, encode_response
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import OpenedResponse
 from driftstall.gateway.state import GatewayState
