--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -347,9 +347,9 @@
     def _merge_all(self, changes: tuple[Change, ...], now: float) -> None:
         """Learn from a peer's news."""
         for change in changes:
-            self._learn(change, now)
+            self._merge(change, now)
 
-    def _learn(self, change: Change, now: float) -> None:
+    def _merge(self, change: Change, now: float) -> None:
         """Take over a change that is newer than what is known."""
         if change.instance_id == self._own_id:
             self._refute(change, now)
