--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -251,7 +251,7 @@
             workspace=self._admitted.workspace,
             rank=self._admitted.verdict.rank if self._admitted.service.engine else None,
         )
-        headers = self._state.dialect.write_send(self._admitted.marks.passed, send)
+        headers = self._state.dialect.write_send(self._admitted.marks.forwarded_headers, send)
         self._state.signals.log_send(upstream, self._admitted.marks.request_id)
         exchange.send(self._call.method, self._call.target, headers, self._call.body, self._left())
         head: ResponseHead | None = None
@@ -275,7 +275,7 @@
                 if marks.not_run:
                     detail = f"turned away with {head.status}"
                     return SendFailure(Outcome.FULL, Fate.TURNED_AWAY, detail)
-                return UpstreamResponse(head.status, marks.passed, b"".join(parts))
+                return UpstreamResponse(head.status, marks.forwarded_headers, b"".join(parts))
 
     def _left(self) -> float:
         """Return the seconds that are left."""
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -198,7 +198,7 @@
     """The caller's estimate of the output in tokens; zero if none."""
     prompt: tuple[PromptPart, ...]
     last_event_id: str
-    passed: Headers
+    forwarded_headers: Headers
     """Headers that go on to the upstream as they came."""
 
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -118,14 +118,18 @@
         self._context.record_outcome(run, Outcome.FAILED)
         self._state.stats.failed += 1
         body = b"".join(parts)
-        data = encode_response(opened.head.status, opened.marks.passed, body, keep=self._keep)
+        data = encode_response(
+            opened.head.status, opened.marks.forwarded_headers, body, keep=self._keep
+        )
         return self._connection.write(data) and self._keep
 
     def _send_head(self, opened: OpenedResponse) -> bool:
         """Send the answer's head to the caller."""
         extra = (b"Transfer-Encoding: chunked", KEEP if self._keep else CLOSE)
         self._head_sent = True
-        return self._connection.write(head_bytes(opened.head.status, opened.marks.passed, extra))
+        return self._connection.write(
+            head_bytes(opened.head.status, opened.marks.forwarded_headers, extra)
+        )
 
     def _relay_events(self, run: StreamRun) -> Exception | None:
         """Pass events on; return None at the end, or what broke the stream."""
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -55,7 +55,7 @@
         length_hint=_whole(first.get(names.HEADER_LENGTH_HINT, b"")),
         prompt=_prompt(first.get(names.HEADER_PROMPT, b"")),
         last_event_id=_text(first.get(names.HEADER_LAST_EVENT_ID, b"")),
-        passed=_passed(headers, first),
+        forwarded_headers=_passed(headers, first),
     )
 
 
