--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -43,7 +43,7 @@
     """Whether the fleet needs collectors."""
     is_collector: bool = False
     """Whether this instance is a collector."""
-    follows: bool = True
+    is_follower: bool = True
     """Whether this instance follows the platform whatever others say."""
     own_collectors: tuple[Instance, ...] = ()
     """The collectors of this instance's zone, best first, itself left out."""
@@ -71,7 +71,7 @@
         return cls(
             is_large=True,
             is_collector=any(one.instance_id == own.instance_id for one in of_zone),
-            follows=own.instance_id in followers,
+            is_follower=own.instance_id in followers,
             own_collectors=tuple(one for one in of_zone if one.instance_id != own.instance_id),
             remote_collectors=tuple(
                 one for zone, some in sorted(chosen.items()) if zone != own.zone for one in some
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -345,7 +345,7 @@
         self._reporting.record_zone_summary(summary)
         self._reliance.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
-        if not self._roles.follows and age_s <= FRESH_S:
+        if not self._roles.is_follower and age_s <= FRESH_S:
             self._sharing.compare_fleet(summary)
 
     @_take.register
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -103,7 +103,7 @@
         they still rely on any.
         """
         may_be_relied_on = self._upstreams.pace.age_s <= FRESH_S + TRUST_S
-        return self._roles().follows and not self.is_answered and may_be_relied_on
+        return self._roles().is_follower and not self.is_answered and may_be_relied_on
 
     def askers(self) -> tuple[Instance, ...]:
         """Return who shares the questions to engines: in a small fleet, who lacks the platform.
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -169,7 +169,7 @@
     @property
     def _follows_always(self) -> bool:
         """Tell whether this instance follows the platform whatever others say."""
-        return self._roles().follows
+        return self._roles().is_follower
 
 
 class RevisionWatchPacing:
@@ -183,7 +183,7 @@
     def delay_s(self) -> float:
         """Return for how long to make no call."""
         roles = self._roles()
-        return 0.0 if roles.follows or self._behind() else TRUST_S
+        return 0.0 if roles.is_follower or self._behind() else TRUST_S
 
     def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits."""
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -241,7 +241,7 @@
         FeedReachability(context.list, context.list),
         reliance,
         now=lambda: 0.1,
-        roles=lambda: FleetRoles(is_large=True, is_collector=True, follows=True),
+        roles=lambda: FleetRoles(is_large=True, is_collector=True, is_follower=True),
         live=lambda: context.others,
         peers_without_platform=lambda: (),
     )
@@ -339,7 +339,7 @@
 @then("a collector of a large fleet waits for 0.8 s each time")
 def collector_waits(context: Any) -> None:
     """Ask it."""
-    pace = pace_of(1, FleetRoles(is_large=True, is_collector=True, follows=True))
+    pace = pace_of(1, FleetRoles(is_large=True, is_collector=True, is_follower=True))
     assert {pace.watch_timeout_s() for _ in range(10)} == {0.8}
 
 
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -63,7 +63,7 @@
 @then("3 of them follow the platform, of 3 zones")
 def three_follow(context: Any) -> None:
     """Count those that follow."""
-    follow = [one for one in context.fleet if FleetRoles.from_fleet(one, context.fleet).follows]
+    follow = [one for one in context.fleet if FleetRoles.from_fleet(one, context.fleet).is_follower]
     assert len(follow) == 3 and {one.zone for one in follow} == set("abc"), follow
     assert all(FleetRoles.from_fleet(one, context.fleet).is_collector for one in follow)
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -26,8 +26,8 @@
 from features.worlds.gateway_world import GatewayWorld
 from features.worlds.upstream_samples import upstream_of
 
-MEMBER = FleetRoles(is_large=True, follows=False)
-FOLLOWER = FleetRoles(is_large=True, is_collector=True, follows=True)
+MEMBER = FleetRoles(is_large=True, is_follower=False)
+FOLLOWER = FleetRoles(is_large=True, is_collector=True, is_follower=True)
 WORD_EVERY_S = 0.5
 STEP_S = 0.05
 
@@ -270,7 +270,7 @@
         apply_cordons=lambda _: None,
         record_leaving=lambda _: False,
     )
-    roles = FleetRoles(is_large=True, is_collector=True, follows=False)
+    roles = FleetRoles(is_large=True, is_collector=True, is_follower=False)
     context.sharing = PlatformDataSharing(
         state,
         intake,
