--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -92,7 +92,7 @@
         self, rank: int, ticket: str, workspace: str, cost: float, until: float
     ) -> None:
         """Reserve a place in a rank's queue for a ticket until a time."""
-        self._reservations.setdefault(rank, QueueReservations()).make(
+        self._reservations.setdefault(rank, QueueReservations()).reserve(
             ticket, workspace, cost, until
         )
 
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -76,7 +76,7 @@
         """Return the expected tokens promised to one workspace."""
         return self._by_workspace.get(workspace, 0.0)
 
-    def make(self, ticket: str, workspace: str, cost: float, until: float) -> None:
+    def reserve(self, ticket: str, workspace: str, cost: float, until: float) -> None:
         """Keep a place until a time."""
         self.take(ticket)
         self._places[ticket] = (workspace, cost, until)
