--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -1,9 +1,10 @@
-"""Hold the claims of one shard: what may not be repeated runs at most once.
+"""Idempotency claims of one shard: a request that may not be repeated runs at most once.
 
-A claim is durable before the call leaves. The shard's holder groups claims into
-one conditional write; a new holder first raises the shard's epoch, so that a
-paused old holder's next write fails. A write whose answer is lost is settled by
-reading the object back. Pure: reads and writes are actions, their answers events.
+A claim is durable before the request is sent. The shard's holder groups claims into
+one conditional write. A new holder first raises the shard's epoch, so that the next
+write of a paused old holder fails. If the response to a write is lost, the holder reads
+the object back to find out whether it took effect. A state machine without I/O: reads
+and writes are actions, their results events.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 SHARDS: Final = 32
 CLAIM_RETENTION_S: Final = 24 * 3600.0
-"""How long a claim is kept, in seconds."""
+"""How long a claim is kept."""
 MAX_CLAIMS: Final = 3_500
-"""Claims in one object: with 280 bytes each it stays under the platform's megabyte."""
+"""Maximum claims in one object: at 280 bytes each it stays below the store's limit of 1 MB."""
 MAX_OUTCOME_BYTES: Final = 120
-"""The longest recorded answer, as JSON; a longer one is recorded by its status alone."""
+"""Maximum size of a recorded body as JSON; for a longer one, only the status is recorded."""
 
 
 class ClaimAnswerKind(StrEnum):
-    """Name the answers to a claim."""
+    """Possible answers to a claim."""
 
     GRANTED = "granted"
     RECORDED = "recorded"
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Hold a recorded answer."""
+    """The recorded response to a request."""
 
     status: int
     content_type: str
@@ -44,20 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """Hold one claim as stored."""
+    """A claim as stored."""
 
     key: str
     fingerprint: str
     nonce: str
-    """Names the one try that this claim allows to run."""
+    """Identifies the one attempt that this claim permits to run."""
     at: float
-    """Wall-clock seconds, for the window."""
+    """Wall-clock time of the claim, in seconds; it expires after CLAIM_RETENTION_S."""
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ShardObject:
-    """Hold a shard as stored in the platform."""
+    """A shard as stored in the platform's store."""
 
     epoch: int
     holder: str
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAsked:
-    """Ask to claim a key."""
+    """Request a claim for an idempotency key."""
 
     entry: str
     shard: int
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettled:
-    """Record an outcome; a call that never left frees the key."""
+    """Record the outcome of a claimed request; the key is released if it was never sent."""
 
     shard: int
     key: str
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadDone:
-    """Receive the shard's object; version zero stands for none."""
+    """Receive the shard's object; version zero means that it does not exist."""
 
     version: int
     value: ShardObject | None
@@ -99,12 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """Learn that the platform did not answer a read."""
+    """Report that the store did not answer a read."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteDone:
-    """Learn that a write took effect."""
+    """Report that a write took effect."""
 
     write_id: str
     version: int
@@ -112,28 +113,28 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteConflicted:
-    """Learn that the object had changed, so the write had no effect."""
+    """Report that a write had no effect, because the object had changed."""
 
     write_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteUnknown:
-    """Learn that a write's answer was lost."""
+    """Report that the response to a write was lost."""
 
     write_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRefused:
-    """Learn that the platform refused a write, so that it surely had no effect."""
+    """Report that the store refused a write, which certainly had no effect."""
 
     write_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class FlushDue:
-    """Let a group of claims be written."""
+    """Trigger the write of the staged claims."""
 
 
 ClaimEvent = (
@@ -158,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteShard:
-    """Write the shard's object, if its version is still the expected one."""
+    """Write the shard's object if its version is still the expected one."""
 
     shard: int
     expected: int
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """Answer a claim."""
+    """Answer a claim request."""
 
     entry: str
     nonce: str
@@ -181,7 +182,7 @@
 
 
 class _Phase(StrEnum):
-    """Name the holder's phases."""
+    """Phases of a shard's holder."""
 
     COLD = "cold"
     READING = "reading"
@@ -192,7 +193,7 @@
 
 @dataclass(slots=True)
 class _Write:
-    """Hold the one write that is under way."""
+    """The write in progress; there is at most one."""
 
     write_id: str
     expected: int
@@ -203,17 +204,20 @@
 
 @dataclass(slots=True)
 class _Staged:
-    """Hold what the next write will carry."""
+    """Claim requests and outcomes for the next write."""
 
     requests: list[ClaimAsked] = field(default_factory=list)
     settled: list[ClaimSettled] = field(default_factory=list)
 
 
 class ClaimsHolder:
-    """Hold one shard while this instance ranks first for it."""
+    """Hold one shard while this instance ranks first for it in rendezvous hashing."""
 
     def __init__(self, shard: int, holder: str, unique: str) -> None:
-        """Start cold; unique distinguishes this process from earlier ones."""
+        """Initialize without the shard's object.
+
+        unique: distinguishes the write ids of this process from those of earlier ones.
+        """
         self._shard = shard
         self._holder = holder
         self._unique = unique
@@ -225,21 +229,21 @@
         self._write: _Write | None = None
         self._writes = 0
         self._uncertain_nonces: set[str] = set()
-        """Tries whose claim an unsettled write may have stored."""
+        """Nonces of attempts whose claim may have been stored by a write of unknown outcome."""
         self._actions: list[ClaimAction] = []
 
     @property
     def epoch(self) -> int:
-        """Return the epoch that this holder raised."""
+        """Return the epoch that this holder writes with."""
         return self._epoch
 
     @property
     def should_flush(self) -> bool:
-        """Tell whether a group waits to be written."""
+        """Return True if claims or outcomes are staged and no read or write is in progress."""
         return self._phase is _Phase.HELD and bool(self._staged.requests or self._staged.settled)
 
     def handle(self, event: ClaimEvent, wall: float) -> list[ClaimAction]:
-        """Take one event and return the actions; wall is the wall clock."""
+        """Apply one event and return the resulting actions; wall is the wall-clock time."""
         self._actions = []
         self._on(event, wall)
         return self._actions
@@ -288,7 +292,7 @@
         if self._phase is _Phase.READING:
             self._release_shard()
         elif self._phase is _Phase.SETTLING:
-            # The write may have taken effect: nobody may run, nobody is told "recorded".
+            # The write may have taken effect, so no claim is granted and none is answered.
             self._release_shard()
 
     @_on.register
@@ -302,7 +306,7 @@
     def _(self, event: WriteConflicted, wall: float) -> None:
         if self._write is None or self._write.write_id != event.write_id:
             return
-        # Another holder raised the epoch: what it stored decides, so read anew.
+        # Another holder raised the epoch, so its stored claims take precedence: read them.
         self._restage(self._write)
         self._load()
 
@@ -320,20 +324,20 @@
             self._release_shard()
 
     def _restage(self, write: _Write) -> None:
-        """Put what a write carried back in front of what waits; it may be stored already."""
+        """Stage the contents of a failed write again, before newer ones; it may be stored."""
         self._uncertain_nonces |= {ask.nonce for ask in write.requests}
         self._staged.requests = write.requests + self._staged.requests
         self._staged.settled = write.settled + self._staged.settled
         self._write = None
 
     def _load(self) -> None:
-        """Read the shard before taking it over."""
+        """Read the shard's object before taking the shard over."""
         self._phase = _Phase.READING
         self._claims = {}
         self._actions.append(ReadShard(self._shard))
 
     def _take_over(self, event: ReadDone, wall: float) -> None:
-        """Take the stored claims over and raise the epoch with the next write."""
+        """Adopt the stored claims, and raise the epoch with the next write."""
         stored = event.value or ShardObject(0, "", "", ())
         self._version = event.version
         self._epoch = stored.epoch + 1
@@ -342,7 +346,7 @@
         self._flush(wall)
 
     def _answer_staged(self) -> None:
-        """Answer waiting claims whose keys turned out to be known."""
+        """Answer the staged requests whose keys are already claimed."""
         waiting = self._staged.requests
         self._staged.requests = []
         for ask in waiting:
@@ -353,7 +357,7 @@
                 self._answer_existing(ask, known)
 
     def _flush(self, wall: float) -> None:
-        """Write everything staged as one group."""
+        """Write all staged claims and outcomes in one conditional write."""
         staged = self._staged
         self._staged = _Staged()
         claims = {
@@ -363,22 +367,22 @@
         }
         for settled in staged.settled:
             self._apply_settled(claims, settled)
-        asks = []
+        accepted = []
         for ask in staged.requests:
             if len(claims) >= MAX_CLAIMS:
                 self._answer(ask, ClaimAnswerKind.UNAVAILABLE)
                 continue
             claims[ask.key] = ClaimRecord(ask.key, ask.fingerprint, ask.nonce, wall)
-            asks.append(ask)
+            accepted.append(ask)
         self._writes += 1
         write_id = f"{self._unique}-{self._writes}"
         value = ShardObject(self._epoch, self._holder, write_id, tuple(claims.values()))
-        self._write = _Write(write_id, self._version, value, asks, staged.settled)
+        self._write = _Write(write_id, self._version, value, accepted, staged.settled)
         self._phase = _Phase.WRITING
         self._actions.append(WriteShard(self._shard, self._version, value))
 
     def _apply_settled(self, claims: dict[str, ClaimRecord], settled: ClaimSettled) -> None:
-        """Record an outcome, or free a key whose call never left."""
+        """Record an outcome, or release the key of a request that was never sent."""
         record = claims.get(settled.key)
         if record is None or record.nonce != settled.nonce:
             return
@@ -388,7 +392,7 @@
         claims[settled.key] = replace(record, outcome=_outcome(settled))
 
     def _confirm(self, write: _Write, version: int, wall: float) -> None:
-        """Grant the claims that a write made durable."""
+        """Grant the claims that a write has made durable."""
         self._write = None
         self._uncertain_nonces.clear()
         self._version = version
@@ -399,7 +403,7 @@
         self._answer_staged()
 
     def _settle_lost_write(self, event: ReadDone, wall: float) -> None:
-        """Settle a write whose answer was lost, by what is stored now."""
+        """Determine from the stored object whether a write with a lost response took effect."""
         write = self._write
         if write is None:
             self._load()
@@ -408,19 +412,19 @@
             self._confirm(write, event.version, wall)
             return
         if event.version == write.expected:
-            # Not there yet, but it may still arrive: our next write fences it by version.
+            # Not stored yet, but it may still arrive: the next write fences it by version.
             self._restage(write)
             self._claims = {record.key: record for record in write.value.claims}
             for ask in write.requests:
                 self._claims.pop(ask.key, None)
             self._flush(wall)
             return
-        # Someone wrote after us. Reading anew finds our claims if they are in there.
+        # Another holder has written since. A new read shows whether it kept these claims.
         self._restage(write)
         self._load()
 
     def _release_shard(self) -> None:
-        """Answer all that wait with 'unavailable': none of them was run."""
+        """Answer all staged requests with 'unavailable', as none of them was run."""
         if self._write is not None:
             self._restage(self._write)
         self._phase = _Phase.COLD
@@ -428,25 +432,25 @@
         for ask in waiting:
             self._answer(ask, ClaimAnswerKind.UNAVAILABLE)
             if ask.nonce in self._uncertain_nonces:
-                # A write may have stored the claim; free it once the platform answers.
+                # A write may have stored the claim: release it once the store answers.
                 self._staged.settled.append(
                     ClaimSettled(self._shard, ask.key, ask.nonce, False, 0, "", "")
                 )
         self._uncertain_nonces.clear()
 
     def _with_outcome(self, known: ClaimRecord) -> ClaimRecord:
-        """Return a record with its outcome, even if that is not stored yet."""
-        settled = self._staged.settled + (self._write.settled if self._write else [])
-        for one in settled:
-            if one.key == known.key and one.nonce == known.nonce and one.ran:
-                return replace(known, outcome=_outcome(one))
+        """Return a record with its outcome, even if the outcome is not stored yet."""
+        unsaved = self._staged.settled + (self._write.settled if self._write else [])
+        for settled in unsaved:
+            if settled.key == known.key and settled.nonce == known.nonce and settled.ran:
+                return replace(known, outcome=_outcome(settled))
         return known
 
     def _answer_existing(self, ask: ClaimAsked, known: ClaimRecord) -> None:
-        """Answer a claim whose key is already stored."""
+        """Answer a request for a key that is already claimed."""
         known = self._with_outcome(known)
         if known.nonce == ask.nonce and known.outcome is None:
-            # An earlier write of this very try took effect although its answer was lost.
+            # An earlier write for this attempt took effect although its response was lost.
             self._answer(ask, ClaimAnswerKind.GRANTED)
         elif known.fingerprint != ask.fingerprint:
             self._answer(ask, ClaimAnswerKind.MISMATCH)
@@ -471,6 +475,6 @@
 
 
 def _outcome(settled: ClaimSettled) -> Outcome:
-    """Return the outcome to record; a long body is left out."""
+    """Return the outcome to record, without the body if that is too long."""
     body = settled.body if len(json.dumps(settled.body)) <= MAX_OUTCOME_BYTES else ""
     return Outcome(settled.status, settled.content_type, body)
