--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -215,7 +215,7 @@
     return fingerprint(call.method, call.host.encode(), call.target, workspace.encode(), call.body)
 
 
-class SmallListener:
+class AuxiliaryListener:
     """Answer small questions on a listener of their own."""
 
     def __init__(self, address: str, answer: Callable[[CallerRequest], bytes]) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -26,11 +26,11 @@
 from driftstall.gateway.feeds import Feed, Follower, ItemChange, WatchPacing
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.listeners import (
+    AuxiliaryListener,
     CallerListener,
     LocateAnswers,
     MetricsAnswers,
     ReadyAnswers,
-    SmallListener,
 )
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
@@ -196,11 +196,11 @@
         self._store_return.register_shared_write("crashes", self._crash_keeper.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
-        self._ready = SmallListener(settings.ready_listen, ReadyAnswers(self.state))
+        self._ready = AuxiliaryListener(settings.ready_listen, ReadyAnswers(self.state))
         locate = LocateAnswers(self.state, self._peering.locatable_instances)
-        self._locate = SmallListener(settings.locate_listen, locate)
+        self._locate = AuxiliaryListener(settings.locate_listen, locate)
         metrics = MetricsAnswers(self.state, self._gauges)
-        self._metrics = SmallListener(settings.metrics_listen, metrics)
+        self._metrics = AuxiliaryListener(settings.metrics_listen, metrics)
         self._settings_seen = self._settings_time()
 
     def run(self) -> None:
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway import crash_detector
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.listeners import MetricsAnswers, SmallListener, fingerprint_of
+from driftstall.gateway.listeners import AuxiliaryListener, MetricsAnswers, fingerprint_of
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
@@ -243,7 +243,7 @@
     page = MetricsAnswers(
         state, lambda: {"requests_refused_for_crashes": len(state.blame.quarantined(state.now()))}
     )
-    listener = SmallListener(state.settings.metrics_listen, page)
+    listener = AuxiliaryListener(state.settings.metrics_listen, page)
     listener.start()
     call = CallerRequest(b"GET", b"/metrics", (), HOST, b"", keep_alive=False, read_at=0.0)
     assert b"requests_refused_for_crashes 1" in page(call)
