--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -258,7 +258,7 @@
     @_on.register
     def _(self, event: Leave, now: float) -> None:
         own = self._members[self._own_id]
-        self._set(replace(own.change, health=Health.LEAVING.value), now)
+        self._store(replace(own.change, health=Health.LEAVING.value), now)
         for member in self._members.values():
             if member.change.instance_id != self._own_id and member.change.health != Health.DEAD:
                 self._ping(member.change, now)
@@ -309,20 +309,20 @@
         """Suspect an instance that did not answer."""
         member = self._members.get(instance_id)
         if member is not None and member.change.health in (Health.ALIVE, Health.LEAVING):
-            self._set(replace(member.change, health=Health.SUSPECT.value), now)
+            self._store(replace(member.change, health=Health.SUSPECT.value), now)
 
     def _clear(self, instance_id: str, now: float) -> None:
         """Take back one's own suspicion after an answer."""
         member = self._members.get(instance_id)
         if member is not None and member.change.health == Health.SUSPECT:
-            self._set(replace(member.change, health=Health.ALIVE.value), now)
+            self._store(replace(member.change, health=Health.ALIVE.value), now)
 
     def _check_suspects(self, now: float) -> None:
         """Hold suspects for dead that did not refute, and forget the long dead."""
         for member in list(self._members.values()):
             age = now - member.since
             if member.change.health == Health.SUSPECT and age >= SUSPECT_S:
-                self._set(replace(member.change, health=Health.DEAD.value), now)
+                self._store(replace(member.change, health=Health.DEAD.value), now)
             elif member.change.health == Health.DEAD and age >= FORGET_S:
                 del self._members[member.change.instance_id]
                 self._live = None
@@ -357,13 +357,13 @@
         known = self._members.get(change.instance_id)
         if known is None:
             if change.health != Health.DEAD:
-                self._set(change, now)
+                self._store(change, now)
             return
         old = known.change
         newer = change.incarnation > old.incarnation
         worse = _ORDER[Health(change.health)] > _ORDER[Health(old.health)]
         if newer or (change.incarnation == old.incarnation and worse):
-            self._set(change, now)
+            self._store(change, now)
 
     def _refute(self, change: Change, now: float) -> None:
         """Answer a false report about oneself with a higher incarnation."""
@@ -371,9 +371,9 @@
         if change.health in (Health.SUSPECT, Health.DEAD) and (
             change.incarnation >= own.incarnation
         ):
-            self._set(replace(own, incarnation=change.incarnation + 1), now)
+            self._store(replace(own, incarnation=change.incarnation + 1), now)
 
-    def _set(self, change: Change, now: float) -> None:
+    def _store(self, change: Change, now: float) -> None:
         """Store a change, pass it on and tell listeners."""
         self._members[change.instance_id] = _Member(change, now)
         self._live = None
