--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -238,7 +238,7 @@
     """What the upstream signals about itself."""
     keep_alive_s: float | None
     """How long the connection may rest; None if the upstream closes it."""
-    passed: Headers
+    forwarded_headers: Headers
     """Headers that go on to the caller."""
 
 
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -92,7 +92,7 @@
         load=_load(first.get(names.HEADER_LOAD, b"")),
         signals=read_signals(status, first),
         keep_alive_s=None if CLOSES in listed else _keep_alive(first.get(b"keep-alive", b"")),
-        passed=tuple([pair for pair in headers if pair[0].lower() not in dropped]),
+        forwarded_headers=tuple([pair for pair in headers if pair[0].lower() not in dropped]),
     )
 
 
