--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -121,7 +121,7 @@
             apply=self._upstreams.cordoned,
             announce=lambda: self._peering.publish_cordons(),
         )
-        reliance = WatchDelegation(self.state.source)
+        delegation = WatchDelegation(self.state.source)
         intake = PeerUpdateHandlers(
             read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
@@ -131,8 +131,8 @@
             apply_cordons=self._cordons.handle_peer_report,
             record_leaving=self._take_leaving,
         )
-        self._peering = Peering(self.state, intake, standing=self._standing, reliance=reliance)
-        self._reliance = reliance
+        self._peering = Peering(self.state, intake, standing=self._standing, delegation=delegation)
+        self._reliance = delegation
         self._inquiry = UpstreamProber(
             self.state,
             self._peering.own,
@@ -172,7 +172,7 @@
         self._reach = StoreReachability(
             self._routing_reach,
             self._upstream_reach,
-            reliance,
+            delegation,
             now=self.state.now,
             roles=self._roles,
             live=lambda: self._peering.live,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -73,13 +73,13 @@
         intake: PeerUpdateHandlers,
         *,
         standing: Callable[[], PlatformStatus],
-        reliance: WatchDelegation,
+        delegation: WatchDelegation,
     ) -> None:
         """Take the shared state, how things are taken in, the standing, and the reliance."""
         settings = state.settings
         self._state = state
         self._intake = intake
-        self._reliance = reliance
+        self._reliance = delegation
         self.own = Instance(
             settings.instance_id,
             settings.caller_listen,
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -55,7 +55,7 @@
         self,
         routing: FeedReachability,
         upstreams: FeedReachability,
-        reliance: WatchDelegation,
+        delegation: WatchDelegation,
         *,
         now: Callable[[], float],
         roles: Callable[[], FleetRoles],
@@ -68,7 +68,7 @@
         """
         self._routing = routing
         self._upstreams = upstreams
-        self._reliance = reliance
+        self._reliance = delegation
         self._now = now
         self._roles = roles
         self._live = live
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        reliance: WatchDelegation,
+        delegation: WatchDelegation,
         roles: Callable[[], FleetRoles],
         now: Callable[[], float],
         *,
@@ -110,8 +110,8 @@
         of all comes after the time to settle. Feeds of one name share the questions of an outage.
         """
         self._feed = feed
-        self._reliance = reliance
-        self._source = reliance.source
+        self._reliance = delegation
+        self._source = delegation.source
         self._roles = roles
         self._now = now
         self._answered_at = float("-inf")
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -234,12 +234,12 @@
 def large_follower(context: Any) -> None:
     """Let it be one of three, and all rely on them."""
     answered_instance(context)
-    reliance = WatchDelegation(random.Random(1))
-    reliance.record_collector_report(0.0, 0.0)
+    delegation = WatchDelegation(random.Random(1))
+    delegation.record_collector_report(0.0, 0.0)
     context.reach = StoreReachability(
         FeedReachability(context.routes, context.routes),
         FeedReachability(context.list, context.list),
-        reliance,
+        delegation,
         now=lambda: 0.1,
         roles=lambda: FleetRoles(is_large=True, is_collector=True, is_follower=True),
         live=lambda: context.others,
@@ -312,8 +312,8 @@
 
 def pace_of(seed: int, roles: FleetRoles) -> DelegatedWatchPacing:
     """Return the pace of one feed of one instance."""
-    reliance = WatchDelegation(random.Random(seed))
-    return DelegatedWatchPacing(reliance, lambda: roles, lambda: 0.0, max_watch_s=lambda: 1.6)
+    delegation = WatchDelegation(random.Random(seed))
+    return DelegatedWatchPacing(delegation, lambda: roles, lambda: 0.0, max_watch_s=lambda: 1.6)
 
 
 @given("6 instances of a small fleet that follow two feeds each")
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -50,10 +50,10 @@
     def __init__(self, seed: int, roles: FleetRoles = MEMBER, settle_s: float = 0.0) -> None:
         """Start with the first read behind it."""
         self.clock = Clock()
-        self.reliance = WatchDelegation(random.Random(seed))
+        self.delegation = WatchDelegation(random.Random(seed))
         self.roles = roles
         self.pace = DelegatedWatchPacing(
-            self.reliance,
+            self.delegation,
             lambda: self.roles,
             self.clock,
             max_watch_s=lambda: 1.6,
@@ -68,7 +68,7 @@
         while self.clock.now < until:
             if platform_age_s is not None and self.clock.now - spoke_at >= WORD_EVERY_S:
                 spoke_at = self.clock.now
-                self.reliance.record_collector_report(platform_age_s, self.clock.now)
+                self.delegation.record_collector_report(platform_age_s, self.clock.now)
             if self.pace.delay_s() <= 0:
                 self.calls.append(self.clock.now)
             self.clock.now += STEP_S
@@ -78,7 +78,7 @@
 def hears(context: Any) -> None:
     """Let some time pass with a good word."""
     context.follows = Follows(1)
-    context.follows.reliance.record_collector_report(0.1, context.follows.clock.now)
+    context.follows.delegation.record_collector_report(0.1, context.follows.clock.now)
     context.follows.run(10.0, 0.2)
 
 
@@ -149,7 +149,7 @@
     """Let each hear for 8 s that no collector gets an answer."""
     context.all = [Follows(seed) for seed in range(70)]
     for one in context.all:
-        one.reliance.record_collector_report(0.1, one.clock.now)
+        one.delegation.record_collector_report(0.1, one.clock.now)
         one.run(1.0, 0.2)
         one.run(8.0, 30.0)
 
@@ -183,7 +183,7 @@
 @then("its next call follows at once")
 def at_once(context: Any) -> None:
     """Look at the pace."""
-    context.follows.reliance.record_collector_report(30.0, context.follows.clock.now)
+    context.follows.delegation.record_collector_report(30.0, context.follows.clock.now)
     assert context.follows.pace.delay_s() == 0.0
 
 
@@ -198,7 +198,7 @@
     """Ask after a good word as well."""
     for one in context.both:
         assert one.pace.delay_s() == 0.0
-        one.reliance.record_collector_report(0.1, one.clock.now)
+        one.delegation.record_collector_report(0.1, one.clock.now)
         assert one.pace.delay_s() == 0.0
         assert not one.pace.is_delegated
 
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -86,9 +86,9 @@
         announce=lambda: None,
         store_silence_s=lambda: context.pace.silence_s,
     )
-    reliance = WatchDelegation(random.Random(1))
+    delegation = WatchDelegation(random.Random(1))
     context.pace = DelegatedWatchPacing(
-        reliance, FleetRoles, world.state.now, max_watch_s=lambda: 1.6
+        delegation, FleetRoles, world.state.now, max_watch_s=lambda: 1.6
     )
     feed = upstream_feed(context.store)
     context.follower = Follower(
