--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -1,20 +1,22 @@
-"""Decide which request has crashed upstreams, and for how long it is not sent to any.
-
-Pattern: a request ends each process that runs it, soon after it has begun. Its caller asks again
-under a new id, at any instance, so each attempt costs another upstream with all that runs there. In
-the same crash dozens of other requests break off; their callers ask again as well, and one or the
-other is beside a crash a second time. Many requests may be alike and mostly end well.
-
-What tells the one from the others:
-- It never ends well. So a good end clears a request of all crashes before it, and of those for some
-  seconds after it: of alike ones some has always just ended well.
-- It crashes upstreams when it begins. A run that had been under way for a while weighs half.
-- It is there each time. A crash that a request with more crashes explains counts for nobody else.
-
-Two crashes of runs that had just begun are enough: to wait for a third costs one more upstream with
-all it runs, while one that is refused wrongly is one request, for half a minute. Who was beside a
-second one may only have been unlucky twice, so it is tried again after that; a third crash is no
-chance any more.
+"""Detect poison requests: requests that crash the upstreams that run them.
+
+A poison request ends each process that runs it, soon after it starts. Its caller retries under a
+new id at any instance, so each attempt costs another upstream with all that runs there. Each crash
+also breaks dozens of innocent requests; their callers retry as well, and some of those are running
+during a second crash. Many requests may be alike and mostly succeed.
+
+Evidence is weighed as follows:
+- A poison request never succeeds. A success clears a request of all crashes before it and of those
+  for some seconds after it: of many requests that are alike, some have always just succeeded.
+- A poison request crashes upstreams when it starts. A crash of a run that had been under way for a
+  while counts half.
+- A poison request is present at each crash. A crash that is explained by a request with a higher
+  weight is not attributed to any other request.
+
+Two crashes of runs that had just started quarantine a request: waiting for a third would cost one
+more upstream with all that it runs, while a wrong quarantine refuses one request for half a
+minute. A request that was running during two crashes may have been unlucky, so it is tried once
+more after that time; a third crash is no coincidence.
 """
 
 from __future__ import annotations
@@ -25,56 +27,56 @@
 from typing import Final
 
 QUARANTINE_WEIGHT: Final = 2.0
-"""Weight of crashes from which a request is sent to no upstream."""
+"""Weight of crashes from which a request is not sent to any upstream."""
 EARLY_CRASH_WEIGHT: Final = 1.0
 LATE_CRASH_WEIGHT: Final = 0.5
-"""Weight of a crash of a run that was under way there."""
+"""Weight of a crash of a run that was under way at the upstream."""
 UNDER_WAY_S: Final = 1.0
-"""A run is under way once it has made events for so long; the time in an engine's queue does not
-count."""
+"""Time for which a run must have produced events to be under way; time in an engine's queue does
+not count."""
 QUARANTINE_DURATIONS_S: Final = (30.0, 600.0, 3600.0)
-"""How long a request is refused after its newest crash, with two, three, and more."""
+"""Quarantine after the latest crash, for two, three and more crashes."""
 SUCCESS_GRACE_S: Final = 10.0
-"""A crash so soon after a good end of the same request is not put down to it."""
+"""A crash this soon after a success of the same request is not attributed to it."""
 SAME_CRASH_WINDOW_S: Final = 2.0
-"""Runs that an instance sees end with one upstream within this time were beside one crash. What
-peers tell goes by the number of crashes alone: word that waited behind a cut or a frozen instance
-makes them look younger than they are."""
+"""Runs that one instance sees end with one upstream within this time belong to one crash. Reports
+of peers are merged by the number of crashes alone: a report that was delayed by a network
+partition or a frozen instance makes crashes look more recent than they are."""
 CRASH_RETENTION_S: Final = 7200.0
-"""How long a crash is remembered: twice the longest rest."""
+"""How long a crash is kept: twice the longest quarantine."""
 CHANGE_PUBLISH_S: Final = 10.0
-"""How long peers are told of what has changed, where it convicts nobody."""
+"""How long a change that quarantines no request is published to peers."""
 MIN_SUCCESS_ADVANCE_S: Final = 1.0
-"""A good end is news to an instance that knew of none within this time before it."""
+"""A reported success counts as new only if it is later than the known one by more than this."""
 MAX_RECORDS: Final = 1_000
-"""Requests that are remembered beside crashes, some 400 bytes each."""
+"""Maximum number of requests tracked with crashes, at some 400 bytes each."""
 MAX_CRASHES_PER_REQUEST: Final = 8
-"""Crashes remembered of one request."""
+"""Maximum number of crashes kept for one request."""
 MAX_SUCCESSES: Final = 2_000
-"""Requests remembered for their good end alone, some 150 bytes each: a hundred seconds of the
-enrolment desk."""
+"""Maximum number of requests tracked for their success alone, at some 150 bytes each: a hundred
+seconds of traffic of the enrolment desk."""
 MAX_REPORTS_PER_MESSAGE: Final = 64
-"""Requests that peers are told of at once."""
+"""Maximum number of requests reported to peers at once."""
 NEVER: Final = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """Hold that an upstream ended while a request ran there."""
+    """Describe the crash of an upstream while a request was running there."""
 
     upstream_id: str
     at: float
-    """When it was noticed, in seconds of the steady clock."""
+    """When the crash was noticed, in seconds of the monotonic clock."""
     under_way: bool
-    """Whether the run had made events there for a while."""
+    """Whether the run had produced events there for at least UNDER_WAY_S."""
 
     @property
     def weight(self) -> float:
-        """Return how much it speaks against the request."""
+        """Return the weight of this crash as evidence against the request."""
         return LATE_CRASH_WEIGHT if self.under_way else EARLY_CRASH_WEIGHT
 
     def is_same(self, other: Crash) -> bool:
-        """Tell whether what one instance has seen twice is the same crash."""
+        """Return True if two observations of one instance are the same crash."""
         return (
             self.upstream_id == other.upstream_id and abs(self.at - other.at) <= SAME_CRASH_WINDOW_S
         )
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashTold:
-    """Tell a peer of one crash; instances share no clock, so it tells its age."""
+    """Report one crash to a peer, by its age as instances share no clock."""
 
     upstream_id: str
     ago_ms: int
@@ -91,33 +93,33 @@
 
 @dataclass(frozen=True, slots=True)
 class BlameTold:
-    """Tell a peer what is known of one request."""
+    """Report to a peer the crashes and the latest success of one request."""
 
     fingerprint: str
     crashes: tuple[CrashTold, ...]
     well_ago_ms: int | None
-    """How long ago it last ended well; None if it is not known to have."""
+    """Age of its latest success; None if none is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Tell whether a request may be sent."""
+    """State whether a request may be sent."""
 
     wait_s: float = 0.0
-    """How long to wait until it may; zero for now."""
+    """Remaining quarantine in seconds; zero if the request may be sent now."""
     weight: float = 0.0
     upstream_ids: tuple[str, ...] = ()
-    """The upstreams that have ended under it."""
+    """The upstreams whose crashes are attributed to the request."""
 
     @property
     def is_poison(self) -> bool:
-        """Tell whether it is held to have crashed them, also where it may be tried again."""
+        """Return True if the crashes are attributed to it, also once it may be tried again."""
         return self.weight >= QUARANTINE_WEIGHT
 
 
 @dataclass(slots=True)
 class _Record:
-    """Hold what is known of one request."""
+    """Hold the crashes and the latest success of one request."""
 
     crashes: list[Crash] = field(default_factory=list)
     well_at: float = NEVER
@@ -125,34 +127,36 @@
 
     @property
     def counted(self) -> list[Crash]:
-        """Return the crashes that a good end does not clear it of."""
-        return [one for one in self.crashes if one.at > self.well_at + SUCCESS_GRACE_S]
+        """Return the crashes that no success clears the request of."""
+        return [crash for crash in self.crashes if crash.at > self.well_at + SUCCESS_GRACE_S]
 
     @property
     def weight(self) -> float:
-        """Return the weight of the crashes that count, whoever else was there."""
-        return sum(one.weight for one in self.counted)
+        """Return the weight of the counted crashes, regardless of other requests."""
+        return sum(crash.weight for crash in self.counted)
 
 
 class PoisonTracker:
-    """Hold what requests did to upstreams, as one instance and its peers have seen it."""
+    """Track crashes and successes of requests, as seen by this instance and its peers."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Initialize an empty tracker."""
         self._records: dict[str, _Record] = {}
-        self._beside: dict[str, set[str]] = {}
-        """The requests that ran on upstreams when these crashed."""
-        self._well: OrderedDict[str, float] = OrderedDict()
+        self._running_during: dict[str, set[str]] = {}
+        """The requests that were running on each upstream when it crashed."""
+        self._success_at: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many requests are remembered beside crashes."""
+        """Return the number of requests tracked with crashes."""
         return len(self._records)
 
     def record_crash(self, fingerprint: str, crash: Crash) -> bool:
-        """Take in a crash beside which a request ran; return whether it is news."""
+        """Record a crash during which a request was running; return True if it is new."""
         record = self._records.get(fingerprint)
         if record is None:
-            record = self._records[fingerprint] = _Record(well_at=self._well_at(fingerprint))
+            record = self._records[fingerprint] = _Record(
+                well_at=self._find_success_at(fingerprint)
+            )
         for index, known in enumerate(record.crashes):
             if known.is_same(crash):
                 if crash.under_way or not known.under_way:
@@ -161,15 +165,15 @@
                 break
         self._add(fingerprint, record, crash)
         record.changed_at = crash.at
-        self._make_room()
+        self._enforce_limit()
         return True
 
     def record_success(self, fingerprint: str, now: float) -> bool:
-        """Take in a request's good end; return whether peers are to know of it."""
-        self._well[fingerprint] = now
-        self._well.move_to_end(fingerprint)
-        if len(self._well) > MAX_SUCCESSES:
-            self._well.popitem(last=False)
+        """Record a success of a request; return True if peers have to be informed."""
+        self._success_at[fingerprint] = now
+        self._success_at.move_to_end(fingerprint)
+        if len(self._success_at) > MAX_SUCCESSES:
+            self._success_at.popitem(last=False)
         record = self._records.get(fingerprint)
         if record is None:
             return False
@@ -180,165 +184,171 @@
         return was_suspect
 
     def verdict(self, fingerprint: str, now: float) -> Verdict:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         record = self._records.get(fingerprint)
         if record is None or record.weight < QUARANTINE_WEIGHT:
             return Verdict()
-        counted = [one for one in record.counted if not self._explains(one, record)]
-        weight = sum(one.weight for one in counted)
+        counted = [crash for crash in record.counted if not self._is_explained(crash, record)]
+        weight = sum(crash.weight for crash in counted)
         if weight < QUARANTINE_WEIGHT:
             return Verdict(weight=weight)
-        rest_s = QUARANTINE_DURATIONS_S[
+        duration_s = QUARANTINE_DURATIONS_S[
             min(int(weight - QUARANTINE_WEIGHT), len(QUARANTINE_DURATIONS_S) - 1)
         ]
-        wait_s = max(0.0, max(one.at for one in counted) + rest_s - now)
-        return Verdict(wait_s, weight, tuple(one.upstream_id for one in counted))
+        wait_s = max(0.0, max(crash.at for crash in counted) + duration_s - now)
+        return Verdict(wait_s, weight, tuple(crash.upstream_id for crash in counted))
 
     def quarantined(self, now: float) -> dict[str, Verdict]:
-        """Return the requests that are sent to no upstream now."""
-        found = {one: self.verdict(one, now) for one in self._records}
-        return {one: verdict for one, verdict in found.items() if verdict.wait_s}
+        """Return the requests that are not sent to any upstream now."""
+        verdicts = {fingerprint: self.verdict(fingerprint, now) for fingerprint in self._records}
+        return {fingerprint: verdict for fingerprint, verdict in verdicts.items() if verdict.wait_s}
 
     def reports(self, now: float) -> tuple[BlameTold, ...]:
-        """Return what peers are to know, the strongest first."""
+        """Return the reports to publish to peers, highest weight first."""
         known = [
             (fingerprint, record)
             for fingerprint, record in self._records.items()
             if now - record.changed_at <= CHANGE_PUBLISH_S
-            or sum(one.weight for one in record.crashes) >= QUARANTINE_WEIGHT
+            or sum(crash.weight for crash in record.crashes) >= QUARANTINE_WEIGHT
         ]
-        known.sort(key=lambda one: (-one[1].weight, -one[1].changed_at))
-        return tuple(_told(*one, now) for one in known[:MAX_REPORTS_PER_MESSAGE])
+        known.sort(key=lambda item: (-item[1].weight, -item[1].changed_at))
+        return tuple(_build_report(*item, now) for item in known[:MAX_REPORTS_PER_MESSAGE])
 
     def report_for(self, fingerprint: str, now: float) -> BlameTold | None:
-        """Return what is known of one request; None if nothing is."""
+        """Return the report on one request; None if it is not tracked."""
         record = self._records.get(fingerprint)
-        return _told(fingerprint, record, now) if record is not None else None
+        return _build_report(fingerprint, record, now) if record is not None else None
 
-    def merge(self, told: Iterable[BlameTold], now: float) -> bool:
-        """Take in what a peer knows; return whether anything of it is news."""
-        return any([self._take(one, now) for one in told])
+    def merge(self, reports: Iterable[BlameTold], now: float) -> bool:
+        """Merge the reports of a peer; return True if any of them is new."""
+        return any([self._merge_report(report, now) for report in reports])
 
-    def find_exonerations(self, told: Iterable[BlameTold], now: float) -> tuple[BlameTold, ...]:
-        """Return what clears requests of crashes that a peer holds against them."""
+    def find_exonerations(self, reports: Iterable[BlameTold], now: float) -> tuple[BlameTold, ...]:
+        """Return reports with successes that clear requests of crashes a peer reported."""
         found = []
-        for one in told:
-            record = self._records.get(one.fingerprint)
-            if record is None or not one.crashes:
+        for report in reports:
+            record = self._records.get(report.fingerprint)
+            if record is None or not report.crashes:
                 continue
             well_ago_s = now - record.well_at
-            theirs_s = float("inf") if one.well_ago_ms is None else one.well_ago_ms / 1000
-            newest_s = min(crash.ago_ms for crash in one.crashes) / 1000
-            # It clears them of crashes until some seconds after it.
+            theirs_s = float("inf") if report.well_ago_ms is None else report.well_ago_ms / 1000
+            newest_s = min(crash.ago_ms for crash in report.crashes) / 1000
+            # A success also clears crashes up to SUCCESS_GRACE_S after it.
             clears = newest_s > well_ago_s - SUCCESS_GRACE_S
             if clears and theirs_s - well_ago_s > MIN_SUCCESS_ADVANCE_S:
-                found.append(_told(one.fingerprint, record, now))
+                found.append(_build_report(report.fingerprint, record, now))
         return tuple(found)
 
     def forget_expired(self, now: float) -> None:
-        """Forget what has no effect any more."""
+        """Remove crashes past their retention, and requests without crashes."""
         for fingerprint, record in list(self._records.items()):
-            record.crashes = [one for one in record.crashes if now - one.at <= CRASH_RETENTION_S]
+            record.crashes = [
+                crash for crash in record.crashes if now - crash.at <= CRASH_RETENTION_S
+            ]
             if not record.crashes:
                 del self._records[fingerprint]
-        self._beside.clear()
+        self._running_during.clear()
         for fingerprint, record in self._records.items():
             for crash in record.crashes:
-                self._beside.setdefault(crash.upstream_id, set()).add(fingerprint)
+                self._running_during.setdefault(crash.upstream_id, set()).add(fingerprint)
 
-    def _take(self, told: BlameTold, now: float) -> bool:
-        """Take in what a peer knows of one request."""
-        record = self._records.get(told.fingerprint)
+    def _merge_report(self, report: BlameTold, now: float) -> bool:
+        """Merge a peer's report on one request; return True if it changed the record."""
+        record = self._records.get(report.fingerprint)
         is_new = record is None
         if record is None:
-            record = _Record(well_at=self._well_at(told.fingerprint))
-        well_at = NEVER if told.well_ago_ms is None else now - told.well_ago_ms / 1000
-        # Each hop makes a good end look younger by its delay. If that were taken in, it would clear
-        # the request of later and later crashes.
+            record = _Record(well_at=self._find_success_at(report.fingerprint))
+        well_at = NEVER if report.well_ago_ms is None else now - report.well_ago_ms / 1000
+        # Each hop makes a success look more recent by its delay. Without a minimum advance, a
+        # success passed between peers would clear the request of later and later crashes.
         changed = well_at > record.well_at + MIN_SUCCESS_ADVANCE_S
         if changed:
             record.well_at = well_at
-        for crash in _more_than(record.crashes, told.crashes, now):
-            changed = self._add(told.fingerprint, record, crash) or changed
+        for crash in _find_unknown_crashes(record.crashes, report.crashes, now):
+            changed = self._add(report.fingerprint, record, crash) or changed
         if not record.crashes:
             return False
         if is_new:
-            self._records[told.fingerprint] = record
+            self._records[report.fingerprint] = record
         if changed:
             record.changed_at = now
-            self._make_room()
+            self._enforce_limit()
         return changed
 
     def _add(self, fingerprint: str, record: _Record, crash: Crash) -> bool:
-        """Add a crash that is not known; return whether it is among those remembered.
+        """Add an unknown crash; return True if it is among those kept.
 
-        What is too old to be is no news: two instances would pass it to and fro for ever.
+        A crash older than all kept ones is not a change: two instances would otherwise exchange it
+        for ever.
         """
-        record.crashes = sorted([*record.crashes, crash], key=lambda one: one.at)[
+        record.crashes = sorted([*record.crashes, crash], key=lambda known: known.at)[
             -MAX_CRASHES_PER_REQUEST:
         ]
         if crash not in record.crashes:
             return False
-        self._beside.setdefault(crash.upstream_id, set()).add(fingerprint)
+        self._running_during.setdefault(crash.upstream_id, set()).add(fingerprint)
         return True
 
-    def _well_at(self, fingerprint: str) -> float:
-        """Return when a request last ended well here."""
-        return self._well.get(fingerprint, NEVER)
+    def _find_success_at(self, fingerprint: str) -> float:
+        """Return when a request last succeeded at this instance."""
+        return self._success_at.get(fingerprint, NEVER)
 
-    def _explains(self, crash: Crash, record: _Record) -> bool:
-        """Tell whether a request with more crashes was beside a crash, and explains it."""
+    def _is_explained(self, crash: Crash, record: _Record) -> bool:
+        """Return True if a request with a higher weight was running during the crash."""
         weight = record.weight
-        for fingerprint in self._beside.get(crash.upstream_id, ()):
+        for fingerprint in self._running_during.get(crash.upstream_id, ()):
             other = self._records.get(fingerprint)
             if other is None or other is record or other.weight <= weight:
                 continue
-            if any(one.upstream_id == crash.upstream_id for one in other.counted):
+            if any(other_crash.upstream_id == crash.upstream_id for other_crash in other.counted):
                 return True
         return False
 
-    def _make_room(self) -> None:
-        """Forget the weakest and oldest where there are too many."""
+    def _enforce_limit(self) -> None:
+        """Remove the records with the lowest weight, oldest first, beyond the maximum."""
         while len(self._records) > MAX_RECORDS:
-            self._drop(min(self._records, key=self._strength))
+            self._remove(min(self._records, key=self._retention_key))
 
-    def _strength(self, fingerprint: str) -> tuple[float, float]:
-        """Return what speaks for remembering a request."""
+    def _retention_key(self, fingerprint: str) -> tuple[float, float]:
+        """Return the sort key by which records are kept."""
         record = self._records[fingerprint]
         return (record.weight, record.changed_at)
 
-    def _drop(self, fingerprint: str) -> None:
-        """Forget one request."""
+    def _remove(self, fingerprint: str) -> None:
+        """Remove the record of one request."""
         for crash in self._records.pop(fingerprint).crashes:
-            beside = self._beside.get(crash.upstream_id)
-            if beside is not None:
-                beside.discard(fingerprint)
-                if not beside:
-                    del self._beside[crash.upstream_id]
-
-
-def _more_than(known: list[Crash], told: Iterable[CrashTold], now: float) -> list[Crash]:
-    """Return the crashes of which a peer knows more at an upstream than is known here."""
-    missing = Counter(one.upstream_id for one in told)
-    missing.subtract(Counter(one.upstream_id for one in known))
+            fingerprints = self._running_during.get(crash.upstream_id)
+            if fingerprints is not None:
+                fingerprints.discard(fingerprint)
+                if not fingerprints:
+                    del self._running_during[crash.upstream_id]
+
+
+def _find_unknown_crashes(
+    known: list[Crash], reported: Iterable[CrashTold], now: float
+) -> list[Crash]:
+    """Return the crashes that a peer reports beyond those known for each upstream."""
+    missing = Counter(report.upstream_id for report in reported)
+    missing.subtract(Counter(report.upstream_id for report in known))
     found = []
-    # The newest ones: what is known here was told or seen before.
-    for one in sorted(told, key=lambda one: one.ago_ms):
-        if missing[one.upstream_id] > 0 and one.ago_ms <= CRASH_RETENTION_S * 1000:
-            missing[one.upstream_id] -= 1
-            found.append(Crash(one.upstream_id, now - one.ago_ms / 1000, one.under_way))
+    # The newest ones are missing: known crashes were seen or reported earlier.
+    for report in sorted(reported, key=lambda report: report.ago_ms):
+        if missing[report.upstream_id] > 0 and report.ago_ms <= CRASH_RETENTION_S * 1000:
+            missing[report.upstream_id] -= 1
+            found.append(Crash(report.upstream_id, now - report.ago_ms / 1000, report.under_way))
     return found
 
 
-def _told(fingerprint: str, record: _Record, now: float) -> BlameTold:
-    """Return what is known of one request, with ages in place of times."""
+def _build_report(fingerprint: str, record: _Record, now: float) -> BlameTold:
+    """Return the report on one request, with ages in place of times."""
     crashes = tuple(
-        CrashTold(one.upstream_id, _ago_ms(one.at, now), one.under_way) for one in record.crashes
+        CrashTold(crash.upstream_id, _ago_ms(crash.at, now), crash.under_way)
+        for crash in record.crashes
     )
-    well = None if record.well_at == NEVER else _ago_ms(record.well_at, now)
-    return BlameTold(fingerprint, crashes, well)
+    well_ago_ms = None if record.well_at == NEVER else _ago_ms(record.well_at, now)
+    return BlameTold(fingerprint, crashes, well_ago_ms)
 
 
 def _ago_ms(at: float, now: float) -> int:
-    """Return an age as it travels."""
+    """Return the age of a time in milliseconds."""
     return max(0, int((now - at) * 1000))
