--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -86,7 +86,9 @@
 
     def release_place(self, rank: int, ticket: str) -> bool:
         """Release the reservation of a ticket; return True if it was still held."""
-        return bool(ticket) and rank in self._reservations and self._reservations[rank].take(ticket)
+        return (
+            bool(ticket) and rank in self._reservations and self._reservations[rank].release(ticket)
+        )
 
     def reserve_place(
         self, rank: int, ticket: str, workspace: str, cost: float, until: float
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -78,12 +78,12 @@
 
     def reserve(self, ticket: str, workspace: str, cost: float, until: float) -> None:
         """Keep a place until a time."""
-        self.take(ticket)
+        self.release(ticket)
         self._places[ticket] = (workspace, cost, until)
         self._cost += cost
         self._by_workspace[workspace] = self._by_workspace.get(workspace, 0.0) + cost
 
-    def take(self, ticket: str) -> bool:
+    def release(self, ticket: str) -> bool:
         """Give a place up; return whether it was kept."""
         place = self._places.pop(ticket, None)
         if place is None:
@@ -103,7 +103,7 @@
             ticket, (_, _, until) = next(iter(self._places.items()))
             if until > now:
                 return
-            self.take(ticket)
+            self.release(ticket)
 
 
 def forecast_wait(*, own: float, total: float, active: int, cost: float, rate: float) -> float:
