--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -241,7 +241,7 @@
             connection.close()
 
 
-class ReadyAnswers:
+class ReadinessHandler:
     """Tell the platform whether this instance is ready."""
 
     def __init__(self, state: GatewayState) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -30,7 +30,7 @@
     CallerListener,
     LocateAnswers,
     MetricsAnswers,
-    ReadyAnswers,
+    ReadinessHandler,
 )
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
@@ -196,7 +196,7 @@
         self._store_return.register_shared_write("crashes", self._crash_keeper.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
-        self._ready = AuxiliaryListener(settings.ready_listen, ReadyAnswers(self.state))
+        self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
         locate = LocateAnswers(self.state, self._peering.locatable_instances)
         self._locate = AuxiliaryListener(settings.locate_listen, locate)
         metrics = MetricsAnswers(self.state, self._gauges)
