--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -227,7 +227,7 @@
             return
         probe = self._probes.pop(event.number, None)
         if probe is not None:
-            self._clear(probe.target, now)
+            self._clear_suspicion(probe.target, now)
 
     @_on.register
     def _(self, event: PingRequest, now: float) -> None:
@@ -311,7 +311,7 @@
         if member is not None and member.change.health in (Health.ALIVE, Health.LEAVING):
             self._store(replace(member.change, health=Health.SUSPECT.value), now)
 
-    def _clear(self, instance_id: str, now: float) -> None:
+    def _clear_suspicion(self, instance_id: str, now: float) -> None:
         """Take back one's own suspicion after an answer."""
         member = self._members.get(instance_id)
         if member is not None and member.change.health == Health.SUSPECT:
