--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -277,7 +277,7 @@
 
     @_take.register
     def _(self, message: RoutingAsked) -> None:
-        self._sharing.answer_routing(message)
+        self._sharing.handle_routing_request(message)
 
     @_take.register
     def _(self, message: RoutingOffered) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -183,7 +183,7 @@
         if not self._state.fleet.is_loaded:
             self._send(peer, FleetAsked(self._own_id))
 
-    def answer_routing(self, asked: RoutingAsked) -> None:
+    def handle_routing_request(self, asked: RoutingAsked) -> None:
         """Give a peer the routing document, if it is newer than the peer's."""
         version, text = self._intake.read_routing()
         if version > asked.version:
