--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -132,7 +132,7 @@
             record_leaving=self._take_leaving,
         )
         self._peering = Peering(self.state, intake, standing=self._standing, delegation=delegation)
-        self._reliance = delegation
+        self._delegation = delegation
         self._inquiry = UpstreamProber(
             self.state,
             self._peering.own,
@@ -289,7 +289,7 @@
     def _fleet_pace(self, feed: str = "") -> DelegatedWatchPacing:
         """Return the pace of a feed on which it depends who gets requests."""
         return DelegatedWatchPacing(
-            self._reliance,
+            self._delegation,
             self._roles,
             self.state.now,
             max_watch_s=self._longest_wait,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -79,7 +79,7 @@
         settings = state.settings
         self._state = state
         self._intake = intake
-        self._reliance = delegation
+        self._delegation = delegation
         self.own = Instance(
             settings.instance_id,
             settings.caller_listen,
@@ -343,7 +343,7 @@
         # A follower knows the platform's list better than any other collector.
         age_s = summary.platform_age_ms / MS
         self._reporting.record_zone_summary(summary)
-        self._reliance.record_collector_report(age_s, self._state.now())
+        self._delegation.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if not self._roles.is_follower and age_s <= FRESH_S:
             self._sharing.compare_fleet(summary)
@@ -357,10 +357,10 @@
             # Its sender does not know yet that this instance collects now.
             return
         self._reporting.record_fleet_summary(summary)
-        self._reliance.record_collector_report(summary.platform_age_ms / MS, self._state.now())
+        self._delegation.record_collector_report(summary.platform_age_ms / MS, self._state.now())
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
-        if self._reliance.is_delegated(self._state.now()):
+        if self._delegation.is_delegated(self._state.now()):
             self._sharing.compare_fleet(summary)
 
     def _take_signals(
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -68,7 +68,7 @@
         """
         self._routing = routing
         self._upstreams = upstreams
-        self._reliance = delegation
+        self._delegation = delegation
         self._now = now
         self._roles = roles
         self._live = live
@@ -93,7 +93,7 @@
             return not self.is_answered
         if self._is_first_to_miss():
             return True
-        is_relied_on = self._reliance.is_delegated(self._now())
+        is_relied_on = self._delegation.is_delegated(self._now())
         return not is_relied_on and self._upstreams.pace.age_s > FRESH_S
 
     def _is_first_to_miss(self) -> bool:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -110,7 +110,7 @@
         of all comes after the time to settle. Feeds of one name share the questions of an outage.
         """
         self._feed = feed
-        self._reliance = delegation
+        self._delegation = delegation
         self._source = delegation.source
         self._roles = roles
         self._now = now
@@ -135,7 +135,7 @@
     @property
     def is_delegated(self) -> bool:
         """Tell whether a collector follows the feed for this instance."""
-        return not self._follows_always and self._reliance.is_delegated(self._now())
+        return not self._follows_always and self._delegation.is_delegated(self._now())
 
     def delay_s(self) -> float:
         """Return for how long to make no call."""
@@ -144,7 +144,7 @@
             return left_s
         if self._follows_always or self.age_s <= FRESH_S and not self.is_delegated:
             return 0.0
-        return self._reliance.delay_s(self._now(), self._feed)
+        return self._delegation.delay_s(self._now(), self._feed)
 
     def watch_timeout_s(self) -> float:
         """Return how long an idle watch waits."""
