--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -1,10 +1,11 @@
-"""Keep what is known of the upstreams: which take requests and which are leaving.
-
-The platform's list is the source; peers fill in for an instance that the platform
-does not serve. Revisions order what comes from both. An upstream that has started again under
-its name is another one: of two starts the later counts, whatever the revisions say. While the
-platform is away, what an upstream says of itself counts for some seconds (see engine_words).
-What it signals with a response is final (see leaving_signals).
+"""State machine of the fleet: which upstreams accept requests and which are leaving.
+
+The platform's list is the source of truth; peers fill in for an instance that the platform does not
+answer. Store versions order the updates of both. An upstream that restarts under its name counts as
+a new one: the later of two starts wins, whatever the revisions say, since a late heartbeat of the
+previous start may carry a newer revision. While the platform is away, the state that an upstream
+reports in a probe counts for some seconds (see upstream_probes). A leaving signal sent with a
+response is final (see leaving_signals).
 """
 
 from __future__ import annotations
@@ -38,30 +39,31 @@
 from driftstall.gateway.upstream_registry import Entry, Tombstone, UpstreamRegistry
 
 LAPSE_GRACE_S: Final = 2.2
-"""Entries that lapsed during an outage of the platform are back within two seconds."""
+"""Entries that lapsed during an outage of the platform are written again within two seconds of its
+return; until then a missing entry doesn't mean that its upstream has left."""
 
 
 class FleetController(UpstreamRegistry):
-    """Take in what is told of the upstreams."""
+    """Apply fleet events to the registry and return the resulting actions."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize an empty fleet."""
         super().__init__()
-        self._down = False
-        self._back_at = float("-inf")
-        self._returned_at = float("-inf")
-        """When the store came back from an older copy, as far as is known."""
+        self._is_unreachable = False
+        self._reachable_since = float("-inf")
+        self._restored_at = float("-inf")
+        """When the store was last found to be restored from an older copy."""
         self._actions: list[FleetAction] = []
-        self._told_to = NO_VERSION
-        """The revision up to which the platform itself has told this instance everything."""
-        self._offered_to = NO_VERSION
-        """The newest revision as of which a peer has given its list."""
+        self._store_read_to = NO_VERSION
+        """Version up to which this instance has read all changes from the platform itself."""
+        self._peer_list_at = NO_VERSION
+        """Newest version at which a peer has sent its list."""
 
     def handle(self, event: FleetEvent, now: float) -> list[FleetAction]:
-        """Take one event and return what others need to know."""
+        """Handle one event and return the resulting actions."""
         self._actions = []
         self._on(event, now)
-        # What is listed may change without an action, as of one that has signalled that it leaves.
+        # The digest can change without an action, e.g. for an upstream that signalled its end.
         self._digest = None
         return self._actions
 
@@ -73,34 +75,36 @@
     @_on.register
     def _(self, event: Listed, now: float) -> None:
         self._read = True
-        self._told_to = max(self._told_to, event.at)
-        listed = {one.name for one in event.upstreams}
+        self._store_read_to = max(self._store_read_to, event.at)
+        listed = {upstream.name for upstream in event.upstreams}
         since = now - event.store_silence_s
         for upstream in event.upstreams:
-            self._put(upstream, now, since)
-        for name in [one for one in self._entries if one not in listed]:
+            self._apply_entry(upstream, now, since)
+        for name in [name for name in self._entries if name not in listed]:
             revision = self._entries[name].upstream.revision
-            # What a peer told while the list was on its way may have joined after it was read.
+            # An entry that a peer sent meanwhile may have joined after the list was read.
             if revision <= event.at:
-                self._remove(name, revision, now, since, may_lack=self._in_doubt(now))
+                self._remove(
+                    name, revision, now, since, may_be_lost=self._may_store_lack_entries(now)
+                )
 
     @_on.register
     def _(self, event: ListedByPeer, now: float) -> None:
         self._read = True
-        offered = {one.name for one in event.upstreams}
-        if event.at >= self._offered_to:
-            self._offered_to = event.at
+        listed = {upstream.name for upstream in event.upstreams}
+        if event.at >= self._peer_list_at:
+            self._peer_list_at = event.at
             for upstream in event.upstreams:
-                self._put_told_by_peer(upstream, now)
+                self._apply_peer_entry(upstream, now)
         else:
             for upstream in event.upstreams:
-                self._put_late_word(upstream, now)
+                self._apply_late_peer_entry(upstream, now)
         for entry in list(self._entries.values()):
             upstream = entry.upstream
-            if upstream.name not in offered and upstream.revision <= event.at:
-                self._leave(entry, now)
+            if upstream.name not in listed and upstream.revision <= event.at:
+                self._mark_leaving(entry, now)
                 if upstream.state is UpstreamState.READY:
-                    # Else a list of another peer that is older would revive it.
+                    # Without a tombstone an older list of another peer would revive it.
                     self._add_tombstone(upstream, upstream.revision, now)
 
     @_on.register
@@ -109,13 +113,13 @@
         since = now - event.store_silence_s
         self._at = max(self._at, upstream.revision)
         if not event.from_peer:
-            self._told_to = max(self._told_to, upstream.revision)
+            self._store_read_to = max(self._store_read_to, upstream.revision)
         if not event.gone and event.from_peer:
-            self._put_late_word(upstream, now)
+            self._apply_late_peer_entry(upstream, now)
         elif not event.gone:
-            self._put(upstream, now, since)
+            self._apply_entry(upstream, now, since)
         elif 0 < upstream.born < self._latest_start(upstream.name):
-            # The end of a start says nothing of the one that has followed it.
+            # The end of an earlier start doesn't concern the current one.
             return
         elif upstream.name in self._entries:
             revision, certain = upstream.revision, event.from_peer
@@ -125,7 +129,7 @@
 
     @_on.register
     def _(self, event: UpstreamSuspected, now: float) -> None:
-        entry = self._find(event.upstream_id)
+        entry = self._find_entry(event.upstream_id)
         if entry is None or not entry.is_listed:
             return
         entry.suspected_until = now + SUSPICION_S
@@ -135,12 +139,12 @@
 
     @_on.register
     def _(self, event: SignalledLeaving, now: float) -> None:
-        entry = self._find(event.upstream_id)
+        entry = self._find_entry(event.upstream_id)
         if entry is None and event.ago_s > SIGNAL_RETENTION_S:
             return
         since = now - event.ago_s
         if self._signalled.add(event.upstream_id, since) and entry is not None:
-            self._drain(entry, since)
+            self._mark_signalled_leaving(entry, since)
 
     @_on.register
     def _(self, event: Cordoned, now: float) -> None:
@@ -148,70 +152,76 @@
         for entry in self._entries.values():
             upstream = entry.upstream
             if upstream.zone in event.lifted and entry.leaving_since is None:
-                # It may have gone cold with the end of the cordon, and says so later.
+                # It may have gone cold while cordoned, and reports that only later.
                 self._actions.append(UpstreamCold(upstream, UNTOLD_S, is_assumed=True))
 
     @_on.register
     def _(self, event: PlatformUnreachable, now: float) -> None:
-        self._down = True
+        self._is_unreachable = True
 
     @_on.register
     def _(self, event: PlatformReachable, now: float) -> None:
-        if self._down:
-            self._down = False
-            self._back_at = now
+        if self._is_unreachable:
+            self._is_unreachable = False
+            self._reachable_since = now
 
     @_on.register
     def _(self, event: StoreRestored, now: float) -> None:
-        self._returned_at = now
+        self._restored_at = now
 
     @_on.register
     def _(self, event: Period, now: float) -> None:
         for entry in list(self._entries.values()):
             missing = entry.missing_since
-            if missing is not None and not (self._in_grace(now) or self._in_doubt(now)):
-                self._leave(entry, now)
+            if missing is not None and not (
+                self._is_in_lapse_grace(now) or self._may_store_lack_entries(now)
+            ):
+                self._mark_leaving(entry, now)
                 self._add_tombstone(entry.upstream, entry.upstream.revision, now)
             elif entry.suspected_until is not None and now >= entry.suspected_until:
                 self._rejoin(entry)
-        self._forget(now)
+        self._remove_expired(now)
 
-    def _put_told_by_peer(self, upstream: Upstream, now: float) -> None:
-        """Take in an entry that a peer knows, unless the platform itself has told of its end.
+    def _apply_peer_entry(self, upstream: Upstream, now: float) -> None:
+        """Apply an entry sent by a peer, unless the platform itself has reported its removal.
 
-        The peer's knowledge may be older: an entry of a revision up to which this instance was told
-        everything, and which it does not hold, has gone since.
+        The peer's state may be older: an entry whose revision this instance has read past, and
+        which it does not hold, was removed since.
         """
-        if upstream.name in self._entries or upstream.revision > self._told_to:
-            self._put(upstream, now, now)
+        if upstream.name in self._entries or upstream.revision > self._store_read_to:
+            self._apply_entry(upstream, now, now)
 
-    def _put_late_word(self, upstream: Upstream, now: float) -> None:
-        """Take in an entry from a peer's word, unless a newer list of a peer lacked it.
+    def _apply_late_peer_entry(self, upstream: Upstream, now: float) -> None:
+        """Apply an entry sent by a peer, unless a newer list of a peer lacked it.
 
-        What it lacked has left by then, and news of before may still be on their way. An upstream
-        that its sender had not heard of comes with the next list: the hash of all differs.
+        An upstream that the list lacked had left by then, and earlier updates may still arrive. An
+        upstream that the sender of that list did not know comes with the next list, which is sent
+        as the digests differ.
         """
         entry = self._entries.get(upstream.name)
-        takes = entry is not None and entry.is_listed
-        if takes or upstream.revision > self._offered_to:
-            self._put_told_by_peer(upstream, now)
+        is_listed = entry is not None and entry.is_listed
+        if is_listed or upstream.revision > self._peer_list_at:
+            self._apply_peer_entry(upstream, now)
+
+    def _apply_entry(self, upstream: Upstream, now: float, since: float) -> None:
+        """Apply an entry if it is newer than the known one; it may have been in force since then.
 
-    def _put(self, upstream: Upstream, now: float, since: float) -> None:
-        """Take in an entry that is newer than what is known; it may hold since then."""
+        The argument since is the earliest time at which the entry can have been written.
+        """
         self._at = max(self._at, upstream.revision)
         tombstone = self._tombstones.get(upstream.name)
         if tombstone is not None and tombstone.revision >= upstream.revision:
             return
-        if self._is_of_copy(upstream, now):
+        if self._is_from_restored_copy(upstream, now):
             if upstream.name in self._entries:
                 self._entries[upstream.name].missing_since = None
             return
         if upstream.born < self._latest_start(upstream.name):
-            # A late heartbeat of the start before may come after the first one of this.
+            # A late heartbeat of the previous start can arrive after the first of this one.
             return
         entry = self._entries.get(upstream.name)
         if entry is not None and upstream.born > entry.upstream.born:
-            # Whatever the revisions: a late heartbeat may have the newer one.
+            # Revisions aren't compared: a late heartbeat of the previous start may be newer.
             del self._entries[upstream.name]
             self._replace(entry.upstream, upstream, now)
             entry = None
@@ -225,7 +235,7 @@
             self._names[upstream.upstream_id] = upstream.name
             signalled_since = self._signalled.since(upstream.upstream_id)
             if signalled_since is not None:
-                self._drain(entry, signalled_since)
+                self._mark_signalled_leaving(entry, signalled_since)
             elif upstream.state is UpstreamState.READY:
                 self._actions.append(UpstreamJoined(upstream))
         if is_newer and (upstream.cold_s > 0 or entry.upstream.cold_s > 0):
@@ -233,12 +243,12 @@
         entry.upstream = upstream
         entry.missing_since = None
         if upstream.state is UpstreamState.LEAVING:
-            self._leave(entry, since)
+            self._mark_leaving(entry, since)
         elif not entry.is_listed:
             self._rejoin(entry)
 
     def _replace(self, old: Upstream, later: Upstream, now: float) -> None:
-        """Note that a start was followed by a later one, which may be cold."""
+        """Record that a start was followed by a later one, which may be cold."""
         if old.upstream_id not in self._replaced:
             self._replaced[old.upstream_id] = now
             self._actions.append(UpstreamReplaced(old))
@@ -252,33 +262,36 @@
         since: float,
         *,
         certain: bool = False,
-        may_lack: bool = False,
+        may_be_lost: bool = False,
     ) -> None:
-        """Take an upstream for leaving whose entry is no longer there, perhaps since then.
+        """Mark an upstream as leaving whose entry is missing, at the earliest since then.
 
-        Certain tells that it has not only lapsed, may_lack that the store may have lost its entry.
+        With certain the entry has not merely lapsed; with may_be_lost the store may have lost it.
         """
         entry = self._entries[name]
         if revision < entry.upstream.revision:
             return
-        is_doubted = may_lack or (self._in_grace(now) and not certain)
-        if is_doubted and entry.leaving_since is None:
+        is_uncertain = may_be_lost or (self._is_in_lapse_grace(now) and not certain)
+        if is_uncertain and entry.leaving_since is None:
             entry.missing_since = entry.missing_since or now
             return
-        self._leave(entry, since)
+        self._mark_leaving(entry, since)
         self._add_tombstone(entry.upstream, revision, now)
 
-    def _in_grace(self, now: float) -> bool:
-        """Tell whether an entry that is missing may only have lapsed during an outage."""
-        return self._down or now - self._back_at < LAPSE_GRACE_S
+    def _is_in_lapse_grace(self, now: float) -> bool:
+        """Return True if a missing entry may only have lapsed during an outage."""
+        return self._is_unreachable or now - self._reachable_since < LAPSE_GRACE_S
 
-    def _in_doubt(self, now: float) -> bool:
-        """Tell whether the store may still hold less than is true, and what has gone since."""
-        return now - self._returned_at < DOUBT_S
+    def _may_store_lack_entries(self, now: float) -> bool:
+        """Return True if the restored store may still lack entries or hold removed ones."""
+        return now - self._restored_at < DOUBT_S
 
-    def _is_of_copy(self, upstream: Upstream, now: float) -> bool:
-        """Tell whether an entry may be a copy's of an upstream that has left or changed since."""
-        may_have_left = now - self._returned_at < LEFT_DOUBT_S
+    def _is_from_restored_copy(self, upstream: Upstream, now: float) -> bool:
+        """Return True if an entry may stem from the older copy that the store was restored from.
+
+        Its upstream may have left or changed since.
+        """
+        may_have_left = now - self._restored_at < LEFT_DOUBT_S
         if not may_have_left or upstream.state is not UpstreamState.READY:
             return False
         entry, tombstone = self._entries.get(upstream.name), self._tombstones.get(upstream.name)
@@ -289,13 +302,16 @@
             return False
         if not entry.is_listed:
             return True
-        return self._in_doubt(now) and upstream.revision.revision <= known.revision.revision
+        return (
+            self._may_store_lack_entries(now)
+            and upstream.revision.revision <= known.revision.revision
+        )
 
-    def _leave(self, entry: Entry, since: float) -> None:
-        """Mark an upstream as leaving and say so once.
+    def _mark_leaving(self, entry: Entry, since: float) -> None:
+        """Mark an upstream as leaving and report that once.
 
-        The time to drain runs from the notice, not from when this instance learned of it: what
-        it learns after a silence may be as old as that.
+        The time to drain runs from the notice, not from when this instance learned of it: after a
+        silence of the platform the notice may be as old as the silence.
         """
         entry.suspected_until = None
         entry.is_listed = False
@@ -303,15 +319,15 @@
             entry.leaving_since = since
             self._actions.append(UpstreamLeaving(entry.upstream))
 
-    def _drain(self, entry: Entry, since: float) -> None:
-        """Mark an upstream as leaving by its own signal, whatever the platform's list holds."""
+    def _mark_signalled_leaving(self, entry: Entry, since: float) -> None:
+        """Mark an upstream as leaving by its own signal, whatever the platform's list says."""
         entry.suspected_until = None
         if entry.leaving_since is None:
             entry.leaving_since = since
             self._actions.append(UpstreamLeaving(entry.upstream, signalled=True))
 
     def _rejoin(self, entry: Entry) -> None:
-        """Let an upstream take requests again, unless it has signalled itself that it leaves."""
+        """Let an upstream accept requests again, unless it has signalled that it is leaving."""
         entry.suspected_until = None
         entry.is_listed = True
         if self.has_signalled_leaving(entry.upstream.upstream_id):
@@ -320,7 +336,7 @@
         self._actions.append(UpstreamJoined(entry.upstream))
 
     def _add_tombstone(self, upstream: Upstream, revision: StoreVersion, now: float) -> None:
-        """Replace an upstream with its tombstone, so that old news cannot revive it."""
+        """Replace an upstream with its tombstone, so that a stale update cannot revive it."""
         entry = self._entries.pop(upstream.name, None)
         before = self._tombstones.get(upstream.name)
         since = now
@@ -332,6 +348,6 @@
         if entry is not None:
             known = entry.upstream
         elif before is not None:
-            # Of what is gone the platform tells no more than the name.
+            # The platform reports only the name of a removed upstream.
             known = before.upstream
         self._tombstones[upstream.name] = Tombstone(known, revision, now, since)
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -1,4 +1,4 @@
-"""Define what the fleet learns of upstreams, and what follows from it."""
+"""Events that the fleet controller handles, and the actions it returns."""
 
 from __future__ import annotations
 
@@ -10,78 +10,79 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """Take in the platform's whole list."""
+    """The platform's whole list of upstreams was read."""
 
     upstreams: tuple[Upstream, ...]
     at: StoreVersion = NO_VERSION
-    """The platform's revision as of which it is the whole list."""
+    """The store version at which the list was complete."""
     store_silence_s: float = 0.0
-    """For how long the platform had not answered before; what is new may be as old."""
+    """How long the platform had not answered before; new entries may be that old."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedByPeer:
-    """Take in the list of a peer that follows the platform: all that take requests."""
+    """A peer that follows the platform sent its list of all upstreams that accept requests."""
 
     upstreams: tuple[Upstream, ...]
     at: StoreVersion
-    """The newest revision that the peer has seen; it cannot tell of what is newer."""
+    """The newest store version that the peer has seen; the list says nothing of newer ones."""
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Take in one change of the platform's list."""
+    """One entry of the platform's list was changed or removed."""
 
     upstream: Upstream
     gone: bool
     from_peer: bool = False
-    """Whether a peer tells it, whom the platform has answered all the time."""
+    """Whether the change was sent by a peer that has been in contact with the platform."""
     store_silence_s: float = 0.0
-    """For how long the platform had not answered before; the change may be as old."""
+    """How long the platform had not answered before; the change may be that old."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSuspected:
-    """Learn that an upstream says itself that it leaves, or that nobody listens there."""
+    """An upstream reported in a probe that it is leaving, or refused the connection."""
 
     upstream_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SignalledLeaving:
-    """Learn that an upstream has signalled in a response that it leaves."""
+    """An upstream has signalled in a response that it is leaving."""
 
     upstream_id: str
     ago_s: float = 0.0
-    """How long ago, where a peer tells it."""
+    """Age of the signal in seconds, if a peer received it."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformUnreachable:
-    """Learn that the platform does not answer."""
+    """The platform does not answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformReachable:
-    """Learn that the platform answers again."""
+    """The platform answers again."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRestored:
-    """Learn that the platform's store has come back from an older copy."""
+    """The platform's store was restored from an older copy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cordoned:
-    """Learn which availability zones are cordoned now, and of which that has just ended."""
+    """The cordoned availability zones have changed."""
 
     zones: frozenset[str]
     lifted: frozenset[str] = frozenset()
+    """Zones whose cordon has just ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Period:
-    """Let time pass."""
+    """The periodic timer has fired."""
 
 
 FleetEvent = (
@@ -100,38 +101,38 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamJoined:
-    """Tell that an upstream takes requests."""
+    """An upstream accepts requests."""
 
     upstream: Upstream
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLeaving:
-    """Tell that an upstream will be gone soon; it gets nothing new."""
+    """An upstream will end soon and gets no new requests."""
 
     upstream: Upstream
     doubted: bool = False
-    """Whether its own word tells so, and not the platform."""
+    """Whether only a probe reports it, and not the platform."""
     signalled: bool = False
-    """Whether it has signalled so in a response."""
+    """Whether the upstream has signalled it in a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReplaced:
-    """Tell that an upstream has started again: what ran there before is gone."""
+    """An upstream has restarted: runs of its previous start are lost."""
 
     upstream: Upstream
-    """As it was before."""
+    """The upstream as of its previous start."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCold:
-    """Tell that an upstream is cold, or may be: it bears little for a while."""
+    """An upstream is cold, or may be: its capacity is limited for a while."""
 
     upstream: Upstream
     for_s: float
     is_assumed: bool = False
-    """Whether it has not said so itself."""
+    """Whether this is assumed and not reported by the upstream."""
 
 
 FleetAction = UpstreamJoined | UpstreamLeaving | UpstreamReplaced | UpstreamCold
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -1,4 +1,4 @@
-"""Hold what is known of the upstreams, and tell what may be sent to them."""
+"""Registry of the upstreams known to one instance, and of which of them may be sent requests."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 from driftstall.gateway.model import Upstream
 
 TOMBSTONE_TTL_S: Final = 60.0
-"""How long an upstream that is gone is remembered, so that old news cannot revive it."""
+"""How long the tombstone of a removed upstream is kept, so that a stale update cannot revive it."""
 
 
 @dataclass(slots=True)
 class Entry:
-    """Hold one upstream."""
+    """State of one registered upstream."""
 
     upstream: Upstream
     leaving_since: float | None = None
     missing_since: float | None = None
-    """Set while its entry may only have lapsed during an outage."""
+    """Set while the missing store entry may only have lapsed during an outage."""
     suspected_until: float | None = None
-    """Set while it counts as leaving by its own word alone."""
+    """Set while only a probe reports the upstream as leaving; the suspicion ends at this time."""
     is_listed: bool = True
-    """Whether it takes requests by the platform's word."""
+    """Whether the platform lists the upstream as accepting requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
-    """Hold what is known of an upstream whose entry was removed."""
+    """Last known state of an upstream whose entry was removed."""
 
     upstream: Upstream
-    """As it was known; only its name where it was not."""
+    """The upstream as last known; only its name is set if it was never registered."""
     revision: StoreVersion
     at: float
     leaving_since: float
 
 
 class UpstreamRegistry:
-    """Hold the upstreams that one instance knows of; its controller alone changes them."""
+    """Upstreams known to one instance; only its FleetController subclass changes them."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize an empty registry."""
         self._entries: dict[str, Entry] = {}
         self._tombstones: dict[str, Tombstone] = {}
-        """Both by the upstreams' names."""
+        """Entries and tombstones are keyed by upstream name."""
         self._names: dict[str, str] = {}
-        """The names by the ids of the starts that are in force or just gone."""
+        """Upstream names by the ids of their current or recently removed starts."""
         self._replaced: dict[str, float] = {}
-        """When it was learned of a start that a later one has followed."""
+        """When this instance learned that a start was followed by a later one, by its id."""
         self._signalled = LeavingRegistry()
         self._cordoned: frozenset[str] = frozenset()
         self._at = NO_VERSION
@@ -60,90 +60,91 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether the list was ever read, from the platform or a peer."""
+        """Return True if a list was ever read, from the platform or a peer."""
         return self._read
 
     @property
     def at(self) -> StoreVersion:
-        """Return the newest version seen in any entry."""
+        """Return the newest store version seen in any entry."""
         return self._at
 
     @property
     def digest(self) -> int:
-        """Return a hash of the set of upstreams that take requests by the platform's word."""
+        """Return a hash of the set of upstreams that the platform lists as accepting requests."""
         if self._digest is None:
-            taking = sorted(one.upstream_id for one in self.accepting)
-            self._digest = xxhash.xxh3_64_intdigest("|".join(taking).encode())
+            upstream_ids = sorted(upstream.upstream_id for upstream in self.accepting)
+            self._digest = xxhash.xxh3_64_intdigest("|".join(upstream_ids).encode())
         return self._digest
 
     @property
     def accepting(self) -> tuple[Upstream, ...]:
-        """Return all upstreams that take requests by the platform's word."""
+        """Return all upstreams that the platform lists as accepting requests."""
         return tuple(entry.upstream for entry in self._entries.values() if entry.is_listed)
 
     @property
     def upstreams(self) -> tuple[Upstream, ...]:
-        """Return all upstreams that are not gone, leaving ones as well."""
+        """Return all upstreams that were not removed, including leaving ones."""
         return tuple(entry.upstream for entry in self._entries.values())
 
     @property
     def has_suspects(self) -> bool:
-        """Tell whether an upstream counts as leaving of which the platform has not told so."""
+        """Return True if a probe reports an upstream as leaving that the platform still lists."""
         return any(entry.suspected_until is not None for entry in self._entries.values())
 
     def ready(self, service: str) -> tuple[Upstream, ...]:
-        """Return the upstreams of a service that take requests."""
+        """Return the upstreams of a service that accept requests."""
         return tuple(
             entry.upstream
             for entry in self._entries.values()
-            if entry.upstream.service == service and self._takes(entry)
+            if entry.upstream.service == service and self._can_accept(entry)
         )
 
     def is_fully_cordoned(self, service: str) -> bool:
-        """Tell whether a service has upstreams, and all that stay are in cordoned zones."""
-        staying = [
+        """Return True if a service has staying upstreams, all of them in cordoned zones."""
+        zones = [
             entry.upstream.zone
             for entry in self._entries.values()
             if entry.upstream.service == service and entry.leaving_since is None
         ]
-        return bool(staying) and all(zone in self._cordoned for zone in staying)
+        return bool(zones) and all(zone in self._cordoned for zone in zones)
 
     def find(self, upstream_id: str) -> Upstream | None:
-        """Return an upstream that takes requests, by its id."""
-        entry = self._find(upstream_id)
-        return entry.upstream if entry is not None and self._takes(entry) else None
+        """Return an upstream by its id if it accepts requests."""
+        entry = self._find_entry(upstream_id)
+        return entry.upstream if entry is not None and self._can_accept(entry) else None
 
     def accepts_requests(self, upstream_id: str) -> bool:
-        """Tell whether an upstream is known, not leaving and in no cordoned zone."""
+        """Return True if an upstream is known, not leaving and not in a cordoned zone."""
         return self.find(upstream_id) is not None
 
     def is_staying(self, upstream_id: str) -> bool:
-        """Tell whether an upstream is known and not leaving; its zone may be cordoned."""
-        entry = self._find(upstream_id)
+        """Return True if an upstream is known and not leaving; its zone may be cordoned."""
+        entry = self._find_entry(upstream_id)
         return entry is not None and entry.leaving_since is None
 
     def is_departure_announced(self, upstream_id: str) -> bool:
-        """Tell whether an upstream's end was announced, or its entry has gone."""
-        entry = self._find(upstream_id)
+        """Return True if an upstream's end was announced, or its entry was removed."""
+        entry = self._find_entry(upstream_id)
         return entry is None or not entry.is_listed or self.has_signalled_leaving(upstream_id)
 
     def leaving_records(self, now: float) -> tuple[LeavingRecord, ...]:
-        """Return which upstreams have signalled that they leave, for peers."""
+        """Return the leaving signals of upstreams, in the form sent to peers."""
         return self._signalled.records(now)
 
     @property
     def has_leaving_records(self) -> bool:
-        """Tell whether any upstream has signalled that it leaves."""
+        """Return True if any upstream has signalled that it is leaving."""
         return bool(self._signalled.upstream_ids)
 
     def has_signalled_leaving(self, upstream_id: str) -> bool:
-        """Tell whether an upstream has signalled in a response that it leaves."""
+        """Return True if an upstream has signalled in a response that it is leaving."""
         return self._signalled.since(upstream_id) is not None
 
     def draining(self, service: str, now: float, drain_s: float) -> tuple[Upstream, ...]:
-        """Return the upstreams of a service that have signalled that they leave and still serve.
+        """Return the upstreams of a service that signalled that they are leaving and still serve.
 
-        Those of which only the platform or a probe tells may be gone.
+        Upstreams reported as leaving only by the platform or a probe are left out, as they may
+        have ended already.
         """
         return tuple(
             entry.upstream
@@ -154,8 +155,11 @@
         )
 
     def can_still_serve(self, upstream_id: str, now: float, drain_s: float) -> bool:
-        """Tell whether an upstream may still be sent what has run there or was copied there."""
-        entry = self._find(upstream_id)
+        """Return True if runs or replicas held by an upstream can still be requested from it.
+
+        A leaving upstream serves them for drain_s seconds after its notice.
+        """
+        entry = self._find_entry(upstream_id)
         if entry is not None:
             if entry.upstream.zone in self._cordoned:
                 return False
@@ -168,30 +172,30 @@
         return now - tombstone.leaving_since < drain_s
 
     def is_replaced(self, upstream_id: str) -> bool:
-        """Tell whether an upstream has started again since: what it held and named is void."""
+        """Return True if the upstream has restarted since: runs and replicas it held are lost."""
         return upstream_id in self._replaced
 
-    def _find(self, upstream_id: str) -> Entry | None:
-        """Return the entry of one start."""
+    def _find_entry(self, upstream_id: str) -> Entry | None:
+        """Return the entry of one start, identified by its upstream id."""
         entry = self._entries.get(self._names.get(upstream_id, ""))
         return entry if entry is not None and entry.upstream.upstream_id == upstream_id else None
 
-    def _takes(self, entry: Entry) -> bool:
-        """Tell whether an upstream may be sent something new."""
+    def _can_accept(self, entry: Entry) -> bool:
+        """Return True if an upstream may be sent new requests."""
         return entry.leaving_since is None and entry.upstream.zone not in self._cordoned
 
     def _latest_start(self, name: str) -> int:
-        """Return the latest start that is known of an upstream; zero if none is."""
+        """Return the latest known start of an upstream; zero if none is known."""
         entry, tombstone = self._entries.get(name), self._tombstones.get(name)
         return max(entry.upstream.born if entry else 0, tombstone.upstream.born if tombstone else 0)
 
-    def _forget(self, now: float) -> None:
-        """Forget what is gone for long."""
+    def _remove_expired(self, now: float) -> None:
+        """Remove tombstones and replaced starts older than TOMBSTONE_TTL_S."""
         self._signalled.forget_old(self._names, now)
         for name, tombstone in list(self._tombstones.items()):
             if now - tombstone.at > TOMBSTONE_TTL_S:
                 del self._tombstones[name]
-                if self._find(tombstone.upstream.upstream_id) is None:
+                if self._find_entry(tombstone.upstream.upstream_id) is None:
                     self._names.pop(tombstone.upstream.upstream_id, None)
         for upstream_id, at in list(self._replaced.items()):
             if now - at > TOMBSTONE_TTL_S:
