--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -35,7 +35,7 @@
 class ReportedState(StrEnum):
     """Tell what an engine says of itself."""
 
-    STAYS = "stays"
+    SERVING = "stays"
     """It serves on; also one that is to end some time, but has not been told when."""
     LEAVES = "leaves"
     """It has been told when it ends, which is soon."""
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -109,7 +109,7 @@
             return ReportedState.GONE
         except OSError:
             return ReportedState.NONE
-        return ReportedState.STAYS
+        return ReportedState.SERVING
 
     def _blame(self, doubt: _Doubt) -> None:
         """Put a crash down to all that ran there, and tell peers."""
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -332,4 +332,4 @@
 def word_gone(context: Any) -> None:
     """Ask of both starts."""
     assert engine_calls.probe_state(context.asked_of) is ReportedState.GONE
-    assert engine_calls.probe_state(context.same) is ReportedState.STAYS
+    assert engine_calls.probe_state(context.same) is ReportedState.SERVING
