--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -257,7 +257,7 @@
         return encode_response(status, (), b"", keep=call.keep_alive)
 
 
-class MetricsAnswers:
+class MetricsHandler:
     """Show the counters and histograms, and which requests are refused for crashes.
 
     An operator clears such a request here: DELETE of the path with its fingerprint.
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -29,7 +29,7 @@
     AuxiliaryListener,
     CallerListener,
     LocateAnswers,
-    MetricsAnswers,
+    MetricsHandler,
     ReadinessHandler,
 )
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
@@ -199,7 +199,7 @@
         self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
         locate = LocateAnswers(self.state, self._peering.locatable_instances)
         self._locate = AuxiliaryListener(settings.locate_listen, locate)
-        metrics = MetricsAnswers(self.state, self._gauges)
+        metrics = MetricsHandler(self.state, self._gauges)
         self._metrics = AuxiliaryListener(settings.metrics_listen, metrics)
         self._settings_seen = self._settings_time()
 
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway import crash_detector
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.listeners import AuxiliaryListener, MetricsAnswers, fingerprint_of
+from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, fingerprint_of
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
@@ -240,7 +240,7 @@
 def metrics_count(context: Any) -> None:
     """Serve the page and read it."""
     state = world_of(context).state
-    page = MetricsAnswers(
+    page = MetricsHandler(
         state, lambda: {"requests_refused_for_crashes": len(state.blame.quarantined(state.now()))}
     )
     listener = AuxiliaryListener(state.settings.metrics_listen, page)
