--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -157,7 +157,7 @@
             own.link_mbps,
         )
         self._members = {own.instance_id: _Member(change, 0.0)}
-        self._spread: dict[str, int] = {own.instance_id: 0}
+        self._transmissions: dict[str, int] = {own.instance_id: 0}
         self._probes: dict[int, _Probe] = {}
         self._number = 0
         self._probe_at = -1e9
@@ -330,16 +330,16 @@
     def _changes_to_send(self, target: Change | None = None) -> tuple[Change, ...]:
         """Return the changes passed on least often, and oneself."""
         limit = SPREAD_FACTOR * max(1, len(self._members).bit_length())
-        fresh = sorted(self._spread.items(), key=lambda pair: pair[1])[: MAX_CHANGES - 1]
+        fresh = sorted(self._transmissions.items(), key=lambda pair: pair[1])[: MAX_CHANGES - 1]
         news = [self._members[self._own_id].change]
         if target is not None and target.health in (Health.SUSPECT, Health.DEAD):
             # It can refute only what it hears.
             news.append(target)
         for instance_id, times in fresh:
             if times >= limit or instance_id not in self._members:
-                del self._spread[instance_id]
+                del self._transmissions[instance_id]
                 continue
-            self._spread[instance_id] = times + 1
+            self._transmissions[instance_id] = times + 1
             if instance_id != self._own_id:
                 news.append(self._members[instance_id].change)
         return tuple(news)
@@ -377,5 +377,5 @@
         """Store a change, pass it on and tell listeners."""
         self._members[change.instance_id] = _Member(change, now)
         self._live = None
-        self._spread[change.instance_id] = 0
+        self._transmissions[change.instance_id] = 0
         self._actions.append(MembersChanged(change.instance_id, change.health))
