--- a/driftstall/controllers/configuration.py
+++ b/driftstall/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""Move the configuration forward, and submit new ones against racing operators."""
+"""The configuration in force, and submissions of changes by concurrent operators."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from typing import Final
 
 MAX_SUBMISSIONS: Final = 64
-"""Submission ids kept in the object, so that a lost answer can be settled later."""
+"""Submission ids kept in the stored object. After a lost response, they show whether a
+submission was accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkspaceConfig:
-    """Describe one workspace and who may speak for it."""
+    """A workspace and the hash of the API key that its callers authenticate with."""
 
     name: str
     key_sha256: str
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerConfig:
-    """Describe one upstream as configured."""
+    """One configured upstream."""
 
     runner_id: str
     address: str
@@ -34,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigDocument:
-    """Hold one whole configuration; generations only grow."""
+    """A complete configuration; its generation grows with each accepted change."""
 
     generation: int
     policy: str
     workspaces: tuple[WorkspaceConfig, ...]
     runners: tuple[RunnerConfig, ...]
     submissions: tuple[str, ...]
-    """The ids of the latest accepted submissions, the newest last."""
+    """Ids of the latest accepted submissions, newest last."""
 
 
 EMPTY: Final = ConfigDocument(0, "", (), (), ())
@@ -49,17 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigOffer:
-    """Pass an accepted configuration on to a peer."""
+    """Forward an accepted configuration to a peer."""
 
     sender: str
     document: ConfigDocument
 
 
 class ConfigurationController:
-    """Hold the configuration in force; it only moves forward."""
+    """Hold the configuration in force, which never returns to an older generation."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize with the empty configuration."""
         self._document = EMPTY
 
     @property
@@ -68,7 +69,7 @@
         return self._document
 
     def apply_if_newer(self, document: ConfigDocument) -> bool:
-        """Take over a newer configuration; return whether it was newer."""
+        """Apply a configuration if it is newer; return whether it was."""
         if document.generation <= self._document.generation:
             return False
         self._document = document
@@ -76,7 +77,7 @@
 
 
 class SubmitState(StrEnum):
-    """Name how a submission stands."""
+    """States of a submission."""
 
     READING = "reading"
     WRITING = "writing"
@@ -89,11 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """Hold what an operator wants changed; None leaves a part as it is."""
+    """A change submitted by an operator; None leaves a part unchanged."""
 
     submission: str
     base_generation: int | None
-    """The generation that the operator has seen; None accepts any."""
+    """The generation that the change is based on; None accepts any."""
     policy: str | None = None
     workspaces: tuple[WorkspaceConfig, ...] | None = None
     runners: tuple[RunnerConfig, ...] | None = None
@@ -109,22 +110,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigReadFailed:
-    """Learn that the platform did not answer a read."""
+    """Report that the store did not answer a read."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigWritten:
-    """Learn that the write took effect."""
+    """Report that the write took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigConflicted:
-    """Learn that another write came first."""
+    """Report that the write had no effect, because another one came first."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigWriteUnknown:
-    """Learn that the write's answer was lost."""
+    """Report that the response to the write was lost."""
 
 
 SubmitEvent = ConfigRead | ConfigReadFailed | ConfigWritten | ConfigConflicted | ConfigWriteUnknown
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteConfig:
-    """Write a configuration, if the version is still the expected one."""
+    """Write a configuration if the stored version is still the expected one."""
 
     expected: int
     document: ConfigDocument
@@ -147,10 +148,10 @@
 
 
 class Submission:
-    """Carry one operator's change to the platform, exactly once."""
+    """Submit one operator's change to the store, exactly once."""
 
     def __init__(self, change: ConfigChange, known: ConfigDocument) -> None:
-        """Start with the change and the configuration in force here."""
+        """Initialize with the change and the configuration in force on this instance."""
         self._change = change
         self._known = known
         self._written: ConfigDocument | None = None
@@ -160,17 +161,17 @@
 
     @property
     def state(self) -> SubmitState:
-        """Return how the submission stands."""
+        """Return the state of the submission."""
         return self._state
 
     @property
     def accepted(self) -> ConfigDocument | None:
-        """Return the accepted configuration."""
+        """Return the configuration that was accepted, or None."""
         return self._written if self._state is SubmitState.ACCEPTED else None
 
     @property
     def current(self) -> ConfigDocument:
-        """Return the newest stored configuration that was seen."""
+        """Return the newest configuration read from the store."""
         return self._current
 
     def start(self) -> list[SubmitAction]:
@@ -178,7 +179,7 @@
         return [ReadConfig()]
 
     def handle(self, event: SubmitEvent) -> list[SubmitAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         return self._on(event)
 
     @singledispatchmethod
@@ -194,7 +195,7 @@
             self._state = SubmitState.ACCEPTED
             return []
         if self._state is SubmitState.SETTLING and event.version != self._expected:
-            # Another write came first, so ours can never take effect any more.
+            # Another write came first, so this submission's write can no longer take effect.
             self._state = SubmitState.CONFLICT
             return []
         base = self._change.base_generation
@@ -216,7 +217,7 @@
 
     @_on.register
     def _(self, event: ConfigConflicted) -> list[SubmitAction]:
-        # Our own first write may be what we collide with after a lost answer.
+        # After a lost response, the conflicting write may be this submission's own first one.
         self._state = SubmitState.SETTLING
         return [ReadConfig()]
 
@@ -226,7 +227,7 @@
         return [ReadConfig()]
 
     def _write(self, read: ConfigRead) -> list[SubmitAction]:
-        """Build the next generation on what is stored, and write it."""
+        """Write the next generation, based on the newest configuration."""
         newest, change = self._current, self._change
         submissions = (*newest.submissions, change.submission)[-MAX_SUBMISSIONS:]
         self._written = ConfigDocument(
@@ -241,5 +242,8 @@
         return [WriteConfig(read.version, self._written)]
 
     def _newer_document(self, stored: ConfigDocument) -> ConfigDocument:
-        """Return what a change rests on: a store that came back from a copy holds an older one."""
+        """Return the newer of the stored and the known configuration, which the change is based on.
+
+        A store that was restored from a backup holds an older one.
+        """
         return stored if stored.generation >= self._known.generation else self._known
