--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -285,7 +285,7 @@
 
     @_take.register
     def _(self, message: FleetAsked) -> None:
-        self._sharing.answer_fleet(message)
+        self._sharing.handle_fleet_request(message)
 
     @_take.register
     def _(self, message: FleetOffered) -> None:
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -204,7 +204,7 @@
         finally:
             self._taking = 0
 
-    def answer_fleet(self, asked: FleetAsked) -> None:
+    def handle_fleet_request(self, asked: FleetAsked) -> None:
         """Give a peer all upstreams that take requests."""
         fleet = self._state.fleet
         self._send(asked.sender, FleetOffered(self._own_id, fleet.at, fleet.accepting))
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -317,7 +317,7 @@
 def own_answer(context: Any) -> None:
     """Ask it in turn."""
     context.sent.clear()
-    context.sharing.answer_fleet(FleetAsked("member"))
+    context.sharing.handle_fleet_request(FleetAsked("member"))
     ((peer, offered),) = context.sent
     names = {one.upstream_id for one in offered.upstreams}
     assert (peer, names, offered.at) == ("member", {"u1", "u4"}, 8), offered
