--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -1,4 +1,8 @@
-"""Follow one kind of the platform's objects, through cuts, outages and lost history."""
+"""List-and-watch of one kind of the platform's objects.
+
+A follower lists the objects once and then watches for changes with long polls. It survives cut
+connections, outages, and a watch history that the platform has discarded.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,21 @@
 from driftstall.helpers.log import log_event
 
 HOLD_CHECK_S: Final = 0.2
-"""How often a follower that makes no calls looks whether it should."""
+"""Interval at which an idle follower checks whether it should call again."""
 INITIAL_BACKOFF_S: Final = 0.05
-"""Pause after a failed call; it doubles up to what the pace allows."""
-LOST_AFTER: Final = 2
-"""Calls that fail in a row until the platform counts as lost; one cut watch is usual."""
+"""Base of the pause after failed calls; it doubles up to the maximum of the pacing."""
+MAX_FAILED_CALLS: Final = 2
+"""Failed calls in a row until the platform counts as unreachable; one cut watch is usual."""
 
-DEFECT_PAUSE_S: Final = 0.5
-"""Pause after an unexpected error, which may come again at once."""
+ERROR_PAUSE_S: Final = 0.5
+"""Pause after an unexpected error, which may recur at once."""
 
 Item = TypeVar("Item")
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot(Generic[Item]):
-    """Hold all items of a kind, and the revision that a watch goes on from."""
+    """All items of a kind, and the version from which a watch continues."""
 
     items: tuple[Item, ...]
     at: StoreVersion
@@ -37,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemChange(Generic[Item]):
-    """Hold one change of an item."""
+    """One change of an item."""
 
     item: Item
     gone: bool
@@ -45,111 +49,109 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes(Generic[Item]):
-    """Hold the changes since a revision, in order."""
+    """The changes since a version, in order."""
 
     changes: tuple[ItemChange[Item], ...]
     at: StoreVersion
 
 
 class Feed(Protocol[Item]):
-    """Read one kind of the platform's objects; errors are PlatformUnavailable."""
+    """Access to one kind of the platform's objects; failures raise PlatformUnavailable."""
 
     def list(self) -> Snapshot[Item]:
         """Return all items."""
 
     def watch(self, at: StoreVersion, wait_s: float) -> Changes[Item]:
-        """Wait for changes after a revision; raise HistoryGone if they are forgotten."""
+        """Wait for changes after a version; raise HistoryGone if the platform discarded them."""
 
 
 class Listener(Protocol[Item]):
-    """Take in what a follower learns."""
+    """Receiver of the lists and changes that a follower reads."""
 
     def listed(self, items: tuple[Item, ...], at: StoreVersion) -> None:
-        """Take in all items, as of a revision."""
+        """Handle the whole list, as of a version."""
 
     def changed(self, change: ItemChange[Item]) -> None:
-        """Take in one change."""
+        """Handle one change."""
 
     def platform_unreachable(self, cause: str) -> None:
-        """Learn that calls fail."""
+        """Handle that calls have begun to fail."""
 
     def platform_reachable(self) -> None:
-        """Learn that calls are answered again; called before what they brought."""
+        """Handle that calls are answered again; called before their result is passed on."""
 
 
 class WatchPacing(Protocol):
-    """Tell a follower when to call, and how long a watch may wait."""
+    """Decides when a follower calls, and how long a watch may wait."""
 
     def delay_s(self) -> float:
-        """Return for how long to make no call; zero to go on now."""
+        """Return how long to make no call, in seconds; zero to call now."""
 
     def watch_timeout_s(self) -> float:
-        """Return how long an idle watch waits, in seconds."""
+        """Return the timeout of an idle watch, in seconds."""
 
     def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls, in seconds."""
 
     def answered(self, *, after_failure: bool) -> None:
-        """Learn that a call was answered, and whether the one before was not."""
+        """Record that a call was answered, and whether the call before it had failed."""
 
 
 class Follower(Generic[Item]):
-    """List once, then watch while the pace allows it; list again where history is gone."""
+    """Lists once, then watches as the pacing allows; lists again if the history is discarded."""
 
     def __init__(
         self,
         feed: Feed[Item],
         listener: Listener[Item],
         source: random.Random,
-        pace: WatchPacing,
+        pacing: WatchPacing,
         sleep: Callable[[float], None] = gevent.sleep,
     ) -> None:
-        """Take the feed, who listens, a random source, the pace and how to wait."""
+        """Initialize with the feed, its listener, the jitter source, the pacing and the sleep."""
         self._feed = feed
         self._listener = listener
         self._source = source
-        self._pace = pace
+        self._pacing = pacing
         self._sleep = sleep
         self._at: StoreVersion | None = None
         self._failures = 0
-        self._lists_next = False
+        self._is_relist_requested = False
 
     @property
     def current(self) -> bool:
-        """Tell whether the feed was read and its calls are answered."""
-        return self._at is not None and self._failures < LOST_AFTER
+        """Return True if the feed was read and its calls are answered."""
+        return self._at is not None and self._failures < MAX_FAILED_CALLS
 
     @property
     def is_unanswered(self) -> bool:
-        """Tell whether the newest question got no answer; one cut watch is usual."""
+        """Return True if the latest call failed; one cut watch is usual."""
         return self._failures > 0
 
     def run(self) -> None:
-        """Follow the feed for ever.
+        """Follow the feed forever.
 
-        An unexpected error must not end this unseen: the instance would trust what it knows for
-        ever. What it has taken in until then is not known, so all is read anew.
+        An unexpected error must not end the loop unnoticed: the instance would trust its state
+        forever. How much of the result was applied is unknown, so the whole list is read again.
         """
         while True:
             try:
                 self.step()
-            except Exception as defect:
+            except Exception as error:
                 self._at = None
-                detail = f"{type(defect).__name__}: {defect}"
-                log_event(
-                    PREFIX_CONFIGURATION, f"What the platform told could not be taken in: {detail}"
-                )
-                self._sleep(DEFECT_PAUSE_S)
+                detail = f"{type(error).__name__}: {error}"
+                log_event(PREFIX_CONFIGURATION, f"Failed to apply a platform update: {detail}")
+                self._sleep(ERROR_PAUSE_S)
 
     def request_relist(self) -> None:
-        """Read the whole list with the next call."""
-        self._lists_next = True
+        """Request that the next call reads the whole list."""
+        self._is_relist_requested = True
 
     def step(self) -> None:
-        """Make one call and pass on what it brought, or wait where none is to be made."""
-        if self._lists_next:
-            self._at, self._lists_next = None, False
-        delay_s = self._pace.delay_s() if self._at is not None else 0.0
+        """Make one call and pass on its result, or wait if none is to be made."""
+        if self._is_relist_requested:
+            self._at, self._is_relist_requested = None, False
+        delay_s = self._pacing.delay_s() if self._at is not None else 0.0
         if delay_s > 0:
             self._sleep(min(delay_s, HOLD_CHECK_S))
             return
@@ -161,38 +163,36 @@
         except HistoryGone:
             self._at = None
         except PlatformUnavailable as fault:
-            self._failed(str(fault))
+            self._handle_failure(str(fault))
 
     def _list(self) -> None:
-        """Read the whole list."""
+        """Read the whole list and pass it to the listener."""
         snapshot = self._feed.list()
-        self._answered()
+        self._record_answer()
         self._at = snapshot.at
         self._listener.listed(snapshot.items, snapshot.at)
 
     def _watch(self, at: StoreVersion) -> None:
-        """Wait for changes."""
-        answer = self._feed.watch(at, self._pace.watch_timeout_s())
-        self._answered()
+        """Wait for changes and pass them to the listener."""
+        answer = self._feed.watch(at, self._pacing.watch_timeout_s())
+        self._record_answer()
         self._at = answer.at
         for change in answer.changes:
             self._listener.changed(change)
 
-    def _answered(self) -> None:
-        """Note an answered call."""
-        if self._failures >= LOST_AFTER:
+    def _record_answer(self) -> None:
+        """Record an answered call."""
+        if self._failures >= MAX_FAILED_CALLS:
             self._listener.platform_reachable()
-        self._pace.answered(after_failure=self._failures > 0)
+        self._pacing.answered(after_failure=self._failures > 0)
         self._failures = 0
 
-    def _failed(self, cause: str) -> None:
-        """Note a failed call, and wait a little."""
+    def _handle_failure(self, cause: str) -> None:
+        """Record a failed call, and pause with exponential backoff and jitter."""
         self._failures += 1
         if self._failures == 1:
-            log_event(
-                PREFIX_CONFIGURATION, f"A question to the platform failed: {cause}", at=self._at
-            )
-        if self._failures == LOST_AFTER:
+            log_event(PREFIX_CONFIGURATION, f"A call to the platform failed: {cause}", at=self._at)
+        if self._failures == MAX_FAILED_CALLS:
             self._listener.platform_unreachable(cause)
-        pause = min(self._pace.max_backoff_s(), INITIAL_BACKOFF_S * 2**self._failures)
-        self._sleep(pause * (0.5 + self._source.random()))
+        pause_s = min(self._pacing.max_backoff_s(), INITIAL_BACKOFF_S * 2**self._failures)
+        self._sleep(pause_s * (0.5 + self._source.random()))
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -1,4 +1,4 @@
-"""Put in force what the platform's feeds bring: routes, policies, upstreams, instances."""
+"""Listeners of the platform's feeds that apply routing, policies, upstreams and instances."""
 
 from __future__ import annotations
 
@@ -37,77 +37,80 @@
 from driftstall.helpers.log import log_event
 
 EARLIER_KEPT: Final = 8
-"""Policies remembered that others have followed: a copy of the store is some seconds old."""
+"""Superseded policies that are remembered: a restored copy of the store is some seconds old and may
+hold one of them."""
 PLATFORM: Final = "platform"
 PEER: Final = "peer"
 UPSTREAM: Final = "upstream"
-"""Who tells of routing documents and upstreams."""
+"""Sources of routing documents and upstreams, as logged."""
 
 
 class PassAction(Protocol):
-    """Pass on to peers that an upstream joined or leaves."""
+    """Publishes to peers that an upstream joined or leaves."""
 
     def __call__(self, action: FleetAction, *, from_peer: bool) -> None:
-        """Take what follows for an upstream, and whether a peer told it."""
+        """Publish an action; from_peer is set if a peer reported it."""
 
 
 class PassRouting(Protocol):
-    """Pass the routing document in force on to peers."""
+    """Publishes the routing document in force to peers."""
 
     def __call__(self, *, from_peer: bool) -> None:
-        """Take whether a peer gave it."""
+        """Publish the document; from_peer is set if a peer sent it."""
 
 
 class RoutingSource:
-    """Keep the newest routing document; it only moves forward."""
+    """Puts the newest routing document in force; versions never go back."""
 
     def __init__(self, state: GatewayState, announce: PassRouting) -> None:
-        """Take the shared state, and how peers are told."""
+        """Initialize with the shared state and the publisher to peers."""
         self._state = state
         self._announce = announce
         self._text = ""
 
     @property
     def version(self) -> int:
-        """Return the version in force; zero if there is none."""
+        """Return the version in force; zero if no document is in force."""
         return self._state.table.version if self._state.table else 0
 
     @property
     def text(self) -> str:
-        """Return the document in force as it is passed on."""
+        """Return the document in force in the form sent to peers."""
         return self._text
 
     def listed(self, items: tuple[RoutingText, ...], at: StoreVersion) -> None:
-        """Take in the stored documents."""
+        """Handle the stored documents."""
         for item in items:
             self._take(item, PLATFORM)
 
     def changed(self, change: ItemChange[RoutingText]) -> None:
-        """Take in a changed document; one that is gone stays in force."""
+        """Handle a changed document; a removed document stays in force."""
         if not change.gone:
             self._take(change.item, PLATFORM)
 
     def offered(self, text: str) -> None:
-        """Take in a document from a peer."""
+        """Handle a document sent by a peer."""
         try:
             document = self._state.dialect.read_routing(text)
-        except (DriftstallError, ValueError) as fault:
-            log_event(PREFIX_CONFIGURATION, f"A peer's routing document cannot be read: {fault}")
+        except (DriftstallError, ValueError) as error:
+            log_event(PREFIX_CONFIGURATION, f"Invalid routing document from a peer: {error}")
             return
         self._take(RoutingText(document, text), PEER)
 
     def platform_unreachable(self, cause: str) -> None:
-        """Log that the platform does not answer."""
-        log_event(PREFIX_CONFIGURATION, f"The platform's configuration is out of reach: {cause}")
+        """Log that the platform doesn't answer."""
+        log_event(PREFIX_CONFIGURATION, f"The platform's configuration is unreachable: {cause}")
 
     def platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
-            PREFIX_CONFIGURATION, "The platform's configuration is in reach", version=self.version
+            PREFIX_CONFIGURATION,
+            "The platform's configuration is reachable again",
+            version=self.version,
         )
 
     def _take(self, item: RoutingText, source: str) -> None:
-        """Put a newer document in force."""
+        """Put a document in force if it is newer."""
         if item.document.version <= self.version:
             return
         before = self.version
@@ -126,80 +129,82 @@
 
 
 class PolicySource:
-    """Keep the newest submitted policy in force; without one the default stays."""
+    """Puts the newest submitted policy in force; the default stays if none was submitted."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Take the shared state."""
+        """Initialize with the shared state."""
         self._state = state
         self._revision = NO_VERSION
-        self._held: PolicyText | None = None
-        self._earlier: deque[PolicyText] = deque(maxlen=EARLIER_KEPT)
-        """Policies that were in force before; a copy of the store may hold one of them."""
+        self._submitted: PolicyText | None = None
+        self._superseded: deque[PolicyText] = deque(maxlen=EARLIER_KEPT)
+        """Policies that were in force before; a restored store may hold one of them."""
 
     @property
     def held(self) -> PolicyText | None:
-        """Return the submitted policy that holds; None if none was submitted."""
-        return self._held
+        """Return the latest submitted policy; None if none was submitted."""
+        return self._submitted
 
     def is_earlier(self, item: PolicyText) -> bool:
-        """Tell whether a stored policy is one that another one has followed, from an older copy."""
+        """Return True if a stored policy was superseded, and stems from an older store copy."""
         return any(
-            one.text == item.text and one.revision.revision == item.revision.revision
-            for one in self._earlier
+            policy.text == item.text and policy.revision.revision == item.revision.revision
+            for policy in self._superseded
         )
 
     @property
     def revision(self) -> StoreVersion:
-        """Return the version in force; zero if none was submitted."""
+        """Return the store version of the latest submitted policy; zero if none was submitted."""
         return self._revision
 
     def listed(self, items: tuple[PolicyText, ...], at: StoreVersion) -> None:
-        """Take in the stored policies."""
+        """Handle the stored policies."""
         for item in items:
             self._take(item)
 
     def changed(self, change: ItemChange[PolicyText]) -> None:
-        """Take in a changed policy."""
+        """Handle a changed policy."""
         if not change.gone:
             self._take(change.item)
 
     def platform_unreachable(self, cause: str) -> None:
-        """Log that the platform does not answer."""
-        log_event(PREFIX_CONFIGURATION, f"The platform's policies are out of reach: {cause}")
+        """Log that the platform doesn't answer."""
+        log_event(PREFIX_CONFIGURATION, f"The platform's policies are unreachable: {cause}")
 
     def platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
-            PREFIX_CONFIGURATION, "The platform's policies are in reach", revision=self._revision
+            PREFIX_CONFIGURATION,
+            "The platform's policies are reachable again",
+            revision=self._revision,
         )
 
     def _take(self, item: PolicyText) -> None:
-        """Put a newer policy in force, if it is a right one."""
+        """Put a policy in force if it is newer and valid."""
         if item.revision <= self._revision:
             return
         if self.is_earlier(item):
             log_event(
                 PREFIX_CONFIGURATION,
-                "The store holds an earlier policy again; the one in force stays",
+                "The store holds a superseded policy; the policy in force stays",
                 revision=item.revision,
                 in_force=self._revision,
             )
             return
-        if self._held is not None:
-            if self._held.text == item.text:
-                # Written again after the store's return.
-                self._held, self._revision = item, item.revision
+        if self._submitted is not None:
+            if self._submitted.text == item.text:
+                # The policy in force was rewritten after the store was restored.
+                self._submitted, self._revision = item, item.revision
                 return
-            self._earlier.append(self._held)
-        self._held = item
-        # Loaded only where there is a policy to parse: it would slow each start down.
+            self._superseded.append(self._submitted)
+        self._submitted = item
+        # Imported only when there is a policy to parse: the import would slow down every start.
         from driftstall.policy.parse import parse_policy
 
         self._revision = item.revision
         try:
             self._state.policy = parse_policy(item.text)
-        except PolicyError as fault:
-            log_event(PREFIX_CONFIGURATION, f"A stored policy is not used: {fault}")
+        except PolicyError as error:
+            log_event(PREFIX_CONFIGURATION, f"Invalid stored policy is not used: {error}")
             return
         log_event(
             PREFIX_CONFIGURATION,
@@ -209,59 +214,60 @@
 
 
 class UpstreamSource:
-    """Keep the fleet as the platform lists it, and tell who leaves."""
+    """Feeds platform and peer updates to the fleet controller, and performs its actions."""
 
     def __init__(
         self,
         state: GatewayState,
         *,
-        leaving: Callable[[Upstream], None],
+        on_leaving: Callable[[Upstream], None],
         publish_change: Callable[[ItemChange[Upstream]], None],
         publish_action: PassAction,
         announce: Callable[[], None],
-        silence: Callable[[], float],
+        store_silence_s: Callable[[], float],
     ) -> None:
-        """Take the shared state, who moves streams, and how peers are told.
+        """Initialize with the shared state and the callbacks.
 
-        Silence tells for how long the platform had not answered before its last answer, in seconds.
+        The callable on_leaving evacuates a leaving upstream; announce schedules a report to peers;
+        store_silence_s returns how long the platform had not answered before its last answer.
         """
         self._state = state
-        self._leaving = leaving
-        self._pass_change = publish_change
-        self._pass_action = publish_action
+        self._on_leaving = on_leaving
+        self._publish_change = publish_change
+        self._publish_action = publish_action
         self._announce = announce
-        self._silence = silence
+        self._store_silence_s = store_silence_s
 
     def listed(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
-        """Take in the whole list, as of a revision."""
-        self._apply(Listed(items, at, self._silence()))
+        """Handle the whole list, as of a version."""
+        self._apply(Listed(items, at, self._store_silence_s()))
         self._state.notify_if_configured()
-        known = {one.upstream_id for one in self._state.fleet.upstreams}
+        known = {upstream.upstream_id for upstream in self._state.fleet.upstreams}
         self._state.outcomes.keep_only(known)
         self._state.cold_gate.keep_only(known)
 
     def changed(self, change: ItemChange[Upstream]) -> None:
-        """Take in one change from the platform."""
-        self._apply(Changed(change.item, change.gone, store_silence_s=self._silence()))
-        self._pass_change(change)
+        """Handle one change read from the platform."""
+        self._apply(Changed(change.item, change.gone, store_silence_s=self._store_silence_s()))
+        self._publish_change(change)
 
     def told(self, change: ItemChange[Upstream]) -> None:
-        """Take in one change from a peer."""
+        """Handle one change sent by a peer."""
         self._apply(Changed(change.item, change.gone, from_peer=True), from_peer=True)
 
     def offered(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
-        """Take in a peer's list of all that take requests, as of a revision."""
+        """Handle a peer's list of all upstreams that accept requests, as of a version."""
         self._apply(ListedByPeer(items, at), from_peer=True)
         self._state.notify_if_configured()
 
     def doubted(self, upstream_id: str) -> None:
-        """Take in that an upstream says itself that it leaves, or that it is gone."""
+        """Handle an upstream that a probe found leaving or ended."""
         self._apply(UpstreamSuspected(upstream_id))
 
     def signalled_leaving(self, upstream_id: str, ago_s: float = 0.0) -> bool:
-        """Take in that an upstream has signalled that it leaves; return whether it was new.
+        """Handle an upstream's signal that it is leaving; return True if the signal was new.
 
-        The age is that of the response, in seconds, where a peer has received it.
+        The age of the response, ago_s, is in seconds; it is set if a peer received the response.
         """
         fleet = self._state.fleet
         if fleet.has_signalled_leaving(upstream_id):
@@ -270,62 +276,62 @@
         return fleet.has_signalled_leaving(upstream_id)
 
     def cordoned(self, changed: CordonsChanged) -> None:
-        """Take in which zones are cordoned now."""
+        """Apply a change of the cordoned zones to the fleet."""
         self._apply(Cordoned(self._state.cordons.zones, changed.lifted))
 
     def platform_unreachable(self, cause: str) -> None:
-        """Learn that the platform does not answer."""
-        log_event(PREFIX_ROUTING, f"The platform's list of upstreams is out of reach: {cause}")
+        """Log that the platform doesn't answer, and tell the fleet and the peers."""
+        log_event(PREFIX_ROUTING, f"The platform's list of upstreams is unreachable: {cause}")
         self._apply(PlatformUnreachable())
         self._announce()
 
     def platform_reachable(self) -> None:
-        """Learn that the platform answers again."""
-        log_event(PREFIX_ROUTING, "The platform's list of upstreams is in reach")
+        """Log that the platform answers again, and tell the fleet and the peers."""
+        log_event(PREFIX_ROUTING, "The platform's list of upstreams is reachable again")
         self._apply(PlatformReachable())
         self._announce()
 
     def store_returned(self) -> None:
-        """Learn that the store has come back from an older copy."""
+        """Handle that the store was restored from an older copy."""
         self._apply(StoreRestored())
         self._announce()
 
     def period(self) -> None:
-        """Let time pass."""
+        """Handle the periodic timer: expire entries and back-offs."""
         self._apply(Period())
         self._state.cold.forget_ended(self._state.now())
         self._state.backoff.forget_ended(self._state.now())
         self._state.exchanges.forget_ended()
 
     def _apply(self, event: FleetEvent, *, from_peer: bool = False) -> None:
-        """Hand an event to the fleet and tell what follows."""
+        """Pass an event to the fleet, then publish and perform the resulting actions."""
         actions = self._state.fleet.handle(event, self._state.now())
         for action in actions:
-            self._pass_action(action, from_peer=from_peer)
-            self._tell(action, from_peer=from_peer)
+            self._publish_action(action, from_peer=from_peer)
+            self._perform(action, from_peer=from_peer)
         if actions:
             self._state.fleet_changed.set()
             self._state.fleet_changed.clear()
 
     @singledispatchmethod
-    def _tell(self, action: FleetAction, *, from_peer: bool) -> None:
-        """Log one action, and do what follows from it here."""
+    def _perform(self, action: FleetAction, *, from_peer: bool) -> None:
+        """Log one action and perform it on this instance."""
         raise TypeError(f"no handler for {type(action).__name__}")
 
-    @_tell.register
+    @_perform.register
     def _(self, action: UpstreamLeaving, *, from_peer: bool) -> None:
         upstream = action.upstream
         log_event(
             PREFIX_ROUTING,
             f"Upstream {upstream.upstream_id} takes no more requests",
             source=_source_of(action, from_peer=from_peer),
-            # The notice may be as old; requests went there meanwhile.
-            platform_silence_ms=int(self._silence() * 1000),
+            # The notice may be that old; requests were sent there meanwhile.
+            platform_silence_ms=int(self._store_silence_s() * 1000),
             revision=upstream.revision,
         )
-        self._leaving(upstream)
+        self._on_leaving(upstream)
 
-    @_tell.register
+    @_perform.register
     def _(self, action: UpstreamJoined, *, from_peer: bool) -> None:
         upstream = action.upstream
         log_event(
@@ -337,20 +343,20 @@
             revision=upstream.revision,
         )
 
-    @_tell.register
+    @_perform.register
     def _(self, action: UpstreamReplaced, *, from_peer: bool) -> None:
-        # Whoever waits there for an answer waits in vain; it may have run until the new start.
+        # Open exchanges will get no answer; their requests may have run until the restart.
         upstream = action.upstream
         given_up = self._state.exchanges.close_all(upstream.upstream_id)
         log_event(
             PREFIX_ROUTING,
-            f"Upstream {upstream.upstream_id} has started again",
+            f"Upstream {upstream.upstream_id} has restarted",
             source=PEER if from_peer else PLATFORM,
             given_up=given_up,
             revision=upstream.revision,
         )
 
-    @_tell.register
+    @_perform.register
     def _(self, action: UpstreamCold, *, from_peer: bool) -> None:
         upstream, now = action.upstream, self._state.now()
         if action.is_assumed:
@@ -368,20 +374,20 @@
 
 
 def _source_of(action: UpstreamLeaving, *, from_peer: bool) -> str:
-    """Return who tells that an upstream leaves."""
+    """Return the source that reported an upstream as leaving."""
     if action.doubted or action.signalled:
         return UPSTREAM
     return PEER if from_peer else PLATFORM
 
 
 class InstanceSource:
-    """Tell the member list which instances the platform knows."""
+    """Passes the instances that the platform lists to the membership."""
 
     def __init__(self, found: Callable[[tuple[Instance, ...]], None]) -> None:
-        """Take who wants to know."""
+        """Initialize with the callback for the listed instances."""
         self._found = found
 
     def listed(self, items: tuple[Instance, ...]) -> None:
-        """Take in the whole list."""
+        """Handle the whole list."""
         log_event(PREFIX_MEMBERSHIP, f"The platform lists {len(items)} instances")
         self._found(items)
