--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -133,7 +133,7 @@
         )
         self._peering = Peering(self.state, intake, standing=self._standing, delegation=delegation)
         self._delegation = delegation
-        self._inquiry = UpstreamProber(
+        self._upstream_prober = UpstreamProber(
             self.state,
             self._peering.own,
             probers=lambda: self._reach.askers(),
@@ -141,12 +141,14 @@
             on_suspected=self._upstreams.doubted,
             publish=self._peering.publish_suspicion,
         )
-        self.state.on_upstream_suspected = self._inquiry.suspect
+        self.state.on_upstream_suspected = self._upstream_prober.suspect
         self.state.signals.leaving = self._signalled_leaving
         self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
             self.state,
-            gone=lambda upstream: self._inquiry.handle_bad_state(upstream, ReportedState.GONE),
+            gone=lambda upstream: self._upstream_prober.handle_bad_state(
+                upstream, ReportedState.GONE
+            ),
             changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
         )
@@ -215,7 +217,7 @@
             self._metrics,
             self._peering,
             self._protection,
-            self._inquiry,
+            self._upstream_prober,
             self._crash_keeper,
         ):
             part.start()
