--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -37,7 +37,7 @@
 
     SERVING = "stays"
     """It serves on; also one that is to end some time, but has not been told when."""
-    LEAVES = "leaves"
+    LEAVING = "leaves"
     """It has been told when it ends, which is soon."""
     GONE = "gone"
     """It refuses connections: its process has ended."""
@@ -47,7 +47,7 @@
     @property
     def is_unavailable(self) -> bool:
         """Tell whether an engine is to be sent nothing new."""
-        return self in (ReportedState.LEAVES, ReportedState.GONE)
+        return self in (ReportedState.LEAVING, ReportedState.GONE)
 
 
 def asks(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -104,7 +104,7 @@
             return
         self._told_at[engine_id] = now
         finding = (
-            "says itself that it leaves" if word is ReportedState.LEAVES else "refuses connections"
+            "says itself that it leaves" if word is ReportedState.LEAVING else "refuses connections"
         )
         log_event(
             PREFIX_ROUTING,
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -100,7 +100,7 @@
         return ReportedState.NONE
     # The time it has left is told only by one whose end is fixed; others drain until the
     # platform has taken their notice.
-    return ReportedState.LEAVES if report.get("leaves_ms") is not None else ReportedState.SERVING
+    return ReportedState.LEAVING if report.get("leaves_ms") is not None else ReportedState.SERVING
 
 
 def backup_copy(backup: Upstream, request_id: str) -> str:
