--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -301,7 +301,7 @@
         return encode_response(200 if is_known else 404, (), b"", keep=call.keep_alive)
 
 
-class LocateAnswers:
+class LocateHandler:
     """Tell callers which instances to use."""
 
     def __init__(self, state: GatewayState, located: Callable[[], tuple[Instance, ...]]) -> None:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -28,7 +28,7 @@
 from driftstall.gateway.listeners import (
     AuxiliaryListener,
     CallerListener,
-    LocateAnswers,
+    LocateHandler,
     MetricsHandler,
     ReadinessHandler,
 )
@@ -199,7 +199,7 @@
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
-        locate = LocateAnswers(self.state, self._peering.locatable_instances)
+        locate = LocateHandler(self.state, self._peering.locatable_instances)
         self._locate = AuxiliaryListener(settings.locate_listen, locate)
         metrics = MetricsHandler(self.state, self._gauges)
         self._metrics = AuxiliaryListener(settings.metrics_listen, metrics)
