--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -160,7 +160,7 @@
         self._transmissions: dict[str, int] = {own.instance_id: 0}
         self._probes: dict[int, _Probe] = {}
         self._number = 0
-        self._probe_at = -1e9
+        self._last_probe_at = -1e9
         self._round: list[str] = []
         self._actions: list[MembershipAction] = []
         self._live: tuple[Instance, ...] | None = None
@@ -251,8 +251,8 @@
     def _(self, event: Period, now: float) -> None:
         self._check_probes(now)
         self._check_suspects(now)
-        if now - self._probe_at >= PROBE_PERIOD_S:
-            self._probe_at = now
+        if now - self._last_probe_at >= PROBE_PERIOD_S:
+            self._last_probe_at = now
             self._probe(now)
 
     @_on.register
