--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -1,4 +1,4 @@
-"""Tell how far the platform answers this instance, and whether others follow it instead."""
+"""Reachability of the platform's store: by this instance itself, or through collectors."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class FeedStatus(Protocol):
-    """Tell how the questions of one feed are answered."""
+    """Status of the calls of one feed."""
 
     @property
     def current(self) -> bool:
-        """Tell whether the feed was read and its calls are answered."""
+        """Return True if the feed was read and its calls are answered."""
 
     @property
     def is_unanswered(self) -> bool:
-        """Tell whether the newest question got no answer."""
+        """Return True if the latest call failed."""
 
 
 class FeedPacing(Protocol):
-    """Tell who follows one feed, and how old the platform's last answer is."""
+    """Age of the platform's last answer on one feed, and whether a collector follows the feed."""
 
     @property
     def age_s(self) -> float:
@@ -32,24 +32,24 @@
 
     @property
     def is_delegated(self) -> bool:
-        """Tell whether a collector follows the feed for this instance."""
+        """Return True if a collector follows the feed for this instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedReachability:
-    """Hold what one feed's standing is read from."""
+    """The follower and the pacing of one feed, from which its reachability is derived."""
 
     follower: FeedStatus
-    pace: FeedPacing
+    pacing: FeedPacing
 
     @property
     def is_followed(self) -> bool:
-        """Tell whether the feed is up to date, by its own watch or a collector's."""
-        return self.pace.is_delegated or self.follower.current
+        """Return True if the feed is up to date, by its own watch or a collector's."""
+        return self.pacing.is_delegated or self.follower.current
 
 
 class StoreReachability:
-    """Read from the feeds on which requests depend how far the platform answers."""
+    """Derives from the feeds that requests depend on whether the platform answers."""
 
     def __init__(
         self,
@@ -60,11 +60,12 @@
         now: Callable[[], float],
         roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
-        lacking: Callable[[], tuple[str, ...]],
+        peers_without_platform: Callable[[], tuple[str, ...]],
     ) -> None:
-        """Take the two feeds, the collectors' word, the steady clock and readers of the fleet.
+        """Initialize with the two feeds, the collectors' reports, the clock and fleet readers.
 
-        Lacking names the peers that the platform does not answer, as they say.
+        The callable peers_without_platform returns the ids of the peers that report that the
+        platform does not answer them.
         """
         self._routing = routing
         self._upstreams = upstreams
@@ -72,11 +73,11 @@
         self._now = now
         self._roles = roles
         self._live = live
-        self._lacking = lacking
+        self._peers_without_platform = peers_without_platform
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether the platform answers this instance, on whichever feed it was asked last."""
+        """Return True if the platform answers this instance on both feeds."""
         feeds = (self._routing, self._upstreams)
         if any(one.follower.is_unanswered for one in feeds):
             return False
@@ -84,36 +85,37 @@
 
     @property
     def is_silent(self) -> bool:
-        """Tell whether the platform may answer neither this instance nor who follows it for this.
+        """Return True if neither this instance nor its followers may be answered by the platform.
 
-        One question without an answer is enough: engines may leave unseen from now on, and a word
-        of theirs costs little.
+        One failed call is enough: from then on engines may leave unnoticed, and probing them is
+        cheap.
         """
         if not self._roles().is_large:
             return not self.is_answered
         if self._is_first_to_miss():
             return True
-        is_relied_on = self._delegation.is_delegated(self._now())
-        return not is_relied_on and self._upstreams.pace.age_s > FRESH_S
+        is_delegated = self._delegation.is_delegated(self._now())
+        return not is_delegated and self._upstreams.pacing.age_s > FRESH_S
 
     def _is_first_to_miss(self) -> bool:
-        """Tell whether this one follows the platform for others, which may not miss it yet.
+        """Return True if this instance is a follower that lost the platform before its peers did.
 
-        Beyond the age up to which they rely on its word, they are answered by other followers if
-        they still rely on any.
+        Peers rely on its reports up to a certain age; beyond it they are served by other followers
+        if they still rely on any.
         """
-        may_be_relied_on = self._upstreams.pace.age_s <= FRESH_S + TRUST_S
+        may_be_relied_on = self._upstreams.pacing.age_s <= FRESH_S + TRUST_S
         return self._roles().is_follower and not self.is_answered and may_be_relied_on
 
     def askers(self) -> tuple[Instance, ...]:
-        """Return who shares the questions to engines: in a small fleet, who lacks the platform.
+        """Return the instances that share the probing of engines.
 
-        In a large one all do, once they all miss it; the follower that misses it first asks alone.
+        In a small fleet these are the instances that the platform does not answer. In a large one
+        all share it once they all lack the platform; a follower that lacks it first probes alone.
         """
         live = self._live()
         if self._roles().is_large:
             return () if self._is_first_to_miss() else live
         if self.is_answered:
             return live
-        lacking = self._lacking()
-        return tuple(one for one in live if one.instance_id in lacking)
+        without_platform = self._peers_without_platform()
+        return tuple(instance for instance in live if instance.instance_id in without_platform)
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -1,9 +1,9 @@
-"""Decide when an instance follows the platform by itself, and when others do it for it.
+"""Delegation of the platform watches to a few collectors in a large fleet.
 
-In a large fleet a few collectors follow the platform; all collectors pass on what these
-learn, with the age of the platform's last answer. An instance relies on them while that
-age is small. If it hears no collector it follows at once; if it hears them but the platform
-answers none, it asks now and then, so that an outage makes no storm.
+A few collectors (followers) watch the platform; all collectors forward the updates together with
+the age of the platform's last answer. An instance relies on them while that age is small. If no
+collector reports it watches at once by itself; if collectors report but the platform answers none
+of them, it polls occasionally, so that an outage doesn't cause a call storm.
 """
 
 from __future__ import annotations
@@ -14,85 +14,85 @@
 
 from driftstall.gateway.collectors import FleetRoles
 
-SELDOM_WATCH_S: Final = 25.0
-"""How long a watch of what seldom changes and has no bound in time waits: policies. Where its
-connection falls silent a policy is in force so much later."""
-LARGE_WATCH_S: Final = 0.8
-"""The same for a collector: a watch that is silently cut off must be noticed soon."""
+RARE_CHANGE_WATCH_S: Final = 25.0
+"""Timeout of a watch of rarely changed objects without a freshness bound (policies). If its
+connection falls silent, a policy comes into force that much later."""
+LARGE_FLEET_WATCH_S: Final = 0.8
+"""Timeout of a collector's watch: a watch that is silently cut off must be noticed soon."""
 FRESH_S: Final = 1.5
-"""Age of the platform's last answer up to which a collector's word counts: a whole watch
+"""Age of the platform's last answer up to which a collector's report counts: a whole watch
 of a collector, and a slow answer."""
 TRUST_S: Final = 1.2
-"""A collector speaks twice a second; without its word for so long it is given up. All the
+"""Time without a report after which a collector is no longer relied on; it sends two a second. The
 times here together stay below the three seconds within which a change must be in force."""
-FIRST_TRY_S: Final = 0.4
-"""An instance's own first question comes within this time once no collector gets an answer:
-the collectors may be cut off where it is not."""
+FIRST_POLL_WITHIN_S: Final = 0.4
+"""An instance makes its first own call within this time once no collector gets an answer: the
+collectors may be cut off from the platform while this instance is not."""
 SETTLE_S: Final = 1.5
-"""How long an instance that has read the list leaves the platform alone after its start. Its seeds
-answer within half a second, and collectors twice a second: by then it knows whether others follow
-the platform for it. A fleet that starts at once, while engines join, would else have each of its
-instances woken by each engine."""
-LONGEST_PAUSE_S: Final = 0.6
-"""Longest pause of a follower after failed calls, so that an outage makes no storm."""
-OTHERS_PAUSE_S: Final = 1.5
-"""The same for the others of a large fleet, which call while they are cut off from their
-collectors; a machine has three seconds and more to catch up after a cut."""
-OUTAGE_PAUSE_S: Final = 4.0
-"""Mean pause between its further questions, so that an outage makes no storm."""
+"""How long after its start an instance that has read the list makes no calls. Its seeds answer
+within half a second, and collectors report twice a second: by then it knows whether others follow
+the platform for it. Otherwise, in a fleet that starts all at once while engines join, each engine
+would wake each instance."""
+FOLLOWER_MAX_BACKOFF_S: Final = 0.6
+"""Longest pause of a follower after failed calls; limits the calls made during an outage."""
+MAX_BACKOFF_S: Final = 1.5
+"""The same for the other instances of a large fleet, which call while they are cut off from their
+collectors; an instance has at least three seconds to catch up after a cut."""
+OUTAGE_POLL_INTERVAL_S: Final = 4.0
+"""Mean pause between further calls of an instance during an outage, to avoid a call storm."""
 
 
-DRAWN_SHARE: Final = 0.5
-"""Share of an idle watch's wait that is drawn by lot."""
+WATCH_JITTER: Final = 0.5
+"""Share of an idle watch's timeout that is randomized."""
 
 
 class WatchDelegation:
-    """Hold what collectors have last said of the platform."""
+    """What collectors have last reported about the platform."""
 
     def __init__(self, source: random.Random) -> None:
-        """Start with no word of any collector."""
+        """Initialize without any report, with the random source for the jitter."""
         self._source = source
-        self._heard_at = float("-inf")
-        self._good_at = float("-inf")
-        self._next_try: dict[str, float] = {}
-        """When to ask next in an outage, by what is asked for; empty while there is none."""
+        self._reported_at = float("-inf")
+        self._fresh_at = float("-inf")
+        self._next_poll: dict[str, float] = {}
+        """When to call next during an outage, by feed name; empty while there is no outage."""
 
     @property
     def source(self) -> random.Random:
-        """Return the source of chance."""
+        """Return the random source."""
         return self._source
 
     def record_collector_report(self, platform_age_s: float, now: float) -> None:
-        """Take in a collector's word: how long ago the platform answered it, in seconds."""
-        self._heard_at = now
+        """Record a collector's report: how long ago the platform answered it, in seconds."""
+        self._reported_at = now
         if platform_age_s <= FRESH_S:
-            self._good_at = now
-            self._next_try.clear()
+            self._fresh_at = now
+            self._next_poll.clear()
 
     def is_delegated(self, now: float) -> bool:
-        """Tell whether a collector follows the platform for this instance."""
-        return now - self._good_at <= TRUST_S
+        """Return True if a collector follows the platform for this instance."""
+        return now - self._fresh_at <= TRUST_S
 
     def delay_s(self, now: float, feed: str = "") -> float:
-        """Return for how long to leave the platform alone; zero to ask it now.
+        """Return how long to make no call to the platform, in seconds; zero to call now.
 
-        Feeds of one name share the questions of an outage.
+        During an outage, feeds of the same name share one schedule of calls.
         """
         if self.is_delegated(now):
-            return self._good_at + TRUST_S - now
-        if now - self._heard_at > TRUST_S:
+            return self._fresh_at + TRUST_S - now
+        if now - self._reported_at > TRUST_S:
             return 0.0
-        next_try = self._next_try.get(feed)
-        if next_try is None:
-            next_try = self._next_try[feed] = now + FIRST_TRY_S * self._source.random()
-        if now < next_try:
-            return next_try - now
-        self._next_try[feed] = now + OUTAGE_PAUSE_S * (0.5 + self._source.random())
+        next_poll_at = self._next_poll.get(feed)
+        if next_poll_at is None:
+            next_poll_at = self._next_poll[feed] = now + FIRST_POLL_WITHIN_S * self._source.random()
+        if now < next_poll_at:
+            return next_poll_at - now
+        self._next_poll[feed] = now + OUTAGE_POLL_INTERVAL_S * (0.5 + self._source.random())
         return 0.0
 
 
 class DelegatedWatchPacing:
-    """Pace one feed of the platform by the fleet's size and the collectors' word."""
+    """Pacing of one feed by the fleet's size and the collectors' reports."""
 
     def __init__(
         self,
@@ -104,10 +104,10 @@
         settle_s: float = 0.0,
         feed: str = "",
     ) -> None:
-        """Take the collectors' word, the roles as they are now and the steady clock.
+        """Initialize with the collectors' reports, a reader of the roles and the monotonic clock.
 
-        Longest wait tells how long an idle watch may wait at the most, in seconds; the first watch
-        of all comes after the time to settle. Feeds of one name share the questions of an outage.
+        The callable max_watch_s returns the longest timeout of an idle watch, in seconds; the first
+        watch starts settle_s after this. Feeds of the same name share the calls of an outage.
         """
         self._feed = feed
         self._delegation = delegation
@@ -126,72 +126,72 @@
 
     @property
     def silence_s(self) -> float:
-        """Return for how long questions had failed before the last answer, in seconds.
+        """Return how long calls had failed before the last answer, in seconds.
 
-        What that answer told may be as old. Zero where the question before was answered.
+        The updates in that answer may be that old. Zero if the call before it was answered.
         """
         return self._silence_s
 
     @property
     def is_delegated(self) -> bool:
-        """Tell whether a collector follows the feed for this instance."""
-        return not self._follows_always and self._delegation.is_delegated(self._now())
+        """Return True if a collector follows the feed for this instance."""
+        return not self._is_follower and self._delegation.is_delegated(self._now())
 
     def delay_s(self) -> float:
-        """Return for how long to make no call."""
-        left_s = self._settled_at - self._now()
-        if left_s > 0:
-            return left_s
-        if self._follows_always or self.age_s <= FRESH_S and not self.is_delegated:
+        """Return how long to make no call, in seconds."""
+        remaining_s = self._settled_at - self._now()
+        if remaining_s > 0:
+            return remaining_s
+        if self._is_follower or self.age_s <= FRESH_S and not self.is_delegated:
             return 0.0
         return self._delegation.delay_s(self._now(), self._feed)
 
     def watch_timeout_s(self) -> float:
-        """Return how long an idle watch waits."""
+        """Return the timeout of an idle watch, in seconds."""
         longest_s = self._longest_wait()
         if self._roles().is_large:
-            return min(LARGE_WATCH_S, longest_s)
-        # News wake all instances at once. Were their next questions to end together as well, a
-        # silence that begins meanwhile would be found out by all only then.
-        return longest_s * (1.0 - DRAWN_SHARE * self._source.random())
+            return min(LARGE_FLEET_WATCH_S, longest_s)
+        # An update wakes all instances at once. If their next watches also timed out together,
+        # all of them would notice a silence that begins meanwhile only then.
+        return longest_s * (1.0 - WATCH_JITTER * self._source.random())
 
     def max_backoff_s(self) -> float:
-        """Return the longest pause after failed calls."""
-        return LONGEST_PAUSE_S if self._follows_always else OTHERS_PAUSE_S
+        """Return the longest pause after failed calls, in seconds."""
+        return FOLLOWER_MAX_BACKOFF_S if self._is_follower else MAX_BACKOFF_S
 
     def answered(self, *, after_failure: bool) -> None:
-        """Note that the platform has answered, and whether the question before had failed."""
+        """Record an answer of the platform, and whether the call before it had failed."""
         now = self._now()
         answered_before = self._answered_at > float("-inf")
         self._silence_s = now - self._answered_at if after_failure and answered_before else 0.0
         self._answered_at = now
 
     @property
-    def _follows_always(self) -> bool:
-        """Tell whether this instance follows the platform whatever others say."""
+    def _is_follower(self) -> bool:
+        """Return True if this instance follows the platform regardless of the collectors."""
         return self._roles().is_follower
 
 
 class RevisionWatchPacing:
-    """Pace a feed that seldom changes: read again only what peers know to be newer."""
+    """Pacing of a rarely changed feed: non-followers read it only if peers know a newer version."""
 
-    def __init__(self, roles: Callable[[], FleetRoles], behind: Callable[[], bool]) -> None:
-        """Take the roles as they are now, and a reader of whether a newer one is known of."""
+    def __init__(self, roles: Callable[[], FleetRoles], is_behind: Callable[[], bool]) -> None:
+        """Initialize with readers of the roles and of whether peers know a newer version."""
         self._roles = roles
-        self._behind = behind
+        self._is_behind = is_behind
 
     def delay_s(self) -> float:
-        """Return for how long to make no call."""
+        """Return how long to make no call, in seconds."""
         roles = self._roles()
-        return 0.0 if roles.is_follower or self._behind() else TRUST_S
+        return 0.0 if roles.is_follower or self._is_behind() else TRUST_S
 
     def watch_timeout_s(self) -> float:
-        """Return how long an idle watch waits."""
-        return SELDOM_WATCH_S
+        """Return the timeout of an idle watch, in seconds."""
+        return RARE_CHANGE_WATCH_S
 
     def max_backoff_s(self) -> float:
-        """Return the longest pause after failed calls."""
-        return OTHERS_PAUSE_S
+        """Return the longest pause after failed calls, in seconds."""
+        return MAX_BACKOFF_S
 
     def answered(self, *, after_failure: bool) -> None:
-        """Note that the platform has answered; nothing depends on when."""
+        """Ignore answers: this pacing doesn't depend on them."""
