--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -182,11 +182,11 @@
 def asked_on_break(context: Any) -> None:
     """Have the relays' suspicions, and what breaks off, followed up."""
     world = world_of(context)
-    inquiry = inquiry_of(world)
-    world.state.on_upstream_suspected = inquiry.suspect
+    prober = inquiry_of(world)
+    world.state.on_upstream_suspected = prober.suspect
     watch = CrashDetector(
         world.state,
-        gone=lambda upstream: inquiry.handle_bad_state(upstream, ReportedState.GONE),
+        gone=lambda upstream: prober.handle_bad_state(upstream, ReportedState.GONE),
         changed=lambda: None,
         convicted=lambda _: None,
     )
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -156,7 +156,7 @@
     copy = ReplicaRef(context.free, "x/y", named_by=context.run.upstream.upstream_id)
     context.run.replica = Replica(copy, world.state.now(), 10)
     world.mover.drop_replica(context.run)
-    inquiry = UpstreamProber(
+    prober = UpstreamProber(
         world.state,
         Instance("instance-1", "", "", "a"),
         probers=tuple,
@@ -164,7 +164,7 @@
         on_suspected=lambda _: None,
         publish=lambda _: None,
     )
-    inquiry._ask(context.run.upstream)
+    prober._ask(context.run.upstream)
     assert not calls, calls
     context.script.gate.set()
 
