--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -39,7 +39,7 @@
     """It serves on; also one that is to end some time, but has not been told when."""
     LEAVING = "leaves"
     """It has been told when it ends, which is soon."""
-    GONE = "gone"
+    TERMINATED = "gone"
     """It refuses connections: its process has ended."""
     NONE = "none"
     """It gave no answer that can be read; it may be cut off from here alone."""
@@ -47,7 +47,7 @@
     @property
     def is_unavailable(self) -> bool:
         """Tell whether an engine is to be sent nothing new."""
-        return self in (ReportedState.LEAVING, ReportedState.GONE)
+        return self in (ReportedState.LEAVING, ReportedState.TERMINATED)
 
 
 def asks(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -85,12 +85,12 @@
         """Ask an upstream, and once more if it answers."""
         try:
             word = self._ask(upstream)
-            if word is not ReportedState.GONE:
+            if word is not ReportedState.TERMINATED:
                 gevent.sleep(LOOK_AGAIN_S)
                 word = self._ask(upstream)
         finally:
             doubt = self._doubts.pop(upstream.upstream_id)
-        if word is not ReportedState.GONE:
+        if word is not ReportedState.TERMINATED:
             return
         self._crashed_at[upstream.upstream_id] = self._state.now()
         self._blame(doubt)
@@ -106,7 +106,7 @@
             address = split_address(upstream.address)
             socket.create_connection(address, CONNECT_TIMEOUT_S).close()
         except ConnectionRefusedError:
-            return ReportedState.GONE
+            return ReportedState.TERMINATED
         except OSError:
             return ReportedState.NONE
         return ReportedState.SERVING
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -147,7 +147,7 @@
         watch = CrashDetector(
             self.state,
             gone=lambda upstream: self._upstream_prober.handle_bad_state(
-                upstream, ReportedState.GONE
+                upstream, ReportedState.TERMINATED
             ),
             changed=self._peering.publish_poison_evidence,
             convicted=self._crash_keeper.convicted,
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -331,5 +331,5 @@
 @then("its word is that the start that was asked for is gone")
 def word_gone(context: Any) -> None:
     """Ask of both starts."""
-    assert engine_calls.probe_state(context.asked_of) is ReportedState.GONE
+    assert engine_calls.probe_state(context.asked_of) is ReportedState.TERMINATED
     assert engine_calls.probe_state(context.same) is ReportedState.SERVING
