--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -137,7 +137,7 @@
 
     target: str
     sent_at: float
-    helped: bool
+    indirect: bool
 
 
 class MembershipController:
@@ -281,7 +281,7 @@
     def _ping(self, target: Change, now: float) -> None:
         """Send one ping and remember it."""
         self._number += 1
-        self._probes[self._number] = _Probe(target.instance_id, now, helped=False)
+        self._probes[self._number] = _Probe(target.instance_id, now, indirect=False)
         ping = Ping(self._own_id, self._number, "", self._changes_to_send(target))
         self._actions.append(SendTo(target.instance_id, ping))
 
@@ -290,11 +290,11 @@
         for number, probe in list(self._probes.items()):
             if now - probe.sent_at < ACK_TIMEOUT_S:
                 continue
-            if probe.helped:
+            if probe.indirect:
                 del self._probes[number]
                 self._suspect(probe.target, now)
                 continue
-            self._probes[number] = _Probe(probe.target, now, helped=True)
+            self._probes[number] = _Probe(probe.target, now, indirect=True)
             others = [
                 one.change
                 for one in self._members.values()
