--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -95,7 +95,7 @@
         assert len(asked) <= 6, (one, asked)
 
 
-def inquiry_of(world: GatewayWorld) -> UpstreamProber:
+def prober_of(world: GatewayWorld) -> UpstreamProber:
     """Return who asks the engines, as the only instance."""
 
     def doubt(upstream_id: str) -> None:
@@ -122,7 +122,7 @@
 def engine_ends_soon(context: Any) -> None:
     """Ask all engines, of which one will end."""
     context.engine.report = ENDS_SOON
-    inquiry_of(world_of(context)).probe_all()
+    prober_of(world_of(context)).probe_all()
 
 
 @when("its run there was stopped")
@@ -146,7 +146,7 @@
         return word
 
     world.state.dialect.probe_state = noting  # type: ignore[method-assign,assignment]
-    inquiry_of(world).probe_all()
+    prober_of(world).probe_all()
     wait_for("all were asked", lambda: len(asked) == len(world.engines))
     gevent.idle()
 
@@ -164,7 +164,7 @@
     world = world_of(context)
     for one in world.engines[:2]:
         one.stop()
-    inquiry_of(world).probe_all()
+    prober_of(world).probe_all()
     wait_for("both are known", lambda: not any(takes(world, one) for one in world.engines[:2]))
 
 
@@ -182,7 +182,7 @@
 def asked_on_break(context: Any) -> None:
     """Have the relays' suspicions, and what breaks off, followed up."""
     world = world_of(context)
-    prober = inquiry_of(world)
+    prober = prober_of(world)
     world.state.on_upstream_suspected = prober.suspect
     watch = CrashDetector(
         world.state,
