--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -41,7 +41,7 @@
     """It has been told when it ends, which is soon."""
     TERMINATED = "gone"
     """It refuses connections: its process has ended."""
-    NONE = "none"
+    UNKNOWN = "none"
     """It gave no answer that can be read; it may be cut off from here alone."""
 
     @property
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -108,7 +108,7 @@
         except ConnectionRefusedError:
             return ReportedState.TERMINATED
         except OSError:
-            return ReportedState.NONE
+            return ReportedState.UNKNOWN
         return ReportedState.SERVING
 
     def _blame(self, doubt: _Doubt) -> None:
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -88,16 +88,16 @@
         exchange = Exchange.open(engine.address, "GET", names.PATH_REPORT, {}, b"", WORD_TIMEOUT_S)
         report = orjson.loads(exchange.read())
     except UpstreamError as fault:
-        return ReportedState.TERMINATED if fault.refused else ReportedState.NONE
+        return ReportedState.TERMINATED if fault.refused else ReportedState.UNKNOWN
     except orjson.JSONDecodeError:
-        return ReportedState.NONE
+        return ReportedState.UNKNOWN
     born = report.get("born") if isinstance(report, dict) else None
     if type(born) is int and engine.born and born != engine.born:
         # Another start answers there: what was asked for has ended.
         return ReportedState.TERMINATED
     observe(engine, read_signals(exchange.status, exchange.headers), sent_at)
     if not isinstance(report, dict) or report.get("state") not in STATES:
-        return ReportedState.NONE
+        return ReportedState.UNKNOWN
     # The time it has left is told only by one whose end is fixed; others drain until the
     # platform has taken their notice.
     return ReportedState.LEAVING if report.get("leaves_ms") is not None else ReportedState.SERVING
