--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -1,4 +1,4 @@
-"""Keep this instance's entry in the platform, and read those of the others."""
+"""Registration of this instance with the platform, and discovery of the other instances."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
-REGISTER_PAUSE_S: Final = 0.3
-RELIST_S: Final = 5.0
-"""How often the list of instances is read again while fewer than two are known."""
-SEEDS_ANSWER_S: Final = 0.4
-"""Time in which seeds answer that start at about the same moment."""
-LATE_LIST_S: Final = 5.0
-"""When the list is read once more though peers are known; cheaply, as it may be old."""
+RETRY_PAUSE_S: Final = 0.3
+RELIST_INTERVAL_S: Final = 5.0
+"""Interval at which the list of instances is read while fewer than two are known."""
+SEED_ANSWER_TIMEOUT_S: Final = 0.4
+"""Time within which seeds answer that start at about the same moment."""
+FINAL_LIST_DELAY_S: Final = 5.0
+"""Delay of one last read of the list after peers are known; a cheap read, as it may be stale."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceEntries:
-    """Hold how the platform's entries of instances are read and written."""
+    """Access to the platform's entries of instances."""
 
     instances: Feed[Instance]
     old_instances: Feed[Instance]
-    """The same as it was some seconds ago, at a low price."""
+    """The same list as of some seconds ago; cheaper to read."""
     register: Callable[[Instance], None]
     withdraw: Callable[[str], None]
 
 
 class Registration:
-    """Write the own entry once, and learn who else is there until peers are known."""
+    """Writes this instance's entry once, and reads those of others until peers are known."""
 
     def __init__(
         self,
@@ -46,44 +46,44 @@
         entries: InstanceEntries,
         found: Callable[[tuple[Instance, ...]], None],
     ) -> None:
-        """Take the shared state, this instance, the platform's entries, and who hears of others."""
+        """Initialize with the state, this instance, the entries and the callback for others."""
         self._state = state
         self._own = own
         self._entries = entries
         self._instances = InstanceSource(found)
 
     def write(self) -> None:
-        """Write the own entry; raise PlatformUnavailable where it is not taken."""
+        """Write this instance's entry; raise PlatformUnavailable if the platform rejects it."""
         self._entries.register(self._own)
 
     def keep(self) -> None:
-        """Write the own entry once, and read those of others until peers are known.
+        """Write this instance's entry once, and read those of others until peers are known.
 
-        Seeds usually name the peers at once. A late read all the same joins two parts of
-        a fleet whose seeds do not know each other.
+        Seeds usually name the peers at once. One final read joins two parts of a fleet whose seeds
+        don't know each other.
         """
-        registered = False
+        is_registered = False
         while self._state.stopping_since is None:
             try:
-                if not registered:
+                if not is_registered:
                     self.write()
-                    registered = True
-                    gevent.sleep(SEEDS_ANSWER_S)
+                    is_registered = True
+                    gevent.sleep(SEED_ANSWER_TIMEOUT_S)
                 if self._state.instances.value > 1:
-                    gevent.sleep(LATE_LIST_S * (0.5 + self._state.source.random()))
+                    gevent.sleep(FINAL_LIST_DELAY_S * (0.5 + self._state.source.random()))
                     self._instances.listed(self._entries.old_instances.list().items)
                     return
                 self._instances.listed(self._entries.instances.list().items)
-                gevent.sleep(RELIST_S)
-            except PlatformUnavailable as fault:
+                gevent.sleep(RELIST_INTERVAL_S)
+            except PlatformUnavailable as error:
                 log_event(
-                    PREFIX_MEMBERSHIP, f"The platform's list of instances is out of reach: {fault}"
+                    PREFIX_MEMBERSHIP, f"The platform's list of instances is unreachable: {error}"
                 )
-                gevent.sleep(REGISTER_PAUSE_S * (1 + self._state.source.random()))
+                gevent.sleep(RETRY_PAUSE_S * (1 + self._state.source.random()))
 
     def withdraw(self) -> None:
-        """Remove the own entry; a stale one does no harm, as peers ask who lives."""
+        """Remove this instance's entry; a stale entry is harmless, as peers check liveness."""
         try:
             self._entries.withdraw(self._own.instance_id)
-        except PlatformUnavailable as fault:
-            log_event(PREFIX_DRAIN, f"The own entry is left behind: {fault}")
+        except PlatformUnavailable as error:
+            log_event(PREFIX_DRAIN, f"Failed to remove the own entry: {error}")
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -1,7 +1,7 @@
-"""Notice that the platform's store came back from an older copy, and write again what it lost.
+"""Recovery after the platform's store was restored from an older copy: rewrites lost entries.
 
-Each instance writes its own entry, spread over time; what all hold, one of them writes: the first
-by rendezvous hashing, and others later, in case that one does not live.
+Each instance rewrites its own entry, spread over time. Shared objects are rewritten by one
+instance: the first by rendezvous hashing, and later by substitutes in case that one has failed.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from driftstall.helpers.log import log_event
 
 WRITES_PER_S: Final = 20.0
-"""Entries that all instances together write in a second. Stores of the users take 100 to 400 writes
-a second; a fleet of 195 is listed again within ten."""
-SOONEST_S: Final = 0.3
-SPREAD_S: Final = 1.0
-"""The shortest time over which writes are spread."""
-SUBSTITUTES: Final = 3
-"""Instances that write what all hold, one after another; the later ones find it there."""
+"""Entries that all instances together write in a second. Production stores take 100 to 400 writes a
+second; a fleet of 195 is listed again within ten seconds."""
+MIN_WRITE_DELAY_S: Final = 0.3
+MIN_SPREAD_S: Final = 1.0
+"""Shortest time over which writes are spread."""
+MAX_WRITERS: Final = 3
+"""Instances that write a shared object one after another; the later ones usually find it stored."""
 SUBSTITUTE_AFTER_S: Final = 4.0
-TRY_AGAIN_S: Final = 1.0
-TRIES: Final = 30
-"""Tries while the store is away, half a minute in all."""
+RETRY_PAUSE_S: Final = 1.0
+MAX_ATTEMPTS: Final = 30
+"""Attempts while the store is unavailable, half a minute in all."""
 
 
 class StoreRecovery:
-    """Do what follows from a new era of the store."""
+    """Rewrites lost entries when the store's era shows that it was restored."""
 
     def __init__(
         self,
@@ -42,75 +42,77 @@
         *,
         own_id: str,
         live: Callable[[], tuple[Instance, ...]],
-        doubts: Callable[[], None],
-        settled: Callable[[], None],
+        on_restored: Callable[[], None],
+        on_settled: Callable[[], None],
     ) -> None:
-        """Take the shared state and the instances that live.
+        """Initialize with the shared state, a reader of the live instances, and the callbacks.
 
-        Doubts is called at once: what the store says may be less than is true. Settled is called
-        once what it lacks counts as gone.
+        The callable on_restored is called at once: the store may lack valid entries. The callable
+        on_settled is called when entries that are still missing count as removed.
         """
         self._state = state
         self._own_id = own_id
         self._live = live
-        self._doubts = doubts
-        self._settled = settled
+        self._on_restored = on_restored
+        self._on_settled = on_settled
         self._own_writes: list[Callable[[], None]] = []
-        self._common_writes: dict[str, Callable[[], None]] = {}
+        self._shared_writes: dict[str, Callable[[], None]] = {}
 
     def writes_again(self, write: Callable[[], None]) -> None:
-        """Register what this instance alone has written; it may raise PlatformUnavailable."""
+        """Register a write of this instance's own entry; it may raise PlatformUnavailable."""
         self._own_writes.append(write)
 
     def register_shared_write(self, what: str, write: Callable[[], None]) -> None:
-        """Register what all instances hold; it may raise PlatformUnavailable."""
-        self._common_writes[what] = write
+        """Register a write of an object that all instances hold; may raise PlatformUnavailable."""
+        self._shared_writes[what] = write
 
     def seen(self, era: int) -> None:
-        """Take in an era that the store or a peer has named."""
+        """Handle an era reported by the store or a peer; a new one starts the recovery."""
         before = self._state.eras.era
         if not self._state.eras.seen(era, self._state.now()):
             return
         instances = self._state.instances.value
         log_event(
             PREFIX_CONFIGURATION,
-            "The platform's store has come back from an older copy",
+            "The platform's store was restored from an older copy",
             era=era,
             before=before,
             instances=instances,
-            writes_again=["instance", *self._common_writes],
+            writes_again=["instance", *self._shared_writes],
         )
-        self._doubts()
+        self._on_restored()
         for after_s in (DOUBT_S, LEFT_DOUBT_S):
-            gevent.spawn_later(after_s, self._settled)
-        spread_s = max(SPREAD_S, instances / WRITES_PER_S)
+            gevent.spawn_later(after_s, self._on_settled)
+        spread_s = max(MIN_SPREAD_S, instances / WRITES_PER_S)
         for write in self._own_writes:
-            self._later(SOONEST_S + spread_s * self._state.source.random(), "instance", write)
-        for what, write in self._common_writes.items():
-            place = self._place(what)
-            if place < SUBSTITUTES:
-                self._later(DOUBT_S + SUBSTITUTE_AFTER_S * place, what, write)
-
-    def _place(self, what: str) -> int:
-        """Return how many instances come before this one to write something."""
+            self._schedule(
+                MIN_WRITE_DELAY_S + spread_s * self._state.source.random(), "instance", write
+            )
+        for what, write in self._shared_writes.items():
+            position = self._writer_position(what)
+            if position < MAX_WRITERS:
+                self._schedule(DOUBT_S + SUBSTITUTE_AFTER_S * position, what, write)
+
+    def _writer_position(self, what: str) -> int:
+        """Return how many instances come before this one as the writer of a shared object."""
         own = weight(what, self._own_id)
-        staying = [one for one in self._live() if not one.leaving]
-        return sum(weight(what, one.instance_id) > own for one in staying)
+        staying = [instance for instance in self._live() if not instance.leaving]
+        return sum(weight(what, instance.instance_id) > own for instance in staying)
 
-    def _later(self, after_s: float, what: str, write: Callable[[], None]) -> None:
-        """Have something written later."""
-        gevent.spawn_later(after_s, self._try, what, write)
+    def _schedule(self, after_s: float, what: str, write: Callable[[], None]) -> None:
+        """Schedule a write."""
+        gevent.spawn_later(after_s, self._write_with_retries, what, write)
 
-    def _try(self, what: str, write: Callable[[], None]) -> None:
-        """Write, again and again while the store is away."""
-        for _ in range(TRIES):
+    def _write_with_retries(self, what: str, write: Callable[[], None]) -> None:
+        """Write, and retry while the store is unavailable."""
+        for _ in range(MAX_ATTEMPTS):
             if self._state.stopping_since is not None:
                 return
             try:
                 write()
-                log_event(PREFIX_CONFIGURATION, f"Written again to the store: {what}")
+                log_event(PREFIX_CONFIGURATION, f"Rewritten to the store: {what}")
                 return
-            except PlatformUnavailable as fault:
-                log_event(PREFIX_CONFIGURATION, f"Not written again yet: {what}: {fault}")
-                gevent.sleep(TRY_AGAIN_S * (0.5 + self._state.source.random()))
-        log_event(PREFIX_CONFIGURATION, f"Not written again, the store stays away: {what}")
+            except PlatformUnavailable as error:
+                log_event(PREFIX_CONFIGURATION, f"Not rewritten to the store yet: {what}: {error}")
+                gevent.sleep(RETRY_PAUSE_S * (0.5 + self._state.source.random()))
+        log_event(PREFIX_CONFIGURATION, f"Not rewritten, the store stays unavailable: {what}")
