--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -40,7 +40,7 @@
 """How long callers keep a located address; some keep it three times as long."""
 MIN_ZONE_INSTANCES: Final = 2
 """Ready instances in the caller's zone from which on no other zone is named."""
-MOST_LOCATED: Final = 64
+MAX_LOCATED_INSTANCES: Final = 64
 NOT_READY_RETRY_S: Final = 0.5
 START_WAIT_S: Final = 0.3
 """How long a request waits for a fresh instance's first configuration; reading it takes less."""
@@ -329,4 +329,4 @@
         """Return the ready instances of the caller's zone if they suffice, else all."""
         ready = self._located()
         near = tuple(one for one in ready if one.zone == zone)
-        return (near if len(near) >= MIN_ZONE_INSTANCES else ready)[:MOST_LOCATED]
+        return (near if len(near) >= MIN_ZONE_INSTANCES else ready)[:MAX_LOCATED_INSTANCES]
