--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -22,7 +22,7 @@
 """How long a suspected instance has to refute."""
 FORGET_S: Final = 2 * 3600.0
 """A cut between regions may last an hour; the dead are asked again until then."""
-HELPERS: Final = 2
+INDIRECT_PROBERS: Final = 2
 MAX_CHANGES: Final = 10
 """Changes carried by one message."""
 SPREAD_FACTOR: Final = 6
@@ -301,7 +301,7 @@
                 if one.change.instance_id not in (self._own_id, probe.target)
                 and one.change.health in (Health.ALIVE, Health.LEAVING)
             ]
-            for helper in self._source.sample(others, min(HELPERS, len(others))):
+            for helper in self._source.sample(others, min(INDIRECT_PROBERS, len(others))):
                 request = PingRequest(self._own_id, number, probe.target, self._changes_to_send())
                 self._actions.append(SendTo(helper.instance_id, request))
 
