--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -209,7 +209,10 @@
     first, second = context.books
     for number in range(times):
         now = 20.0 + number
-        context.was_news = [second.take(first.told(now), now), first.take(second.told(now), now)]
+        context.was_news = [
+            second.merge(first.reports(now), now),
+            first.merge(second.reports(now), now),
+        ]
 
 
 @then("nothing of the third time was news to either")
@@ -233,8 +236,8 @@
     """Exchange, in half a minute."""
     for number in range(times):
         for teller, hearer in (context.books, reversed(context.books)):
-            told = teller.told(20.0 + number * 0.1)
-            hearer.take(told, 20.0 + number * 0.1 + 0.05)
+            reports = teller.reports(20.0 + number * 0.1)
+            hearer.merge(reports, 20.0 + number * 0.1 + 0.05)
 
 
 @then("both still refuse the request")
