--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -307,7 +307,7 @@
     """Look at what was asked, and answer it."""
     assert context.sent == [("follower", FleetAsked("instance-1"))], context.sent
     offered = FleetOffered("follower", context.followers.at, context.followers.taking)
-    context.sharing.take_fleet(offered)
+    context.sharing.handle_fleet_offer(offered)
     fleet = context.world.state.fleet
     assert fleet.digest == context.followers.digest
     assert not fleet.accepts_requests("u2") and fleet.accepts_requests("u4")
