--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -136,8 +136,8 @@
         self._upstream_prober = UpstreamProber(
             self.state,
             self._peering.own,
-            probers=lambda: self._reach.askers(),
-            is_platform_silent=lambda: self._reach.is_silent,
+            probers=lambda: self._store_reachability.askers(),
+            is_platform_silent=lambda: self._store_reachability.is_silent,
             on_suspected=self._upstreams.doubted,
             publish=self._peering.publish_suspicion,
         )
@@ -171,7 +171,7 @@
         )
         self._routing_reach = FeedReachability(self._routing_follower, self._routing_pace)
         self._upstream_reach = FeedReachability(self._upstream_follower, self._upstream_pace)
-        self._reach = StoreReachability(
+        self._store_reachability = StoreReachability(
             self._routing_reach,
             self._upstream_reach,
             delegation,
@@ -347,7 +347,7 @@
         return PlatformStatus(
             self._routing.version,
             self._policies.revision,
-            self._reach.is_answered,
+            self._store_reachability.is_answered,
             self._upstream_pace.age_s,
         )
 
