--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -61,7 +61,7 @@
         self._until: dict[str, float] = {}
         self._assumed_until: dict[str, float] = {}
 
-    def told(self, upstream_id: str, cold_s: float, now: float) -> None:
+    def record_cold(self, upstream_id: str, cold_s: float, now: float) -> None:
         """Take in an upstream's own word: for how long it is cold."""
         self._until[upstream_id] = now + cold_s
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -362,7 +362,7 @@
         if action.is_assumed:
             self._state.cold.assume(upstream.upstream_id, action.for_s, now)
         else:
-            self._state.cold.told(upstream.upstream_id, action.for_s, now)
+            self._state.cold.record_cold(upstream.upstream_id, action.for_s, now)
         log_event(
             PREFIX_ROUTING,
             f"Upstream {upstream.upstream_id} is cold for {action.for_s:.1f} s",
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -83,7 +83,7 @@
     context.add_cleanup(world.close)
     use_cold_rate(world, RATE)
     cold, warm = (one.upstream_id for one in world.plain)
-    world.state.cold.told(cold, 60.0, world.state.now())
+    world.state.cold.record_cold(cold, 60.0, world.state.now())
     context.warm = warm
 
 
@@ -116,7 +116,7 @@
 def says_cold(context: Any, seconds: float) -> None:
     """Note it."""
     context.cold = ColdStarts()
-    context.cold.told("u1", seconds, 0.0)
+    context.cold.record_cold("u1", seconds, 0.0)
     assert context.cold.ends_in_s("u1", 0.5) == seconds - 0.5
 
 
@@ -124,7 +124,7 @@
 def says_warm(context: Any, seconds: float) -> None:
     """Note it."""
     context.now = seconds
-    context.cold.told("u1", 0.0, seconds)
+    context.cold.record_cold("u1", 0.0, seconds)
 
 
 @then("it is cold no more")
@@ -143,7 +143,7 @@
     assert isinstance(action, UpstreamCold) and action.is_assumed, action
     assert (action.upstream.upstream_id, action.for_s) == ("u2", UNTOLD_S)
     context.cold.assume("u2", action.for_s, 1.0)
-    context.cold.told("u2", 0.0, 1.1)
+    context.cold.record_cold("u2", 0.0, 1.1)
     assert context.cold.ends_in_s("u2", 1.0) == seconds
 
 
@@ -178,7 +178,7 @@
     use_cold_rate(world, 0.25)
     world.pass_time(2.0)
     for one in world.plain:
-        world.state.cold.told(one.upstream_id, 60.0, world.state.now())
+        world.state.cold.record_cold(one.upstream_id, 60.0, world.state.now())
 
 
 @when("{count:d} calls come at once")
