--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -45,7 +45,7 @@
 START_WAIT_S: Final = 0.3
 """How long a request waits for a fresh instance's first configuration; reading it takes less."""
 CRASHES_PATH: Final = "/crashes"
-SMALL: Final = Limits(header_bytes=8_192, body_bytes=1_024)
+AUXILIARY_LIMITS: Final = Limits(header_bytes=8_192, body_bytes=1_024)
 """Limits of the listeners that take no requests of callers."""
 
 
@@ -229,7 +229,7 @@
 
     def _serve(self, raw: socket.socket, _: tuple[str, int]) -> None:
         """Serve one connection until it ends."""
-        connection = CallerConnection(raw, SMALL)
+        connection = CallerConnection(raw, AUXILIARY_LIMITS)
         try:
             while True:
                 call = connection.next()
