--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -25,7 +25,7 @@
 INDIRECT_PROBERS: Final = 2
 MAX_CHANGES: Final = 10
 """Changes carried by one message."""
-SPREAD_FACTOR: Final = 6
+RETRANSMIT_FACTOR: Final = 6
 """Times that one change is passed on."""
 
 
@@ -329,7 +329,7 @@
 
     def _changes_to_send(self, target: Change | None = None) -> tuple[Change, ...]:
         """Return the changes passed on least often, and oneself."""
-        limit = SPREAD_FACTOR * max(1, len(self._members).bit_length())
+        limit = RETRANSMIT_FACTOR * max(1, len(self._members).bit_length())
         fresh = sorted(self._transmissions.items(), key=lambda pair: pair[1])[: MAX_CHANGES - 1]
         news = [self._members[self._own_id].change]
         if target is not None and target.health in (Health.SUSPECT, Health.DEAD):
