--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -131,7 +131,9 @@
             apply_cordons=self._cordons.handle_peer_report,
             record_leaving=self._take_leaving,
         )
-        self._peering = Peering(self.state, intake, standing=self._standing, delegation=delegation)
+        self._peering = Peering(
+            self.state, intake, platform_status=self._standing, delegation=delegation
+        )
         self._delegation = delegation
         self._upstream_prober = UpstreamProber(
             self.state,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -72,7 +72,7 @@
         state: GatewayState,
         intake: PeerUpdateHandlers,
         *,
-        standing: Callable[[], PlatformStatus],
+        platform_status: Callable[[], PlatformStatus],
         delegation: WatchDelegation,
     ) -> None:
         """Take the shared state, how things are taken in, the standing, and the reliance."""
@@ -100,7 +100,7 @@
             self.own,
             roles=lambda: self._roles,
             live=lambda: self._members.live,
-            standing=standing,
+            platform_status=platform_status,
             broadcast=self._broadcast,
         )
         self._sharing = PlatformDataSharing(
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -82,7 +82,7 @@
         *,
         roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
-        standing: Callable[[], PlatformStatus],
+        platform_status: Callable[[], PlatformStatus],
         broadcast: Broadcast,
     ) -> None:
         """Take the shared state, readers of the fleet and of the standing, and how to send."""
@@ -90,7 +90,7 @@
         self._own = own
         self._roles = roles
         self._live = live
-        self._standing = standing
+        self._standing = platform_status
         self._broadcast = broadcast
         self._heard: dict[str, _Heard] = {}
         self._zones: dict[str, _HeardZone] = {}
@@ -136,12 +136,12 @@
         self._reported_at = self._state.now()
         uses, repeats = self._state.loads.own, self._state.repeat_counts()
         number = self._reports.add(uses, repeats)
-        standing = self._standing()
+        platform_status = self._standing()
         report = GatewayReport(
             self._own.instance_id,
             self._state.ready,
-            standing.platform_ok,
-            standing.routing_version,
+            platform_status.platform_ok,
+            platform_status.routing_version,
             uses,
             repeats,
             number,
@@ -208,12 +208,12 @@
     def _zone_summary(self) -> ZoneSummary:
         """Sum up what the instances of this zone report, with the own part."""
         fresh = self._fresh()
-        standing = self._standing()
+        platform_status = self._standing()
         return ZoneSummary(
             self._own.instance_id,
             self._own.zone,
-            standing.routing_version,
-            _milliseconds(standing.platform_age_s),
+            platform_status.routing_version,
+            _milliseconds(platform_status.platform_age_s),
             self._state.fleet.digest,
             len(fresh) + 1,
             self._own_ready() + tuple(one.report.sender for one in fresh if one.report.ready),
@@ -231,12 +231,12 @@
         counts = [*self._reported_repeats(fresh), *self._state.repeat_counts()]
         counts += [count for zone in zones for count in zone.repeats]
         ready = self.ready_peers() or set()
-        standing = self._standing()
+        platform_status = self._standing()
         return FleetSummary(
             self._own.instance_id,
-            standing.routing_version,
-            standing.policy_revision,
-            _milliseconds(self._least_age(standing)),
+            platform_status.routing_version,
+            platform_status.policy_revision,
+            _milliseconds(self._least_age(platform_status)),
             self._state.fleet.digest,
             len(fresh) + 1 + sum(zone.instances for zone in zones),
             tuple(sorted(ready.union(self._own_ready()))),
@@ -249,11 +249,11 @@
             self._state.fleet.leaving_records(self._state.now()),
         )
 
-    def _least_age(self, standing: PlatformStatus) -> float:
+    def _least_age(self, platform_status: PlatformStatus) -> float:
         """Return how long ago the platform last answered any collector, in seconds."""
         now = self._state.now()
         ages = [now - one.at + one.summary.platform_age_ms / MS for one in self._zones.values()]
-        return min([standing.platform_age_s, *ages])
+        return min([platform_status.platform_age_s, *ages])
 
     def _own_ready(self) -> tuple[str, ...]:
         """Return the own name if this instance takes requests."""
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -138,7 +138,7 @@
         Instance("instance-1", "", "", "a"),
         roles=FleetRoles,
         live=tuple,
-        standing=lambda: PlatformStatus(1, StoreVersion(1), True, 0.0),
+        platform_status=lambda: PlatformStatus(1, StoreVersion(1), True, 0.0),
         broadcast=lambda *_: None,
     )
     reporting.record_report(GatewayReport("peer", True, True, 1, (), (), 1, Cordons(), (), 0, ()))
