--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -145,16 +145,16 @@
         )
         self.state.on_upstream_suspected = self._upstream_prober.suspect
         self.state.signals.leaving = self._signalled_leaving
-        self._crash_keeper = CrashPersistence(self.state, access.crashes, self._roles)
+        self._crash_persistence = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
             self.state,
             gone=lambda upstream: self._upstream_prober.handle_bad_state(
                 upstream, ReportedState.TERMINATED
             ),
             changed=self._peering.publish_poison_evidence,
-            convicted=self._crash_keeper.convicted,
+            convicted=self._crash_persistence.convicted,
         )
-        self.state.on_quarantine_cleared = self._crash_keeper.cleared
+        self.state.on_quarantine_cleared = self._crash_persistence.cleared
         self.state.on_run_broken = watch.broke
         self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
@@ -197,7 +197,7 @@
         access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
         self._store_return.register_shared_write("policy", self._policy_keeper.write_again)
-        self._store_return.register_shared_write("crashes", self._crash_keeper.write_again)
+        self._store_return.register_shared_write("crashes", self._crash_persistence.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
@@ -220,7 +220,7 @@
             self._peering,
             self._protection,
             self._upstream_prober,
-            self._crash_keeper,
+            self._crash_persistence,
         ):
             part.start()
         for follower in (
