--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -148,7 +148,7 @@
         self._crash_persistence = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
             self.state,
-            gone=lambda upstream: self._upstream_prober.handle_bad_state(
+            on_crash=lambda upstream: self._upstream_prober.handle_bad_state(
                 upstream, ReportedState.TERMINATED
             ),
             changed=self._peering.publish_poison_evidence,
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -61,7 +61,7 @@
     context.convicted = []
     watch = CrashDetector(
         world.state,
-        gone=lambda _: None,
+        on_crash=lambda _: None,
         changed=lambda: None,
         convicted=context.convicted.append,
     )
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -186,7 +186,7 @@
     world.state.on_upstream_suspected = prober.suspect
     watch = CrashDetector(
         world.state,
-        gone=lambda upstream: prober.handle_bad_state(upstream, ReportedState.TERMINATED),
+        on_crash=lambda upstream: prober.handle_bad_state(upstream, ReportedState.TERMINATED),
         changed=lambda: None,
         convicted=lambda _: None,
     )
