--- a/features/worlds/config_world.py
+++ b/features/worlds/config_world.py
@@ -138,7 +138,7 @@
 
     def _offer(self, index: int, document: ConfigDocument) -> None:
         """Show an instance a configuration; it must never go back."""
-        self._instances[index].offer(document)
+        self._instances[index].apply_if_newer(document)
         generation = self._instances[index].document.generation
         assert generation >= self._seen[index], "an instance went back"
         self._seen[index] = generation
