--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -86,7 +86,7 @@
         self._known[upstream_id] = _Known(RateLimit(upstream_id, number, per_s), now)
         return True
 
-    def take(self, told: Iterable[RateLimit], now: float) -> tuple[RateLimit, ...]:
+    def merge(self, told: Iterable[RateLimit], now: float) -> tuple[RateLimit, ...]:
         """Take in what a peer knows; return what was new."""
         news = []
         for one in told:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -94,7 +94,7 @@
 
     def heard(self, told: Iterable[RateLimit], peer: str = "") -> bool:
         """Take in what a peer knows; return whether any of it was new."""
-        news = self._book.take(told, self._now())
+        news = self._book.merge(told, self._now())
         for one in news:
             self._log_changed(one.upstream_id, peer=peer)
         return bool(news)
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -207,11 +207,11 @@
             if one == other:
                 books[one].answered(UPSTREAM, per_s, now, now)
             else:
-                books[one].take(books[other].told, now)
+                books[one].merge(books[other].told, now)
         for one, other in itertools.product(range(count), repeat=2):
-            books[one].take(books[other].told, now)
+            books[one].merge(books[other].told, now)
         for one, other in itertools.product(range(count), repeat=2):
-            books[one].take(books[other].told, now)
+            books[one].merge(books[other].told, now)
         context.found.append([book.told for book in books])
 
     orders()
