--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -114,7 +114,7 @@
                 self._hub.send(one.instance_id, message)
 
 
-def fingerprint_of(context: RequestContext) -> str:
+def request_fingerprint(context: RequestContext) -> str:
     """Return what stands for a request's path, caller and body, as hexadecimal digits."""
     head = (context.method, context.path, context.workspace)
     return fingerprint(*(one.encode() for one in head), context.body)
--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -29,7 +29,7 @@
     send_json,
     send_problem,
 )
-from driftstall.daemon.blame_service import fingerprint_of
+from driftstall.daemon.blame_service import request_fingerprint
 from driftstall.daemon.http_server import ENVIRON_SOCKET, peer_is_there
 from driftstall.daemon.node import Node
 from driftstall.daemon.relay_service import (
@@ -119,7 +119,7 @@
         result = run_chain(self._chain(), context)
         if isinstance(result, Problem):
             return self._fail(start, result)
-        refusal = self._node.blame.refusal(fingerprint_of(result), Ran.NOT_RUN)
+        refusal = self._node.blame.refusal(request_fingerprint(result), Ran.NOT_RUN)
         if refusal is not None:
             return self._fail(start, refusal)
         if result.request is not None:
@@ -224,7 +224,7 @@
         relay = self._node.relay.begin(
             request, context.verdict, payload, ticket, _caller_check(environ[ENVIRON_SOCKET])
         )
-        relay.fingerprint = fingerprint_of(context)
+        relay.fingerprint = request_fingerprint(context)
         if payload.get("stream"):
             return self._stream(relay, request, start)
         return self._whole(relay, request, start)
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -18,7 +18,7 @@
 )
 from driftstall.controllers.claims import ClaimAnswer, ClaimAnswerKind
 from driftstall.core import Problem, Ran, Runner
-from driftstall.daemon.blame_service import BlameService, fingerprint_of
+from driftstall.daemon.blame_service import BlameService, request_fingerprint
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.hub import Hub
@@ -144,7 +144,7 @@
             done = self._send(runner, context)
             if done.answer is not None and done.answer.status != HTTP_NOT_RUN:
                 if done.answer.status < HTTP_FAILED:
-                    self._blame.record_success(fingerprint_of(context))
+                    self._blame.record_success(request_fingerprint(context))
                 return done.answer
             # A published 503 of these services says that the call was not run.
             maybe_ran = maybe_ran or (done.sent and done.answer is None)
@@ -152,7 +152,10 @@
             avoid.add(runner.runner_id)
             if maybe_ran and not context.repeatable:
                 break
-            if done.broke and self._blame.refusal(fingerprint_of(context), Ran.UNKNOWN) is not None:
+            if (
+                done.broke
+                and self._blame.refusal(request_fingerprint(context), Ran.UNKNOWN) is not None
+            ):
                 break
         ran = Ran.UNKNOWN if maybe_ran else Ran.NOT_RUN
         status = 502 if maybe_ran else 503
@@ -207,7 +210,7 @@
             return _Try(answer, True, f"the runner answered {answer.status}")
         except UpstreamError as fault:
             if fault.sent:
-                self._blame.broke(runner, fingerprint_of(context), under_way=False)
+                self._blame.broke(runner, request_fingerprint(context), under_way=False)
             else:
                 self._fleet.failed(runner_id)
             return _Try(None, fault.sent, str(fault), broke=fault.sent)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -144,7 +144,7 @@
         admitted = admission.admit(passage, self._state.wall())
         if isinstance(admitted, Problem):
             return admitted
-        return replace(admitted, fingerprint=fingerprint_of(call, admitted.workspace))
+        return replace(admitted, fingerprint=request_fingerprint(call, admitted.workspace))
 
     def _serve_admitted(
         self, connection: CallerConnection, call: CallerRequest, admitted: Admitted, *, keep: bool
@@ -210,7 +210,7 @@
         return connection.write(encode_problem(problem, keep=keep)) and keep
 
 
-def fingerprint_of(call: CallerRequest, workspace: str) -> str:
+def request_fingerprint(call: CallerRequest, workspace: str) -> str:
     """Return what stands for a request's path, caller and body."""
     return fingerprint(call.method, call.host.encode(), call.target, workspace.encode(), call.body)
 
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway import crash_detector
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
-from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, fingerprint_of
+from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, request_fingerprint
 from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
@@ -47,7 +47,7 @@
 def at_path(path: str) -> str:
     """Return the fingerprint of what the world's caller asks for at a path."""
     call = CallerRequest(b"POST", path.encode(), (), HOST, b"body", keep_alive=False, read_at=0.0)
-    return fingerprint_of(call, "north")
+    return request_fingerprint(call, "north")
 
 
 @given("a gateway that finds out which upstreams have crashed")
