--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -20,7 +20,7 @@
 ACK_TIMEOUT_S: Final = 0.3
 SUSPECT_S: Final = 2.0
 """How long a suspected instance has to refute."""
-FORGET_S: Final = 2 * 3600.0
+DEAD_RETENTION_S: Final = 2 * 3600.0
 """A cut between regions may last an hour; the dead are asked again until then."""
 INDIRECT_PROBERS: Final = 2
 MAX_CHANGES: Final = 10
@@ -323,7 +323,7 @@
             age = now - member.since
             if member.change.health == Health.SUSPECT and age >= SUSPECT_S:
                 self._store(replace(member.change, health=Health.DEAD.value), now)
-            elif member.change.health == Health.DEAD and age >= FORGET_S:
+            elif member.change.health == Health.DEAD and age >= DEAD_RETENTION_S:
                 del self._members[member.change.instance_id]
                 self._live = None
 
