--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -132,7 +132,7 @@
             record_leaving=self._take_leaving,
         )
         self._peering = Peering(
-            self.state, intake, platform_status=self._standing, delegation=delegation
+            self.state, intake, platform_status=self._platform_status, delegation=delegation
         )
         self._delegation = delegation
         self._upstream_prober = UpstreamProber(
@@ -344,7 +344,7 @@
         """Return who collects."""
         return self._peering.roles
 
-    def _standing(self) -> PlatformStatus:
+    def _platform_status(self) -> PlatformStatus:
         """Return what this instance knows of the platform."""
         return PlatformStatus(
             self._routing.version,
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -90,7 +90,7 @@
         self._own = own
         self._roles = roles
         self._live = live
-        self._standing = platform_status
+        self._platform_status = platform_status
         self._broadcast = broadcast
         self._heard: dict[str, _Heard] = {}
         self._zones: dict[str, _HeardZone] = {}
@@ -136,7 +136,7 @@
         self._reported_at = self._state.now()
         uses, repeats = self._state.loads.own, self._state.repeat_counts()
         number = self._reports.add(uses, repeats)
-        platform_status = self._standing()
+        platform_status = self._platform_status()
         report = GatewayReport(
             self._own.instance_id,
             self._state.ready,
@@ -208,7 +208,7 @@
     def _zone_summary(self) -> ZoneSummary:
         """Sum up what the instances of this zone report, with the own part."""
         fresh = self._fresh()
-        platform_status = self._standing()
+        platform_status = self._platform_status()
         return ZoneSummary(
             self._own.instance_id,
             self._own.zone,
@@ -231,7 +231,7 @@
         counts = [*self._reported_repeats(fresh), *self._state.repeat_counts()]
         counts += [count for zone in zones for count in zone.repeats]
         ready = self.ready_peers() or set()
-        platform_status = self._standing()
+        platform_status = self._platform_status()
         return FleetSummary(
             self._own.instance_id,
             platform_status.routing_version,
