--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -192,11 +192,11 @@
             on_restored=self._upstreams.store_returned,
             on_settled=self._list_again,
         )
-        self._policy_keeper = PolicyPersistence(self._policies, access.policy)
+        self._policy_persistence = PolicyPersistence(self._policies, access.policy)
         self.state.on_store_era = self._store_return.seen
         access.subscribe_store_eras(self._store_return.seen)
         self._store_return.writes_again(self._registration.write)
-        self._store_return.register_shared_write("policy", self._policy_keeper.write_again)
+        self._store_return.register_shared_write("policy", self._policy_persistence.write_again)
         self._store_return.register_shared_write("crashes", self._crash_persistence.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
