--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -151,7 +151,7 @@
             on_crash=lambda upstream: self._upstream_prober.handle_bad_state(
                 upstream, ReportedState.TERMINATED
             ),
-            changed=self._peering.publish_poison_evidence,
+            publish_evidence=self._peering.publish_poison_evidence,
             convicted=self._crash_persistence.convicted,
         )
         self.state.on_quarantine_cleared = self._crash_persistence.cleared
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -62,7 +62,7 @@
     watch = CrashDetector(
         world.state,
         on_crash=lambda _: None,
-        changed=lambda: None,
+        publish_evidence=lambda: None,
         convicted=context.convicted.append,
     )
     context.watch = watch
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -187,7 +187,7 @@
     watch = CrashDetector(
         world.state,
         on_crash=lambda upstream: prober.handle_bad_state(upstream, ReportedState.TERMINATED),
-        changed=lambda: None,
+        publish_evidence=lambda: None,
         convicted=lambda _: None,
     )
     world.state.on_run_broken = watch.broke
