--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -60,7 +60,7 @@
         return {one.upstream_id: one.per_s for one in limits if one.per_s is not None}
 
     @property
-    def told(self) -> tuple[RateLimit, ...]:
+    def reports(self) -> tuple[RateLimit, ...]:
         """Return all that is known, ended limits as well, for peers."""
         return tuple(one.limit for one in self._known.values())
 
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -69,7 +69,7 @@
     @property
     def told(self) -> tuple[RateLimit, ...]:
         """Return all that is known, for peers."""
-        return self._book.told
+        return self._book.reports
 
     def per_s(self, upstream_id: str) -> float | None:
         """Return the requests a second that an upstream takes; None if it names no limit."""
@@ -77,7 +77,7 @@
 
     def keep_only(self, upstream_ids: Callable[[], set[str]]) -> set[str]:
         """Forget upstreams that are gone; return those that name a limit."""
-        if not self._book.told:
+        if not self._book.reports:
             return set()
         self._book.keep_only(upstream_ids(), self._now())
         limited = set(self._book.limited)
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -207,12 +207,12 @@
             if one == other:
                 books[one].answered(UPSTREAM, per_s, now, now)
             else:
-                books[one].merge(books[other].told, now)
+                books[one].merge(books[other].reports, now)
         for one, other in itertools.product(range(count), repeat=2):
-            books[one].merge(books[other].told, now)
+            books[one].merge(books[other].reports, now)
         for one, other in itertools.product(range(count), repeat=2):
-            books[one].merge(books[other].told, now)
-        context.found.append([book.told for book in books])
+            books[one].merge(books[other].reports, now)
+        context.found.append([book.reports for book in books])
 
     orders()
 
@@ -270,7 +270,7 @@
 def forgotten(context: Any) -> None:
     """Let it go, some time after."""
     context.book.keep_only(set(), 10.0 + UNKNOWN_KEPT_S + 0.1)
-    assert context.book.told == ()
+    assert context.book.reports == ()
 
 
 @given("an allowance of {per_s:g} request a second that has just given all it had")
