--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -1,15 +1,16 @@
-"""Decide how many requests a cold upstream is sent.
-
-Pattern: an upstream has just started, or its zone was empty for a while. For some seconds it bears
-only a given rate of requests and falls over well above it. It is also the emptiest one, so all
-instances choose it at the same moment, most of all where a whole zone comes back under a burst.
-It may turn cold at any moment, and the platform tells of it a second or two later.
-
-Each instance has an even part of the rate, whoever it hears: so the sum holds while instances are
-cut off from each other. A part is far below one request a second in a large fleet. Credit that adds
-up while nothing is sent would let all instances send at once; so a part is a slot now and then, at
-a phase drawn by lot, that lapses unless it is used within a moment. Who places streams for a whole
-zone has half of the rate in even parts of zones; the instances share the other half.
+"""Limit the requests sent to a cold upstream.
+
+For some seconds after its start, or after its zone was empty for a while, an upstream bears only a
+given rate of requests and fails well above it. It is also the emptiest one, so all instances
+choose it at the same moment, most of all where a whole zone comes back under a burst. It may turn
+cold at any moment, and the platform reports it a second or two later.
+
+Each instance has an even part of the rate, regardless of which instances it hears from: so the
+total holds while instances are cut off from each other. In a large fleet a part is far below one
+request a second. Credit that accumulates while nothing is sent would let all instances send at
+once; so a part is an occasional slot, at a random phase, that lapses unless it is used within a
+moment. Instances that place streams for a whole zone share half of the rate in even parts by zone;
+the other instances share the other half.
 """
 
 from __future__ import annotations
@@ -19,67 +20,71 @@
 from typing import Final
 
 SLOT_S: Final = 0.3
-"""How long a slot may be used. A second sees slots of 1.3 s, so this costs a third of the rate."""
+"""How long a slot may be used. Any second sees the slots of 1.3 s, so this costs a third of the
+rate."""
 INSTANCES_SHARE: Final = 0.8
-"""Part of the rate that instances use where nobody places for them; the rest covers what was sent
-before anyone knew that the upstream is cold, and streams that can go on nowhere else."""
+"""Part of the rate that instances use where no placer places for them; the remainder covers
+requests that were sent before the upstream was known to be cold, and streams that can resume
+nowhere else."""
 PLACERS_SHARE: Final = 0.4
-"""Part of the rate that those who place for zones use; instances that can't ask them have the
-same part."""
+"""Part of the rate that the placers of zones use; instances that can't ask a placer have the same
+part."""
 UNTOLD_S: Final = 2.5
-"""How long an upstream is taken for cold that may be so without having said it: its own word comes
-with its heartbeat (1.2 s) and the platform's delay (0.8 s), and a hop between instances."""
+"""How long an upstream that may be cold is assumed to be so without having reported it: its report
+comes with its heartbeat (1.2 s) and the platform's delay (0.8 s), and a hop between instances."""
 QUIET_START_S: Final = 1.5
-"""How long a fresh instance sends nothing to cold upstreams: it does not know yet how many share
-the rate. Peers answer within half a second, collectors within one."""
+"""How long a new instance sends nothing to cold upstreams: it does not know yet how many instances
+share the rate. Peers answer within half a second, collectors within one."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdPart:
-    """Hold how often one sharer may send to a cold upstream."""
+    """Describe how often one sharer may send to a cold upstream."""
 
     per_s: float
     """Requests a second; zero for none at all."""
 
     @classmethod
     def of_instance(cls, rate: float, instances: int, *, placed: bool) -> ColdPart:
-        """Return an instance's part; placed tells whether others place for zones."""
+        """Return an instance's part; placed tells whether placers place for zones."""
         share = PLACERS_SHARE if placed else INSTANCES_SHARE
         return cls(share * rate / max(1, instances))
 
     @classmethod
     def of_placer(cls, rate: float, zones: int) -> ColdPart:
-        """Return the part of one that places for a whole zone."""
+        """Return the part of a placer of a whole zone."""
         return cls(PLACERS_SHARE * rate / max(1, zones))
 
 
 class ColdStarts:
-    """Remember until when upstreams are cold."""
+    """Track until when upstreams are cold."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without cold upstreams."""
         self._until: dict[str, float] = {}
         self._assumed_until: dict[str, float] = {}
 
     def record_cold(self, upstream_id: str, cold_s: float, now: float) -> None:
-        """Take in an upstream's own word: for how long it is cold."""
+        """Record for how long an upstream reports to be cold."""
         self._until[upstream_id] = now + cold_s
 
     def assume(self, upstream_id: str, for_s: float, now: float) -> None:
-        """Take an upstream for cold that has not said so; its own word does not shorten this."""
+        """Assume an upstream to be cold; its own report does not shorten this."""
         before = self._assumed_until.get(upstream_id, now)
         self._assumed_until[upstream_id] = max(before, now + for_s)
 
     def ends_in_s(self, upstream_id: str, now: float) -> float:
         """Return for how long an upstream is still cold; zero if it is not."""
-        told = self._until.get(upstream_id, now)
+        reported = self._until.get(upstream_id, now)
         assumed = self._assumed_until.get(upstream_id, now)
-        return max(0.0, told - now, assumed - now)
+        return max(0.0, reported - now, assumed - now)
 
     def forget_ended(self, now: float) -> None:
-        """Forget what is over."""
+        """Forget upstreams that are no longer cold."""
         for times in (self._until, self._assumed_until):
-            for upstream_id in [one for one, until in times.items() if until <= now]:
+            for upstream_id in [
+                upstream_id for upstream_id, until in times.items() if until <= now
+            ]:
                 del times[upstream_id]
 
 
@@ -87,18 +92,18 @@
     """Hold one sharer's slots for cold upstreams."""
 
     def __init__(self, source: random.Random) -> None:
-        """Take a random source for the phases."""
+        """Initialize with a random source for the phases."""
         self._source = source
         self._next_at: dict[str, float] = {}
 
     def wait_s(self, upstream_id: str, part: ColdPart, now: float) -> float:
-        """Return how long to wait for a slot; zero where there is one now."""
+        """Return the seconds to wait for a slot; zero where there is one now."""
         if part.per_s <= 0:
             return float("inf")
         period_s = 1 / part.per_s
         next_at = self._next_at.get(upstream_id)
         if next_at is None or now - next_at > period_s:
-            # Slots that were not used are lost; so are those of a time when it was not cold.
+            # Unused slots are lost; so are those of a time when the upstream was not cold.
             next_at = now + period_s * self._source.random()
         elif now - next_at > SLOT_S:
             next_at += period_s
@@ -106,12 +111,12 @@
         return max(0.0, next_at - now)
 
     def take(self, upstream_id: str, part: ColdPart) -> None:
-        """Use the slot there is now."""
+        """Use the current slot."""
         next_at = self._next_at.get(upstream_id)
         if next_at is not None and part.per_s > 0:
             self._next_at[upstream_id] = next_at + 1 / part.per_s
 
     def keep_only(self, upstream_ids: set[str]) -> None:
-        """Forget upstreams that are gone."""
-        for upstream_id in [one for one in self._next_at if one not in upstream_ids]:
+        """Forget removed upstreams."""
+        for upstream_id in [known_id for known_id in self._next_at if known_id not in upstream_ids]:
             del self._next_at[upstream_id]
--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -1,19 +1,21 @@
-"""Decide which requests an upstream gets that names how many a second it takes.
-
-Pattern: some requests a second, or less than one, are shared by a fleet of hundreds of instances
-of which each sees hardly a request a second. An upstream that is sent little is the emptiest one,
-so all choose it. Even parts would leave most of the limit unused. So one instance gives leave for
-each such upstream: rendezvous hashing over the member list names it, and it is asked before each
-send. It spaces permits evenly; one that is not used within a moment lapses.
-
-The sum holds while instances don't agree on who lives: who has just become the one to ask gives
-nothing for a while in which the others learn of it, nor does one that was paused, and one that
-hears less of the fleet than it did lately gives the like part of the limit. Who can't reach the
-one it is to ask sends nothing.
-
-Who is denied is told when to ask again, spread over time, so that an upstream's peers are chosen
-meanwhile and the questions stay about twice as many as the permits. Where nothing else is left, a
-request may wait for its turn; less urgent ones wait for half as long, but for each third permit.
+"""Space the requests sent to an upstream with a rate limit by permits from one owner.
+
+Some requests a second, or fewer than one, are shared by a fleet of hundreds of instances, each of
+which sees hardly a request a second. An upstream that is sent little looks the emptiest, so all
+instances would choose it; even shares would leave most of the limit unused. So one instance gives
+the permits for each such upstream: rendezvous hashing over the member list selects this owner, and
+it is asked before each send. It spaces permits evenly; a permit that is not used within a moment
+lapses.
+
+The total holds while instances disagree on the live members: an instance that has just become the
+owner gives no permits for a while in which the others learn of it, nor does one that was paused,
+and an owner that hears from only part of the lately known instances gives the same part of the
+limit. An instance that can't reach the owner sends nothing.
+
+A denial says when to ask again, spread over time, so that an upstream's peers are chosen meanwhile
+and the owner is asked about twice as often as it gives permits. Where no other upstream remains, a
+request may wait for its turn; less urgent ones wait for half as long, except for each third
+permit.
 """
 
 from __future__ import annotations
@@ -22,52 +24,52 @@
 from typing import Final
 
 BURST_PERMITS: Final = 2.0
-"""Permits that add up while none is asked for. Within any time t an upstream gets no more than its
-limit times t and three more (and what streams under way take ahead): a limit of 0.5 a second is
-used by requests that come in pairs."""
+"""Permits that accumulate while none is asked for. Within any time t an upstream gets at most its
+limit times t plus three more (and what streams under way take ahead): a limit of 0.5 a second can
+so be used by requests that come in pairs."""
 MIN_RATE_PER_S: Final = 0.1
-"""What an upstream is sent that takes nothing, or less than this: only an answer tells that its
+"""Rate for an upstream that accepts nothing, or less than this: only a response tells that its
 limit has ended. One request in ten seconds."""
 SETTLE_S: Final = 1.0
-"""How long one that has just become the one to ask gives nothing: all instances know the same
-members within half a second, and permits given by the one before have lapsed by then."""
+"""How long a new owner gives no permits: all instances know the same members within half a second,
+and permits given by the previous owner have lapsed by then."""
 STALE_AFTER_S: Final = 1.0
-"""After a gap of this length between two looks the process has stood still: another one may have
-given permits meanwhile, and stops only when it hears of this one."""
+"""A gap of this length between two calls of sync means that the process was paused: another
+instance may have given permits meanwhile, and stops only when it hears from this one."""
 MAX_DEBT_PERMITS: Final = 3.0
 """Permits that streams under way, and calls that are not held back, may take ahead of time. They
-are taken off what follows, so over any longer time the sum stays the same."""
+are deducted from later ones, so over any longer time the total stays the same."""
 ASKS_PER_PERMIT: Final = 2.0
-"""Questions for each permit that who is denied is told to ask: not each one has a request to send
-when its time has come."""
+"""Times that denied instances are told to ask, for each permit: not every instance still has a
+request to send when its time has come."""
 MAX_DENIAL_S: Final = 2.0
-"""The longest time that one who is denied is told to wait; in fleets of hundreds the questions are
-as many as the instances in this time then."""
+"""The longest time that a denied instance is told to wait; in fleets of hundreds the owner is
+asked as often as there are instances within this time."""
 NOT_OWNER_RETRY_S: Final = 0.3
-"""When to ask again one that does not answer for an upstream: the member lists differ."""
+"""When to ask again an instance that is not the owner: the member lists differ."""
 LOW_RANK_WAIT_SHARE: Final = 0.5
-"""Share of its patience that a request waits while more urgent ones ask as well."""
+"""Share of its maximum wait that a request waits while more urgent ones ask as well."""
 MAX_URGENT_IN_A_ROW: Final = 2
-"""More urgent requests that get permits before a less urgent one may wait for as long as they."""
+"""More urgent requests that get permits before a less urgent one may wait for its full time."""
 URGENT_MEMORY_S: Final = 2.0
-"""How long a question counts by which more urgent requests are known to come."""
+"""How long a permit request counts as a sign that more urgent requests are coming."""
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 5.0
-"""Times that callers are told lie between these; most give up before a longer one."""
+"""Retry times for callers lie between these; most callers give up before a longer one."""
 PERMIT_LAPSE_S: Final = 0.3
 """How long after its time a permit may be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendNeed:
-    """Hold what one request asks of an upstream with a limit."""
+    """Describe what one request needs from an upstream with a limit."""
 
     most_wait_s: float
-    """How long it can wait for its turn; zero where another upstream takes it."""
+    """How long it can wait for its turn; zero where another upstream accepts it."""
     rank: int
     """Zero comes first."""
     under_way: bool = False
-    """Whether it is a stream that can go on nowhere else."""
+    """Whether it is a stream that can resume nowhere else."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """Refuse a send, and say when to ask again."""
+    """Deny a send, and say when to ask again."""
 
     retry_in_s: float
 
@@ -91,37 +93,37 @@
     """Space the permits of one upstream."""
 
     def __init__(self, now: float) -> None:
-        """Start with nothing saved up, and nothing to give for a while."""
+        """Initialize without accumulated permits, and with none to give for SETTLE_S."""
         self._next_at = now + SETTLE_S
-        """When the next permit is due; in the past where some were saved up."""
-        self._quiet_until = now + SETTLE_S
-        self._ask_at = now
-        """When the next one that is denied is told to ask again."""
+        """When the next permit is due; in the past where some have accumulated."""
+        self._settles_at = now + SETTLE_S
+        self._next_ask_at = now
+        """When the next denied instance is told to ask again."""
         self._rank = 0
         self._rank_until = float("-inf")
         self._urgent_in_a_row = 0
 
     def ask(self, need: SendNeed, per_s: float, now: float) -> Verdict:
-        """Give or refuse one permit; per_s is what may be given a second."""
+        """Give or deny one permit; per_s is the rate at which permits may be given."""
         gap_s = 1 / max(MIN_RATE_PER_S, per_s)
         wait_s = self.wait_s(per_s, now)
-        if now < self._quiet_until:
+        if now < self._settles_at:
             return self._deny(wait_s, gap_s, now)
         due_at = max(self._next_at, now - BURST_PERMITS * gap_s)
         if need.under_way and wait_s <= MAX_DEBT_PERMITS * gap_s:
             self._next_at = due_at + gap_s
             return Permit(0.0)
-        patience_s = self._patience_s(need, now)
-        if wait_s > patience_s:
+        max_wait_s = self._max_wait_s(need, now)
+        if wait_s > max_wait_s:
             return self._deny(wait_s, gap_s, now)
         self._next_at = due_at + gap_s
-        self._note_rank(need, now)
+        self._record_rank(need, now)
         return Permit(wait_s)
 
     def wait_s(self, per_s: float, now: float) -> float:
-        """Return how long it is until the next permit, without taking it."""
+        """Return the seconds until the next permit, without taking it."""
         due_at = max(
-            self._next_at, now - BURST_PERMITS / max(MIN_RATE_PER_S, per_s), self._quiet_until
+            self._next_at, now - BURST_PERMITS / max(MIN_RATE_PER_S, per_s), self._settles_at
         )
         return max(0.0, due_at - now)
 
@@ -132,20 +134,20 @@
         self._next_at = min(due_at + gap_s, now + MAX_DEBT_PERMITS * gap_s)
 
     def _deny(self, wait_s: float, gap_s: float, now: float) -> Denial:
-        """Refuse, and tell each one a time of its own."""
-        at = max(self._ask_at, now + wait_s)
-        self._ask_at = min(at + gap_s / ASKS_PER_PERMIT, now + max(wait_s, MAX_DENIAL_S))
+        """Deny, with a separate time to ask again for each denial."""
+        at = max(self._next_ask_at, now + wait_s)
+        self._next_ask_at = min(at + gap_s / ASKS_PER_PERMIT, now + max(wait_s, MAX_DENIAL_S))
         return Denial(at - now)
 
-    def _patience_s(self, need: SendNeed, now: float) -> float:
-        """Return how long a request may wait: less while more urgent ones come."""
+    def _max_wait_s(self, need: SendNeed, now: float) -> float:
+        """Return the maximum wait of a request: shorter while more urgent ones come."""
         is_less_urgent = now < self._rank_until and need.rank > self._rank
         if is_less_urgent and self._urgent_in_a_row < MAX_URGENT_IN_A_ROW:
             return LOW_RANK_WAIT_SHARE * need.most_wait_s
         return need.most_wait_s
 
-    def _note_rank(self, need: SendNeed, now: float) -> None:
-        """Remember the most urgent rank of late, and how often in a row it has had its turn."""
+    def _record_rank(self, need: SendNeed, now: float) -> None:
+        """Record the most urgent recent rank, and how often in a row it got a permit."""
         if now >= self._rank_until or need.rank <= self._rank:
             self._urgent_in_a_row += 1
             self._rank, self._rank_until = need.rank, now + URGENT_MEMORY_S
@@ -154,25 +156,25 @@
 
 
 class Allowances:
-    """Hold the allowances of the upstreams that one instance answers for."""
+    """Hold the allowances of the upstreams that this instance owns."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without allowances."""
         self._allowances: dict[str, Allowance] = {}
-        self._looked_at = float("-inf")
+        self._synced_at = float("-inf")
 
     def sync(self, upstream_ids: set[str], now: float) -> None:
-        """Take in for which upstreams this instance is the one to ask; to be told often."""
-        if now - self._looked_at > STALE_AFTER_S:
+        """Set the upstreams that this instance owns; to be called more often than STALE_AFTER_S."""
+        if now - self._synced_at > STALE_AFTER_S:
             self._allowances.clear()
-        self._looked_at = now
+        self._synced_at = now
         for upstream_id in self._allowances.keys() - upstream_ids:
             del self._allowances[upstream_id]
         for upstream_id in upstream_ids - self._allowances.keys():
             self._allowances[upstream_id] = Allowance(now)
 
     def ask(self, upstream_id: str, need: SendNeed, per_s: float, now: float) -> Verdict:
-        """Give or refuse a permit for an upstream."""
+        """Give or deny a permit for an upstream."""
         allowance = self._find(upstream_id, now)
         if allowance is None:
             return Denial(NOT_OWNER_RETRY_S)
@@ -185,54 +187,54 @@
             allowance.charge(per_s, now)
 
     def _find(self, upstream_id: str, now: float) -> Allowance | None:
-        """Return an upstream's allowance, unless this instance has just stood still."""
-        if now - self._looked_at > STALE_AFTER_S:
+        """Return an upstream's allowance, unless this instance was just paused."""
+        if now - self._synced_at > STALE_AFTER_S:
             return None
         return self._allowances.get(upstream_id)
 
 
 def scaled_limit(per_s: float, heard: int, lately: int) -> float:
-    """Return the part of a limit for one that hears of so many of the instances known lately.
+    """Return a limit scaled by the share of lately known instances that are heard from.
 
-    Both sides of a cut stay below the limit together.
+    So both sides of a network partition stay below the limit together.
     """
     return per_s * min(1.0, heard / max(1, lately))
 
 
 class DenialTracker:
-    """Remember, for one that asks, when it may ask again."""
+    """Track when an asking instance may ask again for each upstream."""
 
     def __init__(self) -> None:
-        """Start with nothing denied."""
-        self._again_at: dict[str, float] = {}
+        """Initialize without denials."""
+        self._retry_at: dict[str, float] = {}
 
     def denied(self, upstream_id: str, denial: Denial, now: float) -> None:
         """Take in a denial."""
-        self._again_at[upstream_id] = now + denial.retry_in_s
+        self._retry_at[upstream_id] = now + denial.retry_in_s
 
     def retry_in_s(self, upstream_id: str, now: float) -> float:
-        """Return how long not to ask for an upstream; zero for now."""
-        return max(0.0, self._again_at.get(upstream_id, now) - now)
+        """Return the seconds until an upstream may be asked for; zero for now."""
+        return max(0.0, self._retry_at.get(upstream_id, now) - now)
 
     def keep_only(self, upstream_ids: set[str]) -> None:
-        """Forget upstreams that name no limit any more."""
-        for upstream_id in self._again_at.keys() - upstream_ids:
-            del self._again_at[upstream_id]
+        """Forget upstreams that no longer state a limit."""
+        for upstream_id in self._retry_at.keys() - upstream_ids:
+            del self._retry_at[upstream_id]
 
 
 class RetryTimes:
-    """Tell callers that an instance turns away when it is their turn, each a time of its own."""
+    """Give each refused caller of a service a retry time of its own."""
 
     def __init__(self) -> None:
-        """Start with nobody told."""
-        self._told_until: dict[str, float] = {}
+        """Initialize without refused callers."""
+        self._scheduled_until: dict[str, float] = {}
 
     def next_s(self, service: str, first_s: float, per_s: float, now: float) -> float:
-        """Return when the next caller's turn is.
+        """Return the seconds after which the next caller is to retry.
 
-        First is when this instance may ask again at the earliest, per_s its even part of what the
-        service's upstreams take.
+        First is when this instance may ask again at the earliest, per_s its even share of what the
+        service's upstreams accept.
         """
-        at = max(self._told_until.get(service, now), now + first_s)
-        self._told_until[service] = min(at + 1 / max(MIN_RATE_PER_S, per_s), now + MAX_RETRY_S)
+        at = max(self._scheduled_until.get(service, now), now + first_s)
+        self._scheduled_until[service] = min(at + 1 / max(MIN_RATE_PER_S, per_s), now + MAX_RETRY_S)
         return max(MIN_RETRY_S, at - now)
--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -1,12 +1,13 @@
-"""Decide who places streams for a large fleet, and what it remembers of its choices.
+"""Select the instance that places streams for a large fleet, and track its placements.
 
-Pattern: in a large fleet each instance sees hardly a request a second, and the sums of what runs
-where are half a second old when they arrive. Prompts that several instances place meanwhile meet
-on one engine, unseen by each other, and are read one after another; with one that places for each
-zone they still meet on an engine that has just joined. So one instance places for all, in order;
-it is asked, and asks nobody.
+In a large fleet each instance sees hardly a request a second, and the summed loads are half a
+second old when they arrive. Prompts that several instances place meanwhile land unseen on the same
+engine and are read one after another; with one placer for each zone they still collide on an
+engine that has just joined. So one instance places all streams, in order; it is asked, and asks no
+other.
 
-Any instance places by itself where nobody answers in time. Who is silent is left out for a while.
+Any instance places by itself where no placer answers in time. A silent placer is excluded for a
+while.
 """
 
 from __future__ import annotations
@@ -16,94 +17,99 @@
 from typing import Final
 
 MAX_COMPARED_UPSTREAMS: Final = 64
-"""Engines that are compared for one stream; where there are more, as many are drawn by lot."""
+"""Engines that are compared for one stream; where there are more, this many are sampled at random.
+"""
 PLACEMENT_TIMEOUT_S: Final = 0.05
-"""How long an answer is waited for: a hop within a zone takes 1.4 ms one way; a stream that
-waits in vain loses a thirtieth of its target of 1.5 s."""
+"""How long to wait for an answer: a hop within a zone takes 1.4 ms one way; a stream that waits in
+vain loses a thirtieth of its target of 1.5 s."""
 EXCLUSION_S: Final = 1.0
-"""How long one that gave no answer is not asked. About as long as it takes the member list to
-find out that an instance is gone."""
+"""How long a placer that gave no answer is not asked. About as long as it takes the member list to
+drop a failed instance."""
 MAX_EXCLUSION_S: Final = 8.0
-"""The same for one that is silent again and again: it is slow, or cut off from here alone, and each
-question to it costs a stream its patience."""
+"""Upper bound for a placer that stays silent: it is slow, or cut off from this instance alone, and
+each unanswered question costs a stream PLACEMENT_TIMEOUT_S."""
 PENDING_S: Final = 1.0
-"""How long a choice counts that no report confirms: the longest time between two reports."""
+"""How long a placement counts without a report that confirms it: the longest time between two
+reports."""
 REPORT_DELAY_S: Final = 0.01
-"""What a choice and a report take on their ways; a report does not tell of later choices."""
+"""Time that a placement and a report take on their ways; a report does not show later placements.
+"""
 
 
 @dataclass(frozen=True, slots=True)
-class _LeftOut:
-    """Hold until when one is not asked, and how long that is in all."""
+class _Exclusion:
+    """Describe until when a placer is excluded, and for how long in total."""
 
     until: float
     for_s: float
 
 
 class PlacerSelector:
-    """Say who of those that may place is asked."""
+    """Select the placer to ask among the candidates."""
 
     def __init__(self) -> None:
-        """Start with nobody left out."""
-        self._left_out: dict[str, _LeftOut] = {}
+        """Initialize without exclusions."""
+        self._exclusions: dict[str, _Exclusion] = {}
 
     def select(self, placers: Iterable[str], now: float) -> str | None:
-        """Return the first that is not left out."""
-        return next((one for one in placers if not self._is_left_out(one, now)), None)
+        """Return the first placer that is not excluded."""
+        return next((placer for placer in placers if not self._is_excluded(placer, now)), None)
 
     def record_timeout(self, placer: str, now: float) -> None:
-        """Leave one out that gave no answer in time; longer if it has hardly been asked again."""
-        before = self._left_out.get(placer)
+        """Exclude a placer that gave no answer in time; longer if it has just been excluded."""
+        before = self._exclusions.get(placer)
         if before is not None and now < before.until:
-            # One of several questions that it was asked at the same time.
+            # Another of several questions that were under way at the same time.
             return
         for_s = EXCLUSION_S
         if before is not None and now - before.until <= before.for_s:
             for_s = min(MAX_EXCLUSION_S, 2 * before.for_s)
-        self._left_out[placer] = _LeftOut(now + for_s, for_s)
+        self._exclusions[placer] = _Exclusion(now + for_s, for_s)
 
-    def _is_left_out(self, placer: str, now: float) -> bool:
-        """Tell whether one is not asked now."""
-        left_out = self._left_out.get(placer)
-        return left_out is not None and now < left_out.until
+    def _is_excluded(self, placer: str, now: float) -> bool:
+        """Return True if a placer is excluded now."""
+        exclusion = self._exclusions.get(placer)
+        return exclusion is not None and now < exclusion.until
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """Hold one choice that no report shows yet."""
+    """Describe one placement that no report shows yet."""
 
     member: str
     at: float
 
 
 class PendingPlacements:
-    """Remember choices until the member they were made for reports what it runs."""
+    """Track placements until the member they were made for reports them."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without placements."""
         self._pending: dict[str, _Pending] = {}
 
     def add(self, member: str, request_id: str, now: float) -> None:
-        """Remember a choice; a later one for the same request stands in its place."""
+        """Track a placement; a later one for the same request replaces it."""
         self._pending[request_id] = _Pending(member, now)
 
     def reported(self, member: str, now: float) -> tuple[str, ...]:
-        """Return the requests that a member's report has just confirmed, and forget them."""
-        return self._take(
+        """Remove and return the requests that a member's report confirms."""
+        return self._remove(
             request_id
-            for request_id, one in self._pending.items()
-            if one.member == member and one.at <= now - REPORT_DELAY_S
+            for request_id, placement in self._pending.items()
+            if placement.member == member and placement.at <= now - REPORT_DELAY_S
         )
 
     def expired(self, now: float) -> tuple[str, ...]:
-        """Return the requests that nobody has reported in time, and forget them."""
-        return self._take(
-            request_id for request_id, one in self._pending.items() if now - one.at > PENDING_S
+        """Remove and return the requests that no member has reported in time."""
+        return self._remove(
+            request_id
+            for request_id, placement in self._pending.items()
+            if now - placement.at > PENDING_S
         )
 
-    def _take(self, found: Iterable[str]) -> tuple[str, ...]:
-        """Forget requests and return them."""
-        taken = tuple(found)
-        for request_id in taken:
+    def _remove(self, found: Iterable[str]) -> tuple[str, ...]:
+        """Remove requests and return them."""
+        removed = tuple(found)
+        for request_id in removed:
             del self._pending[request_id]
-        return taken
+        return removed
--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -1,14 +1,14 @@
-"""Decide who asks engines for their own word, and for how long a bad one holds.
+"""Decide which instances probe an upstream, and how long a bad probe result holds.
 
-Pattern: the platform's store is away for seconds, and engines leave meanwhile. Their notices
-stand only in the store, so instances go on to place streams and copies on engines that end a
-moment later; a stream whose engine and whose copy's engine both end so is lost. An engine
-itself says in how long it ends, some 0.5 s after it has got its notice and 1.2 to 1.5 s before
-it ends, and one that has ended refuses connections at once. So while the store answers nobody,
-a few instances ask each engine and tell all others.
+While the platform's store is silent for seconds, engines may leave. Their notices stand only in
+the store, so instances would go on to place streams and replicas on engines that end a moment
+later; a stream whose engine and whose replica's engine both end is lost. An engine reports when it
+ends some 0.5 s after it has got its notice, 1.2 to 1.5 s before its end, and one that has ended
+refuses connections at once. So while the store answers no instance, a few instances probe each
+engine and publish the results to all others.
 
-An engine that only waits for the store to take its notice serves on until the store is back:
-taken for leaving, it would be missed where memory is full.
+An engine that only waits for the store to accept its notice serves on until the store is back:
+treating it as leaving would waste its memory where memory is full.
 """
 
 from __future__ import annotations
@@ -21,43 +21,49 @@
 from driftstall.decisions.locate import weight
 
 PROBERS_PER_UPSTREAM: Final = 2
-"""Instances that ask one engine; one of them may be cut off from it, or die."""
+"""Instances that probe one engine; one of them may be cut off from it, or fail."""
 PROBE_INTERVAL_S: Final = 0.3
-"""Pause between two questions to an engine: half of what is left of the shortest notice seen
-(1.5 s), less the half second after which an engine says it, and a hop to the others."""
+"""Pause between two probes of an engine: half of what remains of the shortest notice seen (1.5 s),
+less the half second after which an engine reports it, and a hop to the other instances."""
 SUSPICION_S: Final = 4.0
-"""How long a bad word holds. The platform's list has caught up by then: what is missing from
-it 2.2 s after its return has left, and its return is known within a second."""
+"""How long a bad probe result holds. The platform's list has caught up by then: an upstream that
+is missing from it 2.2 s after the store's return has left, and the return is known within a
+second."""
 REPUBLISH_INTERVAL_S: Final = 1.5
-"""Pause after which peers are told again of a bad word that still holds; a message may be lost."""
+"""Pause after which a bad result that still holds is published again, as a message may be lost."""
 
 
 class ReportedState(StrEnum):
-    """Tell what an engine says of itself."""
+    """State that an engine reports when it is probed."""
 
     SERVING = "stays"
-    """It serves on; also one that is to end some time, but has not been told when."""
+    """It serves on; also if it is to end some time but has not been told when."""
     LEAVING = "leaves"
     """It has been told when it ends, which is soon."""
     TERMINATED = "gone"
     """It refuses connections: its process has ended."""
     UNKNOWN = "none"
-    """It gave no answer that can be read; it may be cut off from here alone."""
+    """It gave no readable answer; it may be cut off from this instance alone."""
 
     @property
     def is_unavailable(self) -> bool:
-        """Tell whether an engine is to be sent nothing new."""
+        """Return True if the engine must not be sent anything new."""
         return self in (ReportedState.LEAVING, ReportedState.TERMINATED)
 
 
 def asks(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
-    """Tell whether an instance is one of those that ask an engine of an availability zone.
+    """Return True if an instance is one of those that probe an engine of a zone.
 
-    The instances of the engine's zone come first. All choose the same ones without a word.
+    Instances of the engine's zone come first. All instances arrive at the same choice without
+    communication.
     """
-    staying = [one for one in live if not one.leaving and one.instance_id != own.instance_id]
+    staying = [
+        instance
+        for instance in live
+        if not instance.leaving and instance.instance_id != own.instance_id
+    ]
     ranked = sorted(
         [own, *staying],
-        key=lambda one: (one.zone != zone, -weight(engine_id, one.instance_id)),
+        key=lambda instance: (instance.zone != zone, -weight(engine_id, instance.instance_id)),
     )
     return own in ranked[:PROBERS_PER_UPSTREAM]
