--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -69,7 +69,7 @@
     def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
         """Ask whether the request may be sent to go on at a copy, after all that was sent."""
         engine_id = copy.upstream.upstream_id
-        return self._history.may_go_on(copy.kind, engine_id, copy.copy_of, run.making_s)
+        return self._history.may_go_on(copy.kind, engine_id, copy.copy_of, run.generating_s)
 
     def _await_last_step(
         self, run: StreamRun, moving: AsyncResult, left_s: float
@@ -83,7 +83,7 @@
 
     def log_no_replica(self, run: StreamRun, cause: str) -> None:
         """Log why a stream does not go on elsewhere, with what decided it."""
-        making_s = run.making_s
+        making_s = run.generating_s
         log_event(
             PREFIX_RELAY,
             "No copy of a stream is known to be there",
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -88,7 +88,7 @@
     moves: int = 0
     waited_s: float = 0.0
     """Time for which its relay has waited for the engine since the first event there."""
-    making_s: float | None = None
+    generating_s: float | None = None
     """The part of that up to the last event; None before the first one. Time that a slow
     caller takes does not count: all its events may have been made in a moment before."""
     last_event_at: float = 0.0
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -77,7 +77,7 @@
             # What is silent has not ended; it may leave, or be cut off.
             self.state.on_upstream_suspected(run.upstream)
             return
-        under_way = run.making_s is not None and run.making_s >= UNDER_WAY_S
+        under_way = run.generating_s is not None and run.generating_s >= UNDER_WAY_S
         broken = BrokenRun(run.request_id, self.admitted.fingerprint, under_way)
         self.state.on_run_broken(run.upstream, broken)
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -195,9 +195,9 @@
     def _count(self, run: StreamRun, events: int) -> None:
         """Take in that events have arrived."""
         now = self._state.now()
-        if run.making_s is None:
+        if run.generating_s is None:
             run.waited_s = 0.0
-        run.making_s = run.waited_s
+        run.generating_s = run.waited_s
         if not run.events and run.moves == 0:
             self._state.stats.first_event_s.observe({}, now - self._admitted.started_at)
         elif run.last_event_at:
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -112,7 +112,7 @@
     def leave() -> None:
         wait_for("three events", lambda: any(run.events >= 3 for run in world.state.runs.all))
         (run,) = world.state.runs.all
-        assert run.backup is not None and run.making_s is not None
+        assert run.backup is not None and run.generating_s is not None
         backup_id = run.backup.upstream_id
         (engine,) = [one for one in world.engines if one.upstream_id == backup_id]
         world.give_notice(engine)
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -181,7 +181,7 @@
     copy = ReplicaRef(second, f"{second.address}/named", named_by=context.run.upstream.upstream_id)
     context.run.replica = Replica(copy, world.state.now(), 10)
     world.pass_time(KEPT_UP_AFTER_S)
-    context.run.making_s = 2 * KEPT_UP_AFTER_S
+    context.run.generating_s = 2 * KEPT_UP_AFTER_S
     context.run.replica = Replica(copy, world.state.now(), 10)
     back_off(context, first, for_s)
     context.began, context.expected = time.monotonic(), by_id[second.upstream_id]
