--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -18,7 +18,7 @@
 
 PROBE_PERIOD_S: Final = 1.0
 ACK_TIMEOUT_S: Final = 0.3
-SUSPECT_S: Final = 2.0
+SUSPECT_TIMEOUT_S: Final = 2.0
 """How long a suspected instance has to refute."""
 DEAD_RETENTION_S: Final = 2 * 3600.0
 """A cut between regions may last an hour; the dead are asked again until then."""
@@ -321,7 +321,7 @@
         """Hold suspects for dead that did not refute, and forget the long dead."""
         for member in list(self._members.values()):
             age = now - member.since
-            if member.change.health == Health.SUSPECT and age >= SUSPECT_S:
+            if member.change.health == Health.SUSPECT and age >= SUSPECT_TIMEOUT_S:
                 self._store(replace(member.change, health=Health.DEAD.value), now)
             elif member.change.health == Health.DEAD and age >= DEAD_RETENTION_S:
                 del self._members[member.change.instance_id]
