--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -253,7 +253,7 @@
         target = call.target.decode("latin-1")
         if not self._state.dialect.is_ready_path(target):
             return encode_response(404, (), b"", keep=call.keep_alive)
-        status = 200 if self._state.ready else 503
+        status = 200 if self._state.is_ready else 503
         return encode_response(status, (), b"", keep=call.keep_alive)
 
 
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -181,7 +181,7 @@
             # Large, and no collector is heard: who answers probes is taken for ready.
             ready = {one.instance_id for one in live if not one.leaving}
             ready.discard(self.own.instance_id)
-        if self._state.ready:
+        if self._state.is_ready:
             ready.add(self.own.instance_id)
         return tuple(one for one in live if one.instance_id in ready)
 
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -139,7 +139,7 @@
         platform_status = self._platform_status()
         report = GatewayReport(
             self._own.instance_id,
-            self._state.ready,
+            self._state.is_ready,
             platform_status.platform_ok,
             platform_status.routing_version,
             uses,
@@ -257,7 +257,7 @@
 
     def _own_ready(self) -> tuple[str, ...]:
         """Return the own name if this instance takes requests."""
-        return (self._own.instance_id,) if self._state.ready else ()
+        return (self._own.instance_id,) if self._state.is_ready else ()
 
     @staticmethod
     def _reported_repeats(fresh: Iterable[_Heard]) -> list[RepeatCount]:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -119,7 +119,7 @@
         return time.time()
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether this instance takes requests."""
         return self.is_configured and self.stopping_since is None
 
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -313,11 +313,11 @@
 def ready_with_word(context: Any) -> None:
     """Ask before and after."""
     state = world_of(context).state
-    assert not state.ready
+    assert not state.is_ready
     applied: list[Any] = []
     source = CordonSource(state, apply=applied.append, announce=lambda: None)
     source.handle_peer_report(Cordons(StoreVersion(4), (Cordon("a", StoreVersion(4)),)))
-    assert state.ready
+    assert state.is_ready
     (changed,) = applied
     assert changed.cordoned == {"a"}
 
