--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -185,7 +185,7 @@
         self._registration = Registration(
             self.state, self._peering.own, access.instances, self._peering.add_listed_instances
         )
-        self._store_return = StoreRecovery(
+        self._store_recovery = StoreRecovery(
             self.state,
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
@@ -193,11 +193,11 @@
             on_settled=self._list_again,
         )
         self._policy_persistence = PolicyPersistence(self._policies, access.policy)
-        self.state.on_store_era = self._store_return.seen
-        access.subscribe_store_eras(self._store_return.seen)
-        self._store_return.writes_again(self._registration.write)
-        self._store_return.register_shared_write("policy", self._policy_persistence.write_again)
-        self._store_return.register_shared_write("crashes", self._crash_persistence.write_again)
+        self.state.on_store_era = self._store_recovery.seen
+        access.subscribe_store_eras(self._store_recovery.seen)
+        self._store_recovery.writes_again(self._registration.write)
+        self._store_recovery.register_shared_write("policy", self._policy_persistence.write_again)
+        self._store_recovery.register_shared_write("crashes", self._crash_persistence.write_again)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
