--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -63,7 +63,7 @@
         world.state,
         on_crash=lambda _: None,
         publish_evidence=lambda: None,
-        convicted=context.convicted.append,
+        on_quarantined=context.convicted.append,
     )
     context.watch = watch
     world.state.on_run_broken = watch.broke
