--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -74,7 +74,9 @@
         known = self._known.get(upstream_id)
         return known.limit.per_s if known else None
 
-    def answered(self, upstream_id: str, per_s: float | None, sent_at: float, now: float) -> bool:
+    def record_response(
+        self, upstream_id: str, per_s: float | None, sent_at: float, now: float
+    ) -> bool:
         """Take in what an answer names to a request sent then; return whether it is new."""
         known = self._known.get(upstream_id)
         before = known.limit.per_s if known else None
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -88,7 +88,7 @@
 
     def answered(self, upstream_id: str, per_s: float | None, sent_at: float) -> None:
         """Take in the limit that an answer names, to a request sent then; None for no limit."""
-        if self._book.answered(upstream_id, per_s, sent_at, self._now()):
+        if self._book.record_response(upstream_id, per_s, sent_at, self._now()):
             self._log_changed(upstream_id)
             self.tell()
 
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -205,7 +205,7 @@
         for one, other, per_s in events:
             now += 0.1
             if one == other:
-                books[one].answered(UPSTREAM, per_s, now, now)
+                books[one].record_response(UPSTREAM, per_s, now, now)
             else:
                 books[one].merge(books[other].reports, now)
         for one, other in itertools.product(range(count), repeat=2):
@@ -229,13 +229,13 @@
 def learned(context: Any, per_s: float, at: float) -> None:
     """Let an answer name it."""
     context.book = RateLimitTracker()
-    assert context.book.answered(UPSTREAM, per_s, at - 0.1, at)
+    assert context.book.record_response(UPSTREAM, per_s, at - 0.1, at)
 
 
 @when("an answer without a limit comes to a request sent at {at:g} s")
 def answer_without(context: Any, at: float) -> None:
     """Let it come."""
-    context.book.answered(UPSTREAM, None, at, 10.2)
+    context.book.record_response(UPSTREAM, None, at, 10.2)
 
 
 @then("the limit is still in force")
@@ -247,16 +247,16 @@
 @then("an answer without a limit to a request sent at {at:g} s ends it")
 def ends(context: Any, at: float) -> None:
     """Let it come."""
-    context.book.answered(UPSTREAM, None, at, 10.3)
+    context.book.record_response(UPSTREAM, None, at, 10.3)
     assert context.book.per_s(UPSTREAM) is None
 
 
 @then("a lower one counts at once, whenever its request was sent")
 def lower_counts(context: Any) -> None:
     """Let it come late."""
-    assert context.book.answered(UPSTREAM, 1.0, 9.0, 10.4)
+    assert context.book.record_response(UPSTREAM, 1.0, 9.0, 10.4)
     assert context.book.per_s(UPSTREAM) == 1.0
-    assert not context.book.answered(UPSTREAM, 3.0, 9.0, 10.5)
+    assert not context.book.record_response(UPSTREAM, 3.0, 9.0, 10.5)
 
 
 @then("the limit is still in force at {at:g} s")
