--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -51,7 +51,7 @@
         """Copy what needs it, one run at a time on each engine."""
         while True:
             gevent.sleep(PERIOD_S)
-            wanting = sorted(self.wanting(), key=lambda run: run.replica is not None)
+            wanting = sorted(self.find_runs_to_copy(), key=lambda run: run.replica is not None)
             for run in wanting:
                 if run.upstream.upstream_id not in self._busy:
                     self._busy.add(run.upstream.upstream_id)
@@ -59,7 +59,7 @@
             self.make_room()
             self._forget_ended()
 
-    def wanting(self) -> list[StreamRun]:
+    def find_runs_to_copy(self) -> list[StreamRun]:
         """Return the runs that need a copy now: they have none, or an old one."""
         now = self._state.now()
         if now - self._state.notice_at < NOTICE_S:
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -313,7 +313,7 @@
 def no_copy_made(context: Any, request_id: str) -> None:
     """Ask which runs want a copy: none does so soon after a notice, all do later."""
     world = world_of(context)
-    assert not context.protection.wanting()
+    assert not context.protection.find_runs_to_copy()
     world.state.notice_at = float("-inf")
-    assert [run.request_id for run in context.protection.wanting()] == [request_id]
+    assert [run.request_id for run in context.protection.find_runs_to_copy()] == [request_id]
     context.script.gate.set()
