--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -14,7 +14,7 @@
 LEASE_S: Final = 6.0
 RENEW_S: Final = 2.0
 WIRE_MARGIN_S: Final = 1.0
-LONGEST_ORDER_S: Final = 3.0
+MAX_ORDER_S: Final = 3.0
 LOADS_PER_PERIOD: Final = 2
 """Loads ordered at once: the weights store is rate-limited."""
 
@@ -149,7 +149,7 @@
         if foreign or lease is None:
             # A new term: those that check no fence wait until old orders have run out.
             previous = lease.duration_s if lease is not None else 0.0
-            settled = previous + LONGEST_ORDER_S if lease is not None else 0.0
+            settled = previous + MAX_ORDER_S if lease is not None else 0.0
             self._unfenced_from = max(now, self._seen_at + settled)
         self._term = (lease.term if lease else 0) + 1
         self._asked_at = now
