--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -98,7 +98,9 @@
 
     def _ask(self, upstream: Upstream) -> ReportedState:
         """Return what an engine says of itself; of others, whether they listen."""
-        service = self._state.table.service(upstream.service) if self._state.table else None
+        service = (
+            self._state.route_table.service(upstream.service) if self._state.route_table else None
+        )
         is_engine = service is not None and service.engine is not None
         if is_engine and not self._state.backoff_s(upstream):
             return self._state.dialect.probe_state(upstream)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -73,7 +73,7 @@
 
     def _serve(self, raw: socket.socket, _: tuple[str, int]) -> None:
         """Serve one connection until it ends."""
-        table = self._state.table
+        table = self._state.route_table
         connection = CallerConnection(raw, table.document.limits if table else Limits())
         try:
             while True:
@@ -125,7 +125,7 @@
     def _admit(self, call: CallerRequest) -> Admitted | Problem:
         """Find out what the request is."""
         self._state.configured.wait(START_WAIT_S)
-        table = self._state.table
+        table = self._state.route_table
         if table is None or not self._state.fleet.is_loaded:
             detail = "this instance has no configuration yet"
             return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -71,7 +71,7 @@
     @property
     def version(self) -> int:
         """Return the version in force; zero if no document is in force."""
-        return self._state.table.version if self._state.table else 0
+        return self._state.route_table.version if self._state.route_table else 0
 
     @property
     def text(self) -> str:
@@ -114,7 +114,7 @@
         if item.document.version <= self.version:
             return
         before = self.version
-        self._state.table = RouteTable.from_document(item.document)
+        self._state.route_table = RouteTable.from_document(item.document)
         self._text = item.text
         self._state.notify_if_configured()
         log_event(
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -56,7 +56,7 @@
         self.settings = settings
         self.dialect = dialect
         self.policy = policy
-        self.table: RouteTable | None = None
+        self.route_table: RouteTable | None = None
         self.fleet = FleetController()
         self.cordons = CordonRegistry()
         self.eras = StoreEras()
@@ -127,7 +127,7 @@
     def is_configured(self) -> bool:
         """Tell whether there is something to decide by."""
         knows_cordons = self.cordons.is_loaded or not self.settings.bounds.cordon_s
-        return self.table is not None and self.fleet.is_loaded and knows_cordons
+        return self.route_table is not None and self.fleet.is_loaded and knows_cordons
 
     def notify_if_configured(self) -> None:
         """Let waiting requests go on once there is something to decide by."""
@@ -277,7 +277,7 @@
 
     def cold_rate(self, service: str) -> float:
         """Return the requests a second that a cold upstream bears; zero where none is told."""
-        found = self.table.service(service) if self.table else None
+        found = self.route_table.service(service) if self.route_table else None
         return found.cold_rate if found else 0.0
 
     def _cold_part(self, service: str) -> ColdPart | None:
@@ -315,7 +315,7 @@
 
     def memory_load(self, service_name: str) -> float:
         """Return the share of a service's engine memory in use, from 0 to 1."""
-        service = self.table.service(service_name) if self.table else None
+        service = self.route_table.service(service_name) if self.route_table else None
         if service is None or service.engine is None:
             return NO_LOAD
         return self._memory_share(service)
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -91,7 +91,9 @@
 
     def _choose(self, asked: PlacementAsked) -> PlacementGiven | None:
         """Choose the engine and where a copy is kept, and remember it."""
-        service = self._state.table.service(asked.service) if self._state.table else None
+        service = (
+            self._state.route_table.service(asked.service) if self._state.route_table else None
+        )
         if service is None or service.engine is None:
             return None
         self._forget_expired()
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -83,7 +83,9 @@
     def _ask(self, upstream: Upstream) -> None:
         """Probe one engine, unless it was probed just now, and handle a bad state."""
         engine_id, now = upstream.upstream_id, self._state.now()
-        service = self._state.table.service(upstream.service) if self._state.table else None
+        service = (
+            self._state.route_table.service(upstream.service) if self._state.route_table else None
+        )
         if service is None or service.engine is None:
             return
         if now - self._probed_at.get(engine_id, float("-inf")) < PROBE_INTERVAL_S / 2:
--- a/features/steps/gateway_admission_steps.py
+++ b/features/steps/gateway_admission_steps.py
@@ -32,7 +32,7 @@
 def no_configuration(context: Any) -> None:
     """Take the configuration away."""
     world = world_of(context)
-    world.state.table = None
+    world.state.route_table = None
     world.state.configured.clear()
 
 
@@ -53,7 +53,7 @@
 @then('"{first}" leads to route "{first_name}" and "{second}" to "{second_name}"')
 def leads_to(context: Any, first: str, first_name: str, second: str, second_name: str) -> None:
     """Look two paths up."""
-    table = world_of(context).state.table
+    table = world_of(context).state.route_table
     assert table is not None
     for path, name in ((first, first_name), (second, second_name)):
         route = table.route(f"{HOST.upper()}:80", path)
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -323,7 +323,7 @@
     """Start with a version."""
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
-    context.world.state.table = None
+    context.world.state.route_table = None
     context.routing = RoutingSource(context.world.state, lambda *, from_peer: None)
     context.routing.listed((routing_text(7),), 1)
 
@@ -339,4 +339,4 @@
 def version_nine(context: Any) -> None:
     """Compare the version."""
     assert context.routing.version == 9
-    assert context.world.state.table.version == 9
+    assert context.world.state.route_table.version == 9
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -65,7 +65,7 @@
     context.sent = []
     state = context.state = GatewayState(settings_of(PLACER), PlatformDialect(), default_policy())
     state.now = lambda: context.at  # type: ignore[method-assign]
-    state.table = RouteTable.from_document(read_routing(document()))
+    state.route_table = RouteTable.from_document(read_routing(document()))
     engines = [upstream_of(f"near-{index}") for index in range(5)]
     engines += [upstream_of(f"far-{index}", zone="b") for index in range(5)]
     state.fleet.handle(Listed(tuple(engines)), context.at)
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -151,7 +151,7 @@
 
     def use(self, raw: dict[str, Any]) -> None:
         """Put a routing document in force."""
-        self.state.table = RouteTable.from_document(read_routing(raw))
+        self.state.route_table = RouteTable.from_document(read_routing(raw))
 
     def entry(self, upstream: RoutedUpstream) -> Upstream:
         """Return an upstream's entry."""
