--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -53,7 +53,7 @@
         """Read what is kept, soon."""
         gevent.spawn_later(READ_AFTER_S, self._read)
 
-    def convicted(self, fingerprint: str) -> None:
+    def handle_quarantined(self, fingerprint: str) -> None:
         """Write down a request that is sent to no upstream from now on."""
         gevent.spawn(self._try, lambda: self._keep(fingerprint))
 
@@ -64,7 +64,7 @@
     def write_again(self) -> None:
         """Write down all requests that are sent to no upstream: the store may have lost them."""
         for fingerprint in self._state.blame.quarantined(self._state.now()):
-            self.convicted(fingerprint)
+            self.handle_quarantined(fingerprint)
 
     def _read(self) -> None:
         """Take in what is kept."""
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -152,7 +152,7 @@
                 upstream, ReportedState.TERMINATED
             ),
             publish_evidence=self._peering.publish_poison_evidence,
-            on_quarantined=self._crash_persistence.convicted,
+            on_quarantined=self._crash_persistence.handle_quarantined,
         )
         self.state.on_quarantine_cleared = self._crash_persistence.cleared
         self.state.on_run_broken = watch.broke
