--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -118,7 +118,7 @@
         )
         self._cordons = CordonSource(
             self.state,
-            apply=self._upstreams.cordoned,
+            on_changed=self._upstreams.cordoned,
             announce=lambda: self._peering.publish_cordons(),
         )
         delegation = WatchDelegation(self.state.source)
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -315,7 +315,7 @@
     state = world_of(context).state
     assert not state.is_ready
     applied: list[Any] = []
-    source = CordonSource(state, apply=applied.append, announce=lambda: None)
+    source = CordonSource(state, on_changed=applied.append, announce=lambda: None)
     source.handle_peer_report(Cordons(StoreVersion(4), (Cordon("a", StoreVersion(4)),)))
     assert state.is_ready
     (changed,) = applied
