--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -208,7 +208,7 @@
         """Initialize without denials."""
         self._retry_at: dict[str, float] = {}
 
-    def denied(self, upstream_id: str, denial: Denial, now: float) -> None:
+    def record(self, upstream_id: str, denial: Denial, now: float) -> None:
         """Take in a denial."""
         self._retry_at[upstream_id] = now + denial.retry_in_s
 
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -154,7 +154,7 @@
         verdict = self.ask_permit(limit, need)
         if isinstance(verdict, Denial):
             self._stats.permits_denied += 1
-            self._denied.denied(upstream_id, verdict, self._now())
+            self._denied.record(upstream_id, verdict, self._now())
             return False
         if verdict.wait_s:
             self._pause(verdict.wait_s)
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -235,7 +235,7 @@
     def _take(self, member: _Member, verdict: Verdict, rank: int) -> None:
         """Let an instance send, or remember when to ask again."""
         if isinstance(verdict, Denial):
-            member.denied.denied(UPSTREAM, verdict, self._now)
+            member.denied.record(UPSTREAM, verdict, self._now)
         elif member.is_up:
             wait_s = verdict.wait_s
             self._at(self._now + wait_s, lambda: self._send(rank, wait_s))
