--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -56,7 +56,7 @@
                 if run.upstream.upstream_id not in self._busy:
                     self._busy.add(run.upstream.upstream_id)
                     gevent.spawn(self._copy, run)
-            self.make_room()
+            self.drop_replicas_under_pressure()
             self._forget_ended()
 
     def find_runs_to_copy(self) -> list[StreamRun]:
@@ -87,7 +87,7 @@
                 found.append(run)
         return found
 
-    def make_room(self) -> None:
+    def drop_replicas_under_pressure(self) -> None:
         """Drop copies on engines whose memory is nearly full; runs go first."""
         for run in self._state.runs.all:
             kept, engine = run.replica, run.admitted.service.engine
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -296,7 +296,7 @@
     """Make room as the periods do."""
     world = world_of(context)
     (run,) = world.state.runs.all
-    Protection(world.state, world.mover).make_room()
+    Protection(world.state, world.mover).drop_replicas_under_pressure()
     assert run.replica is not None
     context.script.gate.set()
 
