--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -111,7 +111,7 @@
         self._seen_at = 0.0
         self._busy = False
 
-    def holds(self, now: float) -> bool:
+    def has_lease(self, now: float) -> bool:
         """Tell whether the lease surely holds until an order has arrived."""
         return now + WIRE_MARGIN_S < self._held_until
 
@@ -130,7 +130,7 @@
         if event.first and not self._busy and now >= self._held_until - LEASE_S + RENEW_S:
             self._busy = True
             actions.append(ReadLease())
-        if self.holds(now):
+        if self.has_lease(now):
             actions += self._orders(event.wanted, now)
         return actions
 
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -52,7 +52,7 @@
         """Renew the lease and order what differs from the configuration."""
         first = owner_of("placement", self._members.live)
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
-        if not is_first and not self._controller.holds(self._hub.now()):
+        if not is_first and not self._controller.has_lease(self._hub.now()):
             return
         self._run(PlacementPeriod(is_first, self._wanted() if is_first else ()))
 
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -163,7 +163,7 @@
     controller = context.controller = PlacementController("instance-1")
     for event in (LeaseRead(0, None), LeaseWritten(1)):
         controller.handle(event, Hub.now())
-    assert controller.holds(Hub.now())
+    assert controller.has_lease(Hub.now())
 
 
 @when("the machine is suspended for longer than the lease lasts")
