--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -98,7 +98,7 @@
         exposed = self._state.loads.exposed_at_peers(upstream.upstream_id, started)
         if any(peer.startswith(POOLED_PREFIX) for peer in exposed):
             in_all = sum(exposed.values())
-            gevent.sleep(self._state.source.random() * in_all / COPY_TOKENS_PER_S)
+            gevent.sleep(self._state.rng.random() * in_all / COPY_TOKENS_PER_S)
             return
         before = sorted(peer for peer in exposed if peer < own)
         turn_ends = started
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -136,7 +136,7 @@
         admission = Admission(
             table,
             self._state.policy,
-            chance=self._state.source.random,
+            chance=self._state.rng.random,
             load=self._state.memory_load,
             current=self._current,
         )
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -121,7 +121,7 @@
             on_changed=self._upstreams.cordoned,
             announce=lambda: self._peering.publish_cordons(),
         )
-        delegation = WatchDelegation(self.state.source)
+        delegation = WatchDelegation(self.state.rng)
         intake = PeerUpdateHandlers(
             read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
@@ -162,7 +162,7 @@
         policy_pace = RevisionWatchPacing(
             self._roles, lambda: self._peering.policy_revision > self._policies.revision
         )
-        source = self.state.source
+        source = self.state.rng
         self._routing_follower = Follower(access.routing, self._routing, source, self._routing_pace)
         self._upstream_follower = Follower(
             access.upstreams, self._upstreams, source, self._upstream_pace
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -88,7 +88,7 @@
             link_mbps=settings.link_mbps,
         )
         incarnation = int(state.wall() * MS)
-        self._members = MembershipController(self.own, incarnation, state.source)
+        self._members = MembershipController(self.own, incarnation, state.rng)
         key = settings.peer_key.encode()
         kinds = kinds_of(GatewayMessage)
         self._links = PeerLinks(
@@ -119,7 +119,7 @@
             broadcast=self._broadcast,
         )
         self._blame = BlameSharing(
-            state.blame, self.own.instance_id, others, now=state.now, source=state.source
+            state.blame, self.own.instance_id, others, now=state.now, source=state.rng
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
         state.request_placement = self._placer.place
--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -70,7 +70,7 @@
                     is_registered = True
                     gevent.sleep(SEED_ANSWER_TIMEOUT_S)
                 if self._state.instances.value > 1:
-                    gevent.sleep(FINAL_LIST_DELAY_S * (0.5 + self._state.source.random()))
+                    gevent.sleep(FINAL_LIST_DELAY_S * (0.5 + self._state.rng.random()))
                     self._instances.listed(self._entries.old_instances.list().items)
                     return
                 self._instances.listed(self._entries.instances.list().items)
@@ -79,7 +79,7 @@
                 log_event(
                     PREFIX_MEMBERSHIP, f"The platform's list of instances is unreachable: {error}"
                 )
-                gevent.sleep(RETRY_PAUSE_S * (1 + self._state.source.random()))
+                gevent.sleep(RETRY_PAUSE_S * (1 + self._state.rng.random()))
 
     def withdraw(self) -> None:
         """Remove this instance's entry; a stale entry is harmless, as peers check liveness."""
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -165,7 +165,7 @@
     def request_newer_routing(self, notice: RoutingNotice) -> None:
         """Ask for a newer document that a peer has, unless it comes by itself."""
         if notice.version > self._intake.read_routing()[0]:
-            pause_s = ASK_AFTER_S * (1 + self._state.source.random())
+            pause_s = ASK_AFTER_S * (1 + self._state.rng.random())
             gevent.spawn_later(pause_s, self._ask_routing, notice)
 
     def compare_fleet(self, summary: FleetSummary | ZoneSummary) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -68,7 +68,7 @@
         self.runs = RunRegistry()
         self.blame = PoisonTracker()
         self.stats = GatewayStats()
-        self.source = random.Random()
+        self.rng = random.Random()
         self.instances = InstanceCount()
         self.rate_limiting = RateLimiting(
             self.stats,
@@ -103,9 +103,9 @@
         """Takes an era that a peer knows of the platform's store."""
         self.on_quarantine_cleared: Callable[[str], None] = _ignore_fingerprint
         """Takes a request that is held to have crashed upstreams no more."""
-        self.sampler = Sampler(self.source)
+        self.sampler = Sampler(self.rng)
         self._started_at = self.now()
-        self.cold_gate = ColdGate(self.cold, self.source, self._cold_part, lambda: self.now())
+        self.cold_gate = ColdGate(self.cold, self.rng, self._cold_part, lambda: self.now())
         self._budgets: dict[str, SharedRetryBudget] = {}
 
     @staticmethod
@@ -144,7 +144,7 @@
 
     def set_load_pooling(self, pooled: bool) -> None:
         """Choose among a few upstreams only where the sums of a large fleet are pooled."""
-        self.sampler = Sampler(self.source, SAMPLE_SIZE if pooled else None)
+        self.sampler = Sampler(self.rng, SAMPLE_SIZE if pooled else None)
 
     def notify_call_load_changed(self) -> None:
         """Have peers told of a plain call, unless it is over before pooled sums are made."""
@@ -199,7 +199,7 @@
         left_out = avoid | self.backoff.active(now) if heeds_backoff else avoid
         ready = [one for one in self.fleet.ready(service) if one.upstream_id not in left_out]
         if most is not None and len(ready) > most:
-            drawn = self.source.sample(ready, most)
+            drawn = self.rng.sample(ready, most)
             return [self._option(one, self.loads.use(one.upstream_id, now), now) for one in drawn]
         # All sums at once: who places for a fleet hears of a hundred instances.
         totals = self.loads.totals(now)
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -86,7 +86,7 @@
         spread_s = max(MIN_SPREAD_S, instances / WRITES_PER_S)
         for write in self._own_writes:
             self._schedule(
-                MIN_WRITE_DELAY_S + spread_s * self._state.source.random(), "instance", write
+                MIN_WRITE_DELAY_S + spread_s * self._state.rng.random(), "instance", write
             )
         for what, write in self._shared_writes.items():
             position = self._writer_position(what)
@@ -114,5 +114,5 @@
                 return
             except PlatformUnavailable as error:
                 log_event(PREFIX_CONFIGURATION, f"Not rewritten to the store yet: {what}: {error}")
-                gevent.sleep(RETRY_PAUSE_S * (0.5 + self._state.source.random()))
+                gevent.sleep(RETRY_PAUSE_S * (0.5 + self._state.rng.random()))
         log_event(PREFIX_CONFIGURATION, f"Not rewritten, the store stays unavailable: {what}")
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -52,7 +52,7 @@
         self._order = PlacerSelector()
         self._pending = PendingPlacements()
         self._waiting: dict[str, AsyncResult] = {}
-        self._cold_gate = ColdGate(state.cold, state.source, self._cold_part, state.now)
+        self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
     def place(self, asked: PlacementAsked) -> PlacementGiven | None:
         """Return where a stream should run; None where this instance is to choose by itself."""
@@ -99,7 +99,7 @@
         self._forget_expired()
         engine = service.engine
         # Whoever places for all knows all engines alike.
-        sampler = Sampler(self._state.source, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
+        sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
         chosen = choose_stream(
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -286,7 +286,7 @@
         send=lambda recipient, message: context.told.append((recipient, message)),
         broadcast=lambda *_: None,
     )
-    return BlameSharing(state.blame, "own", others, now=state.now, source=state.source)
+    return BlameSharing(state.blame, "own", others, now=state.now, source=state.rng)
 
 
 @when("a peer that knows nothing asks which requests ran beside crashes")
