--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -57,7 +57,7 @@
         """Write down a request that is sent to no upstream from now on."""
         gevent.spawn(self._try, lambda: self._keep(fingerprint))
 
-    def cleared(self, fingerprint: str) -> None:
+    def handle_cleared(self, fingerprint: str) -> None:
         """Remove what is kept of a request that has ended well."""
         gevent.spawn(self._try, lambda: self._kept.remove(fingerprint))
 
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -154,7 +154,7 @@
             publish_evidence=self._peering.publish_poison_evidence,
             on_quarantined=self._crash_persistence.handle_quarantined,
         )
-        self.state.on_quarantine_cleared = self._crash_persistence.cleared
+        self.state.on_quarantine_cleared = self._crash_persistence.handle_cleared
         self.state.on_run_broken = watch.broke
         self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
