--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -24,7 +24,7 @@
 from driftstall.helpers.log import log_event
 from driftstall.util.addresses import split_address
 
-LOOK_AGAIN_S: Final = 0.15
+RECHECK_DELAY_S: Final = 0.15
 """Pause after which an upstream that still listened is asked once more: a process that ends
 closes its connections before or after it stops to listen."""
 SAME_END_S: Final = 1.0
@@ -86,7 +86,7 @@
         try:
             word = self._ask(upstream)
             if word is not ReportedState.TERMINATED:
-                gevent.sleep(LOOK_AGAIN_S)
+                gevent.sleep(RECHECK_DELAY_S)
                 word = self._ask(upstream)
         finally:
             doubt = self._doubts.pop(upstream.upstream_id)
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -55,8 +55,8 @@
     """Start a gateway whose broken runs are looked into; it tells no peers."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
-    usual = crash_detector.LOOK_AGAIN_S
-    crash_detector.LOOK_AGAIN_S = 0.01  # type: ignore[misc]
+    usual = crash_detector.RECHECK_DELAY_S
+    crash_detector.RECHECK_DELAY_S = 0.01  # type: ignore[misc]
     context.add_cleanup(setattr, crash_detector, "LOOK_AGAIN_S", usual)
     context.convicted = []
     watch = CrashDetector(
