--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -72,7 +72,7 @@
         """Return the newest era that is known; zero where none is."""
         return self._era or 0
 
-    def seen(self, era: int, now: float) -> bool:
+    def record_era(self, era: int, now: float) -> bool:
         """Take in an era that the store or a peer has named; return whether the store came back."""
         before, self._era = self._era, max(era, self.era)
         if before is None or era <= before:
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -69,7 +69,7 @@
     def seen(self, era: int) -> None:
         """Handle an era reported by the store or a peer; a new one starts the recovery."""
         before = self._state.eras.era
-        if not self._state.eras.seen(era, self._state.now()):
+        if not self._state.eras.record_era(era, self._state.now()):
             return
         instances = self._state.instances.value
         log_event(
