--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -36,7 +36,7 @@
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.peering import Peering
 from driftstall.gateway.policy_persistence import PolicyPersistence, StoredPolicy
-from driftstall.gateway.protection import Protection
+from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.registration import InstanceEntries, Registration
 from driftstall.gateway.reports import MAX_AGE_S, MS, PlatformStatus
 from driftstall.gateway.sharing import PeerUpdateHandlers
@@ -106,7 +106,7 @@
         self.state = GatewayState(settings, access.dialect, policy)
         self._routing = RoutingSource(self.state, self._pass_routing)
         mover = Mover(self.state)
-        self._protection = Protection(self.state, mover)
+        self._protection = RunProtection(self.state, mover)
         self._policies = PolicySource(self.state)
         self._upstreams = UpstreamSource(
             self.state,
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -33,7 +33,7 @@
 """Events after which a run is worth a copy; many end before."""
 
 
-class Protection:
+class RunProtection:
     """Keep copies of this instance's streams."""
 
     def __init__(self, state: GatewayState, mover: Mover) -> None:
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.evacuation import RETRY_S
 from driftstall.gateway.fleet_events import Changed
 from driftstall.gateway.model import Bounds, UpstreamState
-from driftstall.gateway.protection import Protection
+from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.runs import RunRegistry, StreamRun
 from features.steps.gateway_stream_steps import memory_full
 from features.worlds.gateway_world import runs, script_all, wait_for, world_of
@@ -250,7 +250,7 @@
 def copies_kept(context: Any) -> None:
     """Let copies be made."""
     world = world_of(context)
-    Protection(world.state, world.mover).start()
+    RunProtection(world.state, world.mover).start()
 
 
 @then('an engine that "{request_id}" does not run on holds its copy')
@@ -296,7 +296,7 @@
     """Make room as the periods do."""
     world = world_of(context)
     (run,) = world.state.runs.all
-    Protection(world.state, world.mover).drop_replicas_under_pressure()
+    RunProtection(world.state, world.mover).drop_replicas_under_pressure()
     assert run.replica is not None
     context.script.gate.set()
 
@@ -306,7 +306,7 @@
     """Make what is needed for copies, right after a notice."""
     world = world_of(context)
     world.state.notice_at = world.state.now()
-    context.protection = Protection(world.state, world.mover)
+    context.protection = RunProtection(world.state, world.mover)
 
 
 @then('"{request_id}" has no copy')
