--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -109,7 +109,7 @@
         self._asked_at = 0.0
         self._seen_version = -1
         self._seen_at = 0.0
-        self._busy = False
+        self._has_pending_io = False
 
     def has_lease(self, now: float) -> bool:
         """Tell whether the lease surely holds until an order has arrived."""
@@ -127,8 +127,8 @@
     @_on.register
     def _(self, event: PlacementPeriod, now: float) -> list[PlacementAction]:
         actions: list[PlacementAction] = []
-        if event.first and not self._busy and now >= self._held_until - LEASE_S + RENEW_S:
-            self._busy = True
+        if event.first and not self._has_pending_io and now >= self._held_until - LEASE_S + RENEW_S:
+            self._has_pending_io = True
             actions.append(ReadLease())
         if self.has_lease(now):
             actions += self._orders(event.wanted, now)
@@ -136,7 +136,7 @@
 
     @_on.register
     def _(self, event: LeaseRead, now: float) -> list[PlacementAction]:
-        self._busy = False
+        self._has_pending_io = False
         lease = event.lease
         if event.version != self._seen_version:
             self._seen_version = event.version
@@ -153,12 +153,12 @@
             self._unfenced_from = max(now, self._seen_at + settled)
         self._term = (lease.term if lease else 0) + 1
         self._asked_at = now
-        self._busy = True
+        self._has_pending_io = True
         return [WriteLease(event.version, LeaseObject(self._holder, self._term, LEASE_S))]
 
     @_on.register
     def _(self, event: LeaseWritten, now: float) -> list[PlacementAction]:
-        self._busy = False
+        self._has_pending_io = False
         self._version = event.version
         self._seen_version = event.version
         self._seen_at = now
@@ -168,7 +168,7 @@
 
     @_on.register
     def _(self, event: LeaseLost, now: float) -> list[PlacementAction]:
-        self._busy = False
+        self._has_pending_io = False
         return []
 
     def _orders(self, wanted: tuple[WantedModel, ...], now: float) -> list[PlacementAction]:
