--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -14,8 +14,8 @@
 from driftstall.decisions.poison_detection import Crash, PoisonTracker
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
-from driftstall.helpers.blame_sharing import BlameSharing, Fleet, log_refusal
 from driftstall.helpers.log import log_event
+from driftstall.helpers.poison_sharing import BlameSharing, Fleet, log_refusal
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.runners.engine import fetch_report
 from driftstall.util.fingerprint import fingerprint
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -20,8 +20,8 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import BrokenRun
 from driftstall.gateway.state import GatewayState
-from driftstall.helpers.blame_sharing import log_refusal
 from driftstall.helpers.log import log_event
+from driftstall.helpers.poison_sharing import log_refusal
 from driftstall.util.addresses import split_address
 
 RECHECK_DELAY_S: Final = 0.15
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -37,9 +37,9 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
 from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
-from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
+from driftstall.helpers.poison_sharing import BlameSharing, Fleet
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.codec import kinds_of
 from driftstall.peers.gateway_messages import (
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -9,6 +9,7 @@
 from typing import Any, Final
 
 from behave import given, then, when
+from driftstall.helpers.poison_sharing import BlameSharing, Fleet
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
@@ -17,7 +18,6 @@
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, request_fingerprint
-from driftstall.helpers.blame_sharing import BlameSharing, Fleet
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
 from driftstall.peers.envelope import Envelope
