--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -84,7 +84,7 @@
     subscribe_store_eras: Callable[[Callable[[int], None]], None]
     """Has somebody told of each new era of the platform's store."""
     use_address: Callable[[str], None]
-    calls: Callable[[], int]
+    call_count: Callable[[], int]
     read_settings: Callable[[Path], GatewaySettings]
 
 
@@ -244,7 +244,7 @@
             gevent.sleep(PERIOD_S)
             self._upstreams.period()
             suspended_s = _log_suspension(suspended_s)
-            self.state.stats.platform_calls = self._access.calls()
+            self.state.stats.platform_calls = self._access.call_count()
             if self.state.stopping_since is not None and not told_stop:
                 told_stop = True
                 self._leave()
--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -61,7 +61,7 @@
         policy=feeds.StoredPolicy(store),
         subscribe_store_eras=store.subscribe_store_eras,
         use_address=store.use_address,
-        calls=lambda: store.calls,
+        call_count=lambda: store.calls,
         read_settings=read_settings,
     )
 
