--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -61,7 +61,7 @@
         """Remove what is kept of a request that has ended well."""
         gevent.spawn(self._try, lambda: self._kept.remove(fingerprint))
 
-    def write_again(self) -> None:
+    def rewrite_all(self) -> None:
         """Write down all requests that are sent to no upstream: the store may have lost them."""
         for fingerprint in self._state.blame.quarantined(self._state.now()):
             self.handle_quarantined(fingerprint)
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -197,7 +197,7 @@
         access.subscribe_store_eras(self._store_recovery.seen)
         self._store_recovery.writes_again(self._registration.write)
         self._store_recovery.register_shared_write("policy", self._policy_persistence.write_again)
-        self._store_recovery.register_shared_write("crashes", self._crash_persistence.write_again)
+        self._store_recovery.register_shared_write("crashes", self._crash_persistence.rewrite_all)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
         self._ready = AuxiliaryListener(settings.ready_listen, ReadinessHandler(self.state))
