--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -81,6 +81,6 @@
         self.returns += 1
         return True
 
-    def in_doubt(self, now: float) -> bool:
+    def is_incomplete(self, now: float) -> bool:
         """Tell whether the store may still say less than is true."""
         return now - self._returned_at < DOUBT_S
--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -55,7 +55,7 @@
 
     def _keeps(self) -> bool:
         """Tell whether the store may still lack what operators have written."""
-        return self._state.eras.in_doubt(self._state.now())
+        return self._state.eras.is_incomplete(self._state.now())
 
     def _take(self, changed: CordonsChanged, source: str) -> None:
         """Put in force what has changed."""
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -45,9 +45,11 @@
     assert version("2.5") > version("1.90") > version("1.89") > version("120") > version("119")
     assert (version("2.5").era, version("2.5").revision) == (2, 5)
     eras = StoreEras()
-    assert not eras.record_era(3, 1.0) and not eras.record_era(3, 2.0) and not eras.in_doubt(2.0)
-    assert eras.record_era(4, 3.0) and eras.in_doubt(3.0 + DOUBT_S - 0.1)
-    assert not eras.in_doubt(3.0 + DOUBT_S) and not eras.record_era(3, 4.0) and eras.era == 4
+    assert (
+        not eras.record_era(3, 1.0) and not eras.record_era(3, 2.0) and not eras.is_incomplete(2.0)
+    )
+    assert eras.record_era(4, 3.0) and eras.is_incomplete(3.0 + DOUBT_S - 0.1)
+    assert not eras.is_incomplete(3.0 + DOUBT_S) and not eras.record_era(3, 4.0) and eras.era == 4
 
 
 @then("each version is read again as it is shown")
