--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -131,7 +131,7 @@
             self._has_pending_io = True
             actions.append(ReadLease())
         if self.has_lease(now):
-            actions += self._orders(event.wanted, now)
+            actions += self._pending_orders(event.wanted, now)
         return actions
 
     @_on.register
@@ -171,7 +171,7 @@
         self._has_pending_io = False
         return []
 
-    def _orders(self, wanted: tuple[WantedModel, ...], now: float) -> list[PlacementAction]:
+    def _pending_orders(self, wanted: tuple[WantedModel, ...], now: float) -> list[PlacementAction]:
         """Order what differs from what is wanted, a few at a time."""
         orders: list[PlacementAction] = []
         for one in wanted:
