--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -15,7 +15,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.log import log_event
-from driftstall.helpers.poison_sharing import BlameSharing, Fleet, log_refusal
+from driftstall.helpers.poison_sharing import Fleet, PoisonSharing, log_refusal
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.runners.engine import fetch_report
 from driftstall.util.fingerprint import fingerprint
@@ -40,7 +40,7 @@
             broadcast=self._broadcast,
         )
         own_id = hub.own.instance_id
-        self._sharing = BlameSharing(self.book, own_id, others, now=hub.now, source=hub.source)
+        self._sharing = PoisonSharing(self.book, own_id, others, now=hub.now, source=hub.source)
         hub.on_message(BlamesTold, self._told)
 
     def start(self) -> None:
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -39,7 +39,7 @@
 from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
-from driftstall.helpers.poison_sharing import BlameSharing, Fleet
+from driftstall.helpers.poison_sharing import Fleet, PoisonSharing
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.codec import kinds_of
 from driftstall.peers.gateway_messages import (
@@ -118,7 +118,7 @@
             send=self._send,
             broadcast=self._broadcast,
         )
-        self._blame = BlameSharing(
+        self._blame = PoisonSharing(
             state.blame, self.own.instance_id, others, now=state.now, source=state.rng
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -48,7 +48,7 @@
     broadcast: Callable[[Iterable[Instance], BlamesTold], None]
 
 
-class BlameSharing:
+class PoisonSharing:
     """Exchange what is known of requests beside crashes."""
 
     def __init__(
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -9,7 +9,6 @@
 from typing import Any, Final
 
 from behave import given, then, when
-from driftstall.helpers.poison_sharing import BlameSharing, Fleet
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
@@ -18,6 +17,7 @@
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, request_fingerprint
+from driftstall.helpers.poison_sharing import Fleet, PoisonSharing
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
 from driftstall.peers.envelope import Envelope
@@ -275,7 +275,7 @@
     assert "may be sent again" in printed, printed
 
 
-def sharing_of(context: Any) -> BlameSharing:
+def sharing_of(context: Any) -> PoisonSharing:
     """Return what exchanges with peers; what it sends is kept."""
     context.told = []
     state = world_of(context).state
@@ -286,7 +286,7 @@
         send=lambda recipient, message: context.told.append((recipient, message)),
         broadcast=lambda *_: None,
     )
-    return BlameSharing(state.blame, "own", others, now=state.now, source=state.rng)
+    return PoisonSharing(state.blame, "own", others, now=state.now, source=state.rng)
 
 
 @when("a peer that knows nothing asks which requests ran beside crashes")
