--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -17,7 +17,7 @@
 """Time that a stream may take to its first event."""
 TOKEN_S: Final = 0.02
 """Time that a token may take; twice the usual, so that few of the streams taken are cut."""
-LOCATED_SHARE: Final = 0.8
+LOCATE_GRACE_SHARE: Final = 0.8
 """Share of the grace time that is waited for callers that still have our address."""
 RETRY_ELSEWHERE_S: Final = 0.02
 """When to come back: at once, to another instance."""
@@ -62,5 +62,5 @@
         if since is None:
             return False
         waited = self._state.now() - since
-        located_s = LOCATED_SHARE * self._state.settings.bounds.grace_s
+        located_s = LOCATE_GRACE_SHARE * self._state.settings.bounds.grace_s
         return waited >= located_s and self._state.open_requests == 0
