--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -57,7 +57,7 @@
     context.add_cleanup(world.close)
     usual = crash_detector.RECHECK_DELAY_S
     crash_detector.RECHECK_DELAY_S = 0.01  # type: ignore[misc]
-    context.add_cleanup(setattr, crash_detector, "LOOK_AGAIN_S", usual)
+    context.add_cleanup(setattr, crash_detector, "RECHECK_DELAY_S", usual)
     context.convicted = []
     watch = CrashDetector(
         world.state,
