--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -196,7 +196,9 @@
         self.state.on_store_era = self._store_recovery.seen
         access.subscribe_store_eras(self._store_recovery.seen)
         self._store_recovery.writes_again(self._registration.write)
-        self._store_recovery.register_shared_write("policy", self._policy_persistence.write_again)
+        self._store_recovery.register_shared_write(
+            "policy", self._policy_persistence.rewrite_if_lost
+        )
         self._store_recovery.register_shared_write("crashes", self._crash_persistence.rewrite_all)
         self._drain = Drain(self.state)
         self._callers = CallerListener(self.state, mover, self._drain, self._is_current)
--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -28,7 +28,7 @@
         self._policies = policies
         self._kept = kept
 
-    def write_again(self) -> None:
+    def rewrite_if_lost(self) -> None:
         """Write the policy in force, where the store lacks it or holds an earlier one.
 
         One that is not known here was submitted after the return, and counts.
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -364,7 +364,7 @@
     """Take it in, and compare."""
     context.kept = KeptHere(stored("first", "2.40"))
     context.policies.listed((context.kept.held,), version("2.41"))
-    PolicyPersistence(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
 
 
 @then('"second" is in force, and is written again in its place')
@@ -378,10 +378,10 @@
 def third_holds(context: Any) -> None:
     """Submit it."""
     context.kept = KeptHere(stored("third", "2.45"))
-    PolicyPersistence(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
     context.policies.listed((context.kept.held,), version("2.46"))
     assert context.world.state.policy.name == "third"
-    PolicyPersistence(context.policies, context.kept).write_again()
+    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
     assert context.kept.written == []
 
 
@@ -399,5 +399,5 @@
     """Compare with the same one and with another."""
     for held in (stored("first", "2.40"), stored("other", "2.70")):
         kept = KeptHere(held)
-        PolicyPersistence(context.policies, kept).write_again()
+        PolicyPersistence(context.policies, kept).rewrite_if_lost()
         assert kept.written == []
