--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -68,7 +68,7 @@
 
     def _tend(self) -> None:
         """Look at who lives, and for which runners this instance is asked."""
-        self._count.seen(len(self._members.live), self._hub.now())
+        self._count.record(len(self._members.live), self._hub.now())
         self._permits.tend()
 
     def _tell(self) -> None:
--- a/driftstall/decisions/instance_count.py
+++ b/driftstall/decisions/instance_count.py
@@ -16,7 +16,7 @@
         self._peak = 1
         self._peak_at = 0.0
 
-    def seen(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Take in how many instances are known now."""
         if count >= self._peak or now - self._peak_at > FALL_S:
             self._peak = max(1, count)
--- a/features/steps/gateway_budget_steps.py
+++ b/features/steps/gateway_budget_steps.py
@@ -19,7 +19,7 @@
     context.budgets = []
     for _ in range(8):
         count = InstanceCount()
-        count.seen(8, 0.0)
+        count.record(8, 0.0)
         bounds = Bounds(retry_ratio=0.2, retry_extra=50.0, retry_window_s=10.0)
         context.budgets.append(SharedRetryBudget("s", bounds, count))
 
@@ -93,13 +93,13 @@
 def fewer_known(context: Any) -> None:
     """Let seven vanish."""
     context.count = InstanceCount()
-    context.count.seen(8, 0.0)
-    context.count.seen(1, 1.0)
+    context.count.record(8, 0.0)
+    context.count.record(1, 1.0)
 
 
 @then("the budget is still divided by 8, and by 1 after 31 s")
 def divided(context: Any) -> None:
     """Compare at both times."""
     assert context.count.value == 8
-    context.count.seen(1, 31.0)
+    context.count.record(1, 31.0)
     assert context.count.value == 1
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -117,7 +117,7 @@
 def large_budget(context: Any) -> None:
     """Let a collector tell of all others."""
     count = InstanceCount()
-    count.seen(78, 0.0)
+    count.record(78, 0.0)
     context.budget = SharedRetryBudget("s", Bounds(retry_extra=196.0), count)
     context.budget.record_peer(FLEET_KEY, RepeatCount("s", 200, 20), 1.0, instances=77)
 
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -180,7 +180,7 @@
     def _tend(self, member: _Member) -> None:
         """Let an instance look at what it answers for."""
         if member.is_up:
-            member.count.seen(len(member.live), self._now)
+            member.count.record(len(member.live), self._now)
             mine = self._owner(member) == member.name and member.knows_limit
             member.allowances.sync({UPSTREAM} if mine else set(), self._now)
         if self._members[member.name] is member:
