--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -106,7 +106,7 @@
         self._term = 0
         self._held_until = -1e9
         self._unfenced_from = float("inf")
-        self._asked_at = 0.0
+        self._lease_requested_at = 0.0
         self._seen_version = -1
         self._seen_at = 0.0
         self._has_pending_io = False
@@ -152,7 +152,7 @@
             settled = previous + MAX_ORDER_S if lease is not None else 0.0
             self._unfenced_from = max(now, self._seen_at + settled)
         self._term = (lease.term if lease else 0) + 1
-        self._asked_at = now
+        self._lease_requested_at = now
         self._has_pending_io = True
         return [WriteLease(event.version, LeaseObject(self._holder, self._term, LEASE_S))]
 
@@ -163,7 +163,7 @@
         self._seen_version = event.version
         self._seen_at = now
         # The lease runs from when it was asked for, not from when the answer came.
-        self._held_until = self._asked_at + LEASE_S
+        self._held_until = self._lease_requested_at + LEASE_S
         return []
 
     @_on.register
