--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -15,7 +15,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.log import log_event
-from driftstall.helpers.poison_sharing import Fleet, PoisonSharing, log_refusal
+from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing, log_refusal
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.runners.engine import fetch_report
 from driftstall.util.fingerprint import fingerprint
@@ -32,7 +32,7 @@
         self._hub = hub
         self._members = members
         self.book = PoisonTracker()
-        others = Fleet(
+        others = PeerTransport(
             live=lambda: members.live,
             hearers=lambda: members.live,
             passes_on=lambda: False,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -39,7 +39,7 @@
 from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
-from driftstall.helpers.poison_sharing import Fleet, PoisonSharing
+from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.codec import kinds_of
 from driftstall.peers.gateway_messages import (
@@ -111,7 +111,7 @@
             send=self._send,
             broadcast=self._broadcast,
         )
-        others = Fleet(
+        others = PeerTransport(
             live=lambda: self._members.live,
             hearers=self._blame_hearers,
             passes_on=lambda: self._roles.is_collector,
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class PeerTransport:
     """Hold how other instances are reached."""
 
     live: Callable[[], tuple[Instance, ...]]
@@ -55,7 +55,7 @@
         self,
         book: PoisonTracker,
         own_id: str,
-        fleet: Fleet,
+        fleet: PeerTransport,
         *,
         now: Callable[[], float],
         source: random.Random,
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -17,7 +17,7 @@
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, request_fingerprint
-from driftstall.helpers.poison_sharing import Fleet, PoisonSharing
+from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.peers.codec import HEADER, decode, encode, kinds_of
 from driftstall.peers.envelope import Envelope
@@ -279,7 +279,7 @@
     """Return what exchanges with peers; what it sends is kept."""
     context.told = []
     state = world_of(context).state
-    others = Fleet(
+    others = PeerTransport(
         live=lambda: (Instance("peer", "", "", "a"),),
         hearers=tuple,
         passes_on=lambda: False,
