--- a/driftstall/gateway/stats.py
+++ b/driftstall/gateway/stats.py
@@ -64,7 +64,7 @@
         )
 
 
-COUNTED: Final = {
+COUNTER_HELP: Final = {
     "requests": "Requests read from callers.",
     "completed": "Requests answered with an upstream's answer.",
     "refused": "Requests refused with a time to come back.",
@@ -94,9 +94,9 @@
     """Return all metrics in the Prometheus text format."""
     registry = Registry()
     for one in fields(stats):
-        if one.name in COUNTED:
+        if one.name in COUNTER_HELP:
             name = f"driftstall_gateway_{one.name}_total"
-            counter = Counter(name, COUNTED[one.name], registry=registry)
+            counter = Counter(name, COUNTER_HELP[one.name], registry=registry)
             counter.set({}, getattr(stats, one.name))
     for name, value in gauges.items():
         gauge = Gauge(f"driftstall_gateway_{name}", name.replace("_", " "), registry=registry)
