--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -31,7 +31,7 @@
     def read(self) -> tuple[BlameTold, ...]:
         """Return all that is kept."""
 
-    def keep(self, told: BlameTold) -> None:
+    def write(self, told: BlameTold) -> None:
         """Write what is known of one request."""
 
     def remove(self, fingerprint: str) -> None:
@@ -85,7 +85,7 @@
         """Write what is known now."""
         told = self._state.blame.report_for(fingerprint, self._state.now())
         if told is not None:
-            self._kept.keep(told)
+            self._kept.write(told)
 
     @staticmethod
     def _try(work: Callable[[], None]) -> None:
--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -56,7 +56,7 @@
                 self._store.delete(names.KIND_CRASHES, stored.name)
         return tuple(found)
 
-    def keep(self, told: BlameTold) -> None:
+    def write(self, told: BlameTold) -> None:
         """Write what is known of one request, or raise PlatformUnavailable."""
         now_ms = _now_ms()
         spec = {
