--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -14,7 +14,7 @@
 
 REVISION_BITS: Final = 48
 """A store that is changed a thousand times a second gives out so many revisions in 8,900 years."""
-DOUBT_S: Final = 2.5
+INCOMPLETE_S: Final = 2.5
 """How long after its return the store may say less than is true: what operators and upstreams had
 written is there again within about two seconds."""
 
@@ -83,4 +83,4 @@
 
     def is_incomplete(self, now: float) -> bool:
         """Tell whether the store may still say less than is true."""
-        return now - self._returned_at < DOUBT_S
+        return now - self._returned_at < INCOMPLETE_S
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -8,7 +8,7 @@
 import orjson
 from behave import given, then, when
 
-from driftstall.decisions.store_versions import DOUBT_S, StoreEras, StoreVersion
+from driftstall.decisions.store_versions import INCOMPLETE_S, StoreEras, StoreVersion
 from driftstall.exceptions import HistoryGone, PlatformUnavailable
 from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.fleet import FleetController
@@ -48,8 +48,10 @@
     assert (
         not eras.record_era(3, 1.0) and not eras.record_era(3, 2.0) and not eras.is_incomplete(2.0)
     )
-    assert eras.record_era(4, 3.0) and eras.is_incomplete(3.0 + DOUBT_S - 0.1)
-    assert not eras.is_incomplete(3.0 + DOUBT_S) and not eras.record_era(3, 4.0) and eras.era == 4
+    assert eras.record_era(4, 3.0) and eras.is_incomplete(3.0 + INCOMPLETE_S - 0.1)
+    assert (
+        not eras.is_incomplete(3.0 + INCOMPLETE_S) and not eras.record_era(3, 4.0) and eras.era == 4
+    )
 
 
 @then("each version is read again as it is shown")
