--- a/driftstall/controllers/drain.py
+++ b/driftstall/controllers/drain.py
@@ -61,7 +61,7 @@
         return self._phase
 
     @property
-    def located(self) -> bool:
+    def is_located(self) -> bool:
         """Tell whether callers may be sent here."""
         return self._phase is DrainPhase.SERVING
 
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -91,7 +91,7 @@
         """Return the instances that callers may be sent to."""
         own = self.hub.own.instance_id
         return tuple(
-            one for one in self.members.live if one.instance_id != own or self._drain.located
+            one for one in self.members.live if one.instance_id != own or self._drain.is_located
         )
 
     def ask_stop(self) -> None:
