--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -66,7 +66,7 @@
         self._crashed_at: dict[str, float] = {}
         self._forgot_at = state.now()
 
-    def broke(self, upstream: Upstream, run: BrokenRun) -> None:
+    def handle_broken_run(self, upstream: Upstream, run: BrokenRun) -> None:
         """Take in a run that broke off unexpectedly."""
         now, upstream_id = self._state.now(), upstream.upstream_id
         if now - self._crashed_at.get(upstream_id, float("-inf")) <= SAME_END_S:
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -155,7 +155,7 @@
             on_quarantined=self._crash_persistence.handle_quarantined,
         )
         self.state.on_quarantine_cleared = self._crash_persistence.handle_cleared
-        self.state.on_run_broken = watch.broke
+        self.state.on_run_broken = watch.handle_broken_run
         self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
         self._routing_pace = self._fleet_pace()
         self._upstream_pace = self._fleet_pace()
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -66,7 +66,7 @@
         on_quarantined=context.convicted.append,
     )
     context.watch = watch
-    world.state.on_run_broken = watch.broke
+    world.state.on_run_broken = watch.handle_broken_run
     context.answers = {}
 
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -190,7 +190,7 @@
         publish_evidence=lambda: None,
         on_quarantined=lambda _: None,
     )
-    world.state.on_run_broken = watch.broke
+    world.state.on_run_broken = watch.handle_broken_run
 
 
 @then("its engine takes no requests")
