--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -18,7 +18,7 @@
 """How long after its return the store may say less than is true: what operators and upstreams had
 written is there again within about two seconds."""
 
-LEFT_DOUBT_S: Final = 8.0
+REMOVED_RETENTION_S: Final = 8.0
 """How long an upstream that had left is not used again though the copy lists it. The entry of one
 that has ended goes after three heartbeats of silence, 3.6 s at the users; one that is still listed
 then lives."""
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -15,7 +15,12 @@
 
 from driftstall.decisions.cold_starts import UNTOLD_S
 from driftstall.decisions.leaving_signals import SIGNAL_RETENTION_S
-from driftstall.decisions.store_versions import DOUBT_S, LEFT_DOUBT_S, NO_VERSION, StoreVersion
+from driftstall.decisions.store_versions import (
+    DOUBT_S,
+    NO_VERSION,
+    REMOVED_RETENTION_S,
+    StoreVersion,
+)
 from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet_events import (
     Changed,
@@ -291,7 +296,7 @@
 
         Its upstream may have left or changed since.
         """
-        may_have_left = now - self._restored_at < LEFT_DOUBT_S
+        may_have_left = now - self._restored_at < REMOVED_RETENTION_S
         if not may_have_left or upstream.state is not UpstreamState.READY:
             return False
         entry, tombstone = self._entries.get(upstream.name), self._tombstones.get(upstream.name)
