--- a/driftstall/controllers/__init__.py
+++ b/driftstall/controllers/__init__.py
@@ -1,3 +1,3 @@
-"""Keep the state machines of an instance, without any I/O."""
+"""State machines of an instance, without I/O."""
 
 from __future__ import annotations
--- a/driftstall/controllers/drain.py
+++ b/driftstall/controllers/drain.py
@@ -1,4 +1,4 @@
-"""Stop an instance without cutting off a request."""
+"""Graceful shutdown: drain an instance without interrupting a request."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class DrainPhase(StrEnum):
-    """Name the phases of a planned stop."""
+    """Phases of a planned stop."""
 
     SERVING = "serving"
     WITHDRAWN = "withdrawn"
-    """Not located any more; callers that kept the address are still served."""
+    """No longer located; callers that cached the address are still served."""
     FINISHING = "finishing"
-    """The time that callers keep an answer has passed; open requests go on."""
+    """Callers have dropped the cached address; open requests are completed."""
     STOPPED = "stopped"
 
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPeriod:
-    """Let time pass; open counts the requests still served here."""
+    """Trigger the periodic work, with the number of requests still being served."""
 
     open_requests: int
 
@@ -35,22 +35,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceLeaving:
-    """Tell peers and the platform that this instance is leaving."""
+    """Announce to peers and the platform that this instance is leaving."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopProcess:
-    """End the process; nothing is open any more."""
+    """End the process, since no request is open."""
 
 
 DrainAction = AnnounceLeaving | StopProcess
 
 
 class DrainController:
-    """Walk through a planned stop."""
+    """State machine of a planned stop."""
 
     def __init__(self, keep_s: float) -> None:
-        """Take the seconds for which callers keep an address."""
+        """Initialize as serving; keep_s is how long callers cache an address, in seconds."""
         self._keep_s = keep_s
         self._phase = DrainPhase.SERVING
         self._since = 0.0
@@ -62,11 +62,11 @@
 
     @property
     def is_located(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return True if callers may be directed to this instance."""
         return self._phase is DrainPhase.SERVING
 
     def handle(self, event: DrainEvent, now: float) -> list[DrainAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         return self._on(event, now)
 
     @singledispatchmethod
--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -1,9 +1,9 @@
-"""Keep the list of live instances by probing random peers.
+"""SWIM-style group membership and failure detection.
 
-Each period an instance pings one random peer; changes travel on pings and acks.
-A peer that does not answer is pinged through others, then suspected, then held
-for dead; a live one refutes with a higher incarnation. The cost per instance
-does not grow with the fleet (SWIM).
+In each period an instance pings one random peer; changes are gossiped on pings and
+acks. A peer that does not answer is pinged indirectly through others, then suspected,
+then declared dead. A live instance refutes a suspicion with a higher incarnation. The
+cost per instance does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 PROBE_PERIOD_S: Final = 1.0
 ACK_TIMEOUT_S: Final = 0.3
 SUSPECT_TIMEOUT_S: Final = 2.0
-"""How long a suspected instance has to refute."""
+"""Time in which a suspected instance can refute the suspicion."""
 DEAD_RETENTION_S: Final = 2 * 3600.0
-"""A cut between regions may last an hour; the dead are asked again until then."""
+"""How long a dead instance is kept and probed: a partition between regions may last an hour."""
 INDIRECT_PROBERS: Final = 2
 MAX_CHANGES: Final = 10
-"""Changes carried by one message."""
+"""Maximum changes in one message."""
 RETRANSMIT_FACTOR: Final = 6
-"""Times that one change is passed on."""
+"""A change is sent this many times the bit length of the number of members."""
 
 
 class Health(StrEnum):
-    """Name an instance's standing."""
+    """Health states of an instance."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Carry what is known of one instance."""
+    """The state of one instance, as known to the sender."""
 
     instance_id: str
     address: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Probe a peer; on_behalf names who wants to know, if it is another."""
+    """Probe a peer; on_behalf is the instance that requested an indirect probe, or empty."""
 
     sender: str
     number: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ask a peer to ping another."""
+    """Request an indirect probe: the recipient pings the target."""
 
     sender: str
     number: int
@@ -86,19 +86,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Seeds:
-    """Take over instances from the platform's lagging list."""
+    """Add instances from the platform's list, which lags behind."""
 
     instances: tuple[Instance, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Period:
-    """Let time pass."""
+    """Trigger the periodic work."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Say that this instance is leaving."""
+    """Announce that this instance is leaving."""
 
 
 MembershipEvent = Ping | Ack | PingRequest | Seeds | Period | Leave
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Tell listeners that the list of live instances changed."""
+    """Notify listeners that the health of an instance changed."""
 
     instance_id: str
     health: str
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class _Member:
-    """Hold what is known of one instance."""
+    """A known instance, and since when it has its current state."""
 
     change: Change
     since: float
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Probe:
-    """Hold one ping that is not answered yet."""
+    """A ping without an answer so far."""
 
     target: str
     sent_at: float
@@ -141,10 +141,10 @@
 
 
 class MembershipController:
-    """Hold the member list of one instance."""
+    """State machine for the member list of one instance."""
 
     def __init__(self, own: Instance, incarnation: int, source: random.Random) -> None:
-        """Start knowing only oneself; the incarnation must grow with each start."""
+        """Initialize with only this instance; the incarnation must grow with each start."""
         self._own_id = own.instance_id
         self._source = source
         change = Change(
@@ -169,39 +169,39 @@
     def live(self) -> tuple[Instance, ...]:
         """Return the instances that are not dead; leaving ones are marked.
 
-        The same tuple is returned until the list changes.
+        The same tuple object is returned until the list changes.
         """
         if self._live is None:
             self._live = self._list_live()
         return self._live
 
     def _list_live(self) -> tuple[Instance, ...]:
-        """Make the list of instances that are not dead."""
+        """Build the list of instances that are not dead."""
         return tuple(
             Instance(
-                one.change.instance_id,
-                one.change.address,
-                one.change.peer_address,
-                one.change.zone,
-                leaving=one.change.health == Health.LEAVING,
-                link_mbps=one.change.link_mbps,
+                member.change.instance_id,
+                member.change.address,
+                member.change.peer_address,
+                member.change.zone,
+                leaving=member.change.health == Health.LEAVING,
+                link_mbps=member.change.link_mbps,
             )
-            for one in self._members.values()
-            if one.change.health != Health.DEAD
+            for member in self._members.values()
+            if member.change.health != Health.DEAD
         )
 
     @property
     def changes(self) -> tuple[Change, ...]:
-        """Return all that is known."""
+        """Return the state of all known instances, dead ones included."""
         return tuple(member.change for member in self._members.values())
 
     def address_of(self, instance_id: str) -> str | None:
-        """Return the peer address of a known instance."""
+        """Return the peer address of an instance, or None if it is unknown."""
         member = self._members.get(instance_id)
         return member.change.peer_address if member else None
 
     def handle(self, event: MembershipEvent, now: float) -> list[MembershipAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         self._actions = []
         self._on(event, now)
         return self._actions
@@ -215,8 +215,8 @@
     def _(self, event: Ping, now: float) -> None:
         self._merge_all(event.changes, now)
         sender = self._members.get(event.sender)
-        news = self._changes_to_send(sender.change if sender else None)
-        ack = Ack(self._own_id, event.number, event.on_behalf, news)
+        changes = self._changes_to_send(sender.change if sender else None)
+        ack = Ack(self._own_id, event.number, event.on_behalf, changes)
         self._actions.append(SendTo(event.sender, ack))
 
     @_on.register
@@ -237,15 +237,15 @@
 
     @_on.register
     def _(self, event: Seeds, now: float) -> None:
-        for one in event.instances:
-            if one.instance_id in self._members:
+        for seed in event.instances:
+            if seed.instance_id in self._members:
                 continue
             change = Change(
-                one.instance_id, one.address, one.peer_address, one.zone, 0, Health.ALIVE.value
+                seed.instance_id, seed.address, seed.peer_address, seed.zone, 0, Health.ALIVE.value
             )
-            self._members[one.instance_id] = _Member(change, now)
+            self._members[seed.instance_id] = _Member(change, now)
             self._live = None
-            self._actions.append(MembersChanged(one.instance_id, Health.ALIVE.value))
+            self._actions.append(MembersChanged(seed.instance_id, Health.ALIVE.value))
 
     @_on.register
     def _(self, event: Period, now: float) -> None:
@@ -264,29 +264,31 @@
                 self._ping(member.change, now)
 
     def _probe(self, now: float) -> None:
-        """Ping the next peer of a shuffled round."""
+        """Ping the next peer of the shuffled round, or shuffle the next round."""
         while self._round:
             member = self._members.get(self._round.pop())
             if member is not None:
                 self._ping(member.change, now)
                 return
-        others = [one for one in self._members.values() if one.change.instance_id != self._own_id]
-        dead = [one for one in others if one.change.health == Health.DEAD]
-        live = [one for one in others if one.change.health != Health.DEAD]
-        # Two sides of a cut hold each other for dead; only asking again joins them.
-        asked_again = self._source.sample(dead, min(1, len(dead)))
-        self._round = [one.change.instance_id for one in (*live, *asked_again)]
+        others = [
+            peer for peer in self._members.values() if peer.change.instance_id != self._own_id
+        ]
+        dead = [peer for peer in others if peer.change.health == Health.DEAD]
+        live = [peer for peer in others if peer.change.health != Health.DEAD]
+        # The two sides of a partition consider each other dead; only a probe joins them again.
+        dead_to_probe = self._source.sample(dead, min(1, len(dead)))
+        self._round = [peer.change.instance_id for peer in (*live, *dead_to_probe)]
         self._source.shuffle(self._round)
 
     def _ping(self, target: Change, now: float) -> None:
-        """Send one ping and remember it."""
+        """Send a ping and record it until it is answered."""
         self._number += 1
         self._probes[self._number] = _Probe(target.instance_id, now, indirect=False)
         ping = Ping(self._own_id, self._number, "", self._changes_to_send(target))
         self._actions.append(SendTo(target.instance_id, ping))
 
     def _check_probes(self, now: float) -> None:
-        """Ask helpers, then suspect, where a ping was not answered."""
+        """Request indirect probes for pings without an answer, then suspect their targets."""
         for number, probe in list(self._probes.items()):
             if now - probe.sent_at < ACK_TIMEOUT_S:
                 continue
@@ -296,10 +298,10 @@
                 continue
             self._probes[number] = _Probe(probe.target, now, indirect=True)
             others = [
-                one.change
-                for one in self._members.values()
-                if one.change.instance_id not in (self._own_id, probe.target)
-                and one.change.health in (Health.ALIVE, Health.LEAVING)
+                member.change
+                for member in self._members.values()
+                if member.change.instance_id not in (self._own_id, probe.target)
+                and member.change.health in (Health.ALIVE, Health.LEAVING)
             ]
             for helper in self._source.sample(others, min(INDIRECT_PROBERS, len(others))):
                 request = PingRequest(self._own_id, number, probe.target, self._changes_to_send())
@@ -312,13 +314,13 @@
             self._store(replace(member.change, health=Health.SUSPECT.value), now)
 
     def _clear_suspicion(self, instance_id: str, now: float) -> None:
-        """Take back one's own suspicion after an answer."""
+        """Withdraw this instance's own suspicion after an answer."""
         member = self._members.get(instance_id)
         if member is not None and member.change.health == Health.SUSPECT:
             self._store(replace(member.change, health=Health.ALIVE.value), now)
 
     def _check_suspects(self, now: float) -> None:
-        """Hold suspects for dead that did not refute, and forget the long dead."""
+        """Declare suspects dead that have not refuted in time, and remove old dead instances."""
         for member in list(self._members.values()):
             age = now - member.since
             if member.change.health == Health.SUSPECT and age >= SUSPECT_TIMEOUT_S:
@@ -328,29 +330,31 @@
                 self._live = None
 
     def _changes_to_send(self, target: Change | None = None) -> tuple[Change, ...]:
-        """Return the changes passed on least often, and oneself."""
+        """Return this instance's state and the changes that were sent least often."""
         limit = RETRANSMIT_FACTOR * max(1, len(self._members).bit_length())
-        fresh = sorted(self._transmissions.items(), key=lambda pair: pair[1])[: MAX_CHANGES - 1]
-        news = [self._members[self._own_id].change]
+        least_sent = sorted(self._transmissions.items(), key=lambda pair: pair[1])[
+            : MAX_CHANGES - 1
+        ]
+        changes = [self._members[self._own_id].change]
         if target is not None and target.health in (Health.SUSPECT, Health.DEAD):
-            # It can refute only what it hears.
-            news.append(target)
-        for instance_id, times in fresh:
+            # An instance can refute only a suspicion that it receives.
+            changes.append(target)
+        for instance_id, times in least_sent:
             if times >= limit or instance_id not in self._members:
                 del self._transmissions[instance_id]
                 continue
             self._transmissions[instance_id] = times + 1
             if instance_id != self._own_id:
-                news.append(self._members[instance_id].change)
-        return tuple(news)
+                changes.append(self._members[instance_id].change)
+        return tuple(changes)
 
     def _merge_all(self, changes: tuple[Change, ...], now: float) -> None:
-        """Learn from a peer's news."""
+        """Merge the changes of a peer's message."""
         for change in changes:
             self._merge(change, now)
 
     def _merge(self, change: Change, now: float) -> None:
-        """Take over a change that is newer than what is known."""
+        """Apply a change that supersedes the known state of its instance."""
         if change.instance_id == self._own_id:
             self._refute(change, now)
             return
@@ -366,7 +370,7 @@
             self._store(change, now)
 
     def _refute(self, change: Change, now: float) -> None:
-        """Answer a false report about oneself with a higher incarnation."""
+        """Refute a suspicion of this instance by raising its incarnation."""
         own = self._members[self._own_id].change
         if change.health in (Health.SUSPECT, Health.DEAD) and (
             change.incarnation >= own.incarnation
@@ -374,7 +378,7 @@
             self._store(replace(own, incarnation=change.incarnation + 1), now)
 
     def _store(self, change: Change, now: float) -> None:
-        """Store a change, pass it on and tell listeners."""
+        """Store a change, queue it for gossip and notify listeners."""
         self._members[change.instance_id] = _Member(change, now)
         self._live = None
         self._transmissions[change.instance_id] = 0
--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -1,8 +1,8 @@
-"""Order engines to load models, under a lease whose version fences old holders.
+"""Placement of models on engines, under a lease whose version is the fencing token.
 
-The holder checks its lease on the monotonic clock, with a margin for the time on
-the wire, right before each order. A runner that does not check fences gets
-orders only after the previous lease and the longest order have both run out.
+The holder checks its lease on the monotonic clock right before each order, with a margin
+for the network delay. A runner that does not check fencing tokens gets orders only after
+both the previous lease and the longest possible order have expired.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 WIRE_MARGIN_S: Final = 1.0
 MAX_ORDER_S: Final = 3.0
 LOADS_PER_PERIOD: Final = 2
-"""Loads ordered at once: the weights store is rate-limited."""
+"""Maximum loads ordered at once, since the weights store is rate-limited."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseObject:
-    """Hold the lease as stored in the platform."""
+    """The lease as stored in the platform's store."""
 
     holder: str
     term: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WantedModel:
-    """State which model a runner is to serve, and what it last reported."""
+    """The model that a runner should serve, and the one that it last reported."""
 
     runner_id: str
     wanted: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRead:
-    """Receive the stored lease; version zero stands for none."""
+    """Receive the stored lease; version zero means that there is none."""
 
     version: int
     lease: LeaseObject | None
@@ -48,19 +48,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseWritten:
-    """Learn that the lease was taken or renewed."""
+    """Report that the lease was acquired or renewed."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """Learn that a lease write conflicted or its answer was lost."""
+    """Report that a lease write conflicted or that its response was lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPeriod:
-    """Let time pass, with what is wanted now and whether this instance ranks first."""
+    """Trigger the periodic work; first is True if this instance ranks first for the group."""
 
     first: bool
     wanted: tuple[WantedModel, ...]
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write the lease, if its version is still the expected one."""
+    """Write the lease if its version is still the expected one."""
 
     expected: int
     lease: LeaseObject
@@ -84,23 +84,23 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderLoad:
-    """Order a runner to serve a model; it states the wanted end."""
+    """Order a runner to serve a model; the order is idempotent."""
 
     runner_id: str
     model: str
     fence: int
     not_after: float
-    """Monotonic time after which the order must not be sent any more."""
+    """Monotonic time after which the order must no longer be sent."""
 
 
 PlacementAction = ReadLease | WriteLease | OrderLoad
 
 
 class PlacementController:
-    """Hold the lease for one placement group and give its orders."""
+    """Hold the lease of one placement group and give its orders."""
 
     def __init__(self, holder: str) -> None:
-        """Start without the lease."""
+        """Initialize without the lease."""
         self._holder = holder
         self._version = 0
         self._term = 0
@@ -112,11 +112,11 @@
         self._has_pending_io = False
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether the lease surely holds until an order has arrived."""
+        """Return True if the lease certainly outlasts the delivery of an order."""
         return now + WIRE_MARGIN_S < self._held_until
 
     def handle(self, event: PlacementEvent, now: float) -> list[PlacementAction]:
-        """Take one event and return the actions it leads to."""
+        """Apply one event and return the resulting actions."""
         return self._on(event, now)
 
     @singledispatchmethod
@@ -147,7 +147,7 @@
         if foreign and lease is not None and now - self._seen_at < lease.duration_s:
             return []
         if foreign or lease is None:
-            # A new term: those that check no fence wait until old orders have run out.
+            # A new term: runners without fence checks get no orders until old ones have expired.
             previous = lease.duration_s if lease is not None else 0.0
             settled = previous + MAX_ORDER_S if lease is not None else 0.0
             self._unfenced_from = max(now, self._seen_at + settled)
@@ -162,7 +162,7 @@
         self._version = event.version
         self._seen_version = event.version
         self._seen_at = now
-        # The lease runs from when it was asked for, not from when the answer came.
+        # The lease starts when its write was sent, not when the response arrived.
         self._held_until = self._lease_requested_at + LEASE_S
         return []
 
@@ -172,13 +172,13 @@
         return []
 
     def _pending_orders(self, wanted: tuple[WantedModel, ...], now: float) -> list[PlacementAction]:
-        """Order what differs from what is wanted, a few at a time."""
+        """Order the wanted models that are not loaded, at most LOADS_PER_PERIOD at a time."""
         orders: list[PlacementAction] = []
-        for one in wanted:
-            if one.wanted == one.loaded or len(orders) >= LOADS_PER_PERIOD:
+        for target in wanted:
+            if target.wanted == target.loaded or len(orders) >= LOADS_PER_PERIOD:
                 continue
-            if not one.checks_fences and now < self._unfenced_from:
+            if not target.checks_fences and now < self._unfenced_from:
                 continue
             not_after = self._held_until - WIRE_MARGIN_S
-            orders.append(OrderLoad(one.runner_id, one.wanted, self._version, not_after))
+            orders.append(OrderLoad(target.runner_id, target.wanted, self._version, not_after))
         return orders
