--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -35,7 +35,7 @@
         others = PeerTransport(
             live=lambda: members.live,
             hearers=lambda: members.live,
-            passes_on=lambda: False,
+            forwards=lambda: False,
             send=self._send,
             broadcast=self._broadcast,
         )
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -114,7 +114,7 @@
         others = PeerTransport(
             live=lambda: self._members.live,
             hearers=self._blame_hearers,
-            passes_on=lambda: self._roles.is_collector,
+            forwards=lambda: self._roles.is_collector,
             send=self._send,
             broadcast=self._broadcast,
         )
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -42,7 +42,7 @@
     """Return all that live, perhaps with this one."""
     hearers: Callable[[], Iterable[Instance]]
     """Return who is told at once."""
-    passes_on: Callable[[], bool]
+    forwards: Callable[[], bool]
     """Return whether this instance passes on to its hearers what others tell it."""
     send: Callable[[str, BlamesTold], None]
     broadcast: Callable[[Iterable[Instance], BlamesTold], None]
@@ -86,7 +86,7 @@
         if book.merge(message.records, now):
             for one in set(book.quarantined(now)) - refused:
                 log_refusal(one, book.verdict(one, now), peer=message.sender)
-            if self._fleet.passes_on():
+            if self._fleet.forwards():
                 self.changed()
         if message.asks and _lacks(message.records, known):
             self._fleet.send(message.sender, BlamesTold(self._own_id, known, asks=False))
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -282,7 +282,7 @@
     others = PeerTransport(
         live=lambda: (Instance("peer", "", "", "a"),),
         hearers=tuple,
-        passes_on=lambda: False,
+        forwards=lambda: False,
         send=lambda recipient, message: context.told.append((recipient, message)),
         broadcast=lambda *_: None,
     )
