--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from driftstall.core import Request, Verdict
-from driftstall.decisions.isolation import LONG_PREFILL
+from driftstall.decisions.isolation import LONG_PREFILL_TOKENS
 from driftstall.decisions.memory import NOTHING, Hold
 from driftstall.decisions.permits import Allowance, SendNeed
 from driftstall.decisions.prefixes import PrefixModel
@@ -45,7 +45,7 @@
     def long_prompt_tokens(self) -> int:
         """Return the prompt tokens of a long prefill below the first rank, otherwise zero."""
         tokens = self.request.input_tokens
-        return tokens if self.verdict.rank > 0 and tokens >= LONG_PREFILL else 0
+        return tokens if self.verdict.rank > 0 and tokens >= LONG_PREFILL_TOKENS else 0
 
 
 @dataclass(slots=True)
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -36,7 +36,7 @@
 from driftstall.controllers.runner_registry import RunnerRegistry
 from driftstall.core import Request, Verdict, Weights
 from driftstall.decisions.fairness import FairQueue, Waiting
-from driftstall.decisions.isolation import LONG_PREFILL, LongPrefillSet, RunnerLoad
+from driftstall.decisions.isolation import LONG_PREFILL_TOKENS, LongPrefillSet, RunnerLoad
 from driftstall.decisions.lengths import LengthModel
 from driftstall.decisions.memory import Hold, hold_of, quantile
 from driftstall.decisions.retry_schedule import (
@@ -371,7 +371,7 @@
             if not self._registry.has_room(runner, item.hold, own_peak, limit, now):
                 continue
             uncached = request.input_tokens - runner.prefixes.match(request.prefix)
-            if isolate and uncached >= LONG_PREFILL and runner.runner_id not in members:
+            if isolate and uncached >= LONG_PREFILL_TOKENS and runner.runner_id not in members:
                 is_isolated = True
                 continue
             pending = runner.decay_pending_prefill(now)
--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -17,7 +17,7 @@
 
 from driftstall.core import Weights
 
-LONG_PREFILL: Final = 1_024
+LONG_PREFILL_TOKENS: Final = 1_024
 """Uncached tokens from which a prompt is long: two chunks of prefill."""
 PATIENCE_S: Final = 5.0
 """Wait before the set grows, where the measures weigh the same and engines are full."""
