--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -143,7 +143,7 @@
             on_suspected=self._upstreams.doubted,
             publish=self._peering.publish_suspicion,
         )
-        self.state.on_upstream_suspected = self._upstream_prober.suspect
+        self.state.on_upstream_suspected = self._upstream_prober.probe_soon
         self.state.signals.leaving = self._signalled_leaving
         self._crash_persistence = CrashPersistence(self.state, access.crashes, self._roles)
         watch = CrashDetector(
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -60,7 +60,7 @@
         """Start the probing loop."""
         keep_running(PREFIX_ROUTING, self._run)
 
-    def suspect(self, upstream: Upstream) -> None:
+    def probe_soon(self, upstream: Upstream) -> None:
         """Probe an engine at which something has just gone wrong, in the background."""
         gevent.spawn(self._ask, upstream)
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -183,7 +183,7 @@
     """Have the relays' suspicions, and what breaks off, followed up."""
     world = world_of(context)
     prober = prober_of(world)
-    world.state.on_upstream_suspected = prober.suspect
+    world.state.on_upstream_suspected = prober.probe_soon
     watch = CrashDetector(
         world.state,
         on_crash=lambda upstream: prober.handle_bad_state(upstream, ReportedState.TERMINATED),
