--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -84,7 +84,7 @@
         return Ran.UNKNOWN if may_have_run else Ran.NOT_RUN
 
     @property
-    def may_run_anew(self) -> bool:
+    def can_restart(self) -> bool:
         """Tell whether the request may be sent to begin a run."""
         return self.runs < self.most_runs
 
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -169,7 +169,7 @@
         if self._caller_gone or self._left() <= 0:
             detail = "the time for this request is over"
             return Problem(CODE_DEADLINE, 504, detail, tries.history.ran)
-        if not tries.history.may_run_anew or tries.history.sends >= MAX_SENDS:
+        if not tries.history.can_restart or tries.history.sends >= MAX_SENDS:
             return self._unserved(tries)
         return None
 
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -37,7 +37,7 @@
     def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
         tries, history = _Tries(), self._context.history
-        while history.may_run_anew and history.sends < MAX_SENDS:
+        while history.can_restart and history.sends < MAX_SENDS:
             result = self._try_one(tries)
             if result is not None:
                 return result
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -70,7 +70,7 @@
 def _may_follow(history: SendHistory, wanted: str) -> bool:
     """Ask the history for a send that the table names."""
     if wanted.startswith("anew"):
-        return history.may_run_anew
+        return history.can_restart
     named = re.fullmatch(r"at copy (\w) at (\w)", wanted)
     if named is not None:
         return history.may_go_on(CopyKind.NAMED, named.group(2), named.group(1), None)
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -79,7 +79,7 @@
     def _allowed(self, draw: Draw) -> bool:
         """Ask the history, as a relay does."""
         if draw.kind is None:
-            return self.history.may_run_anew
+            return self.history.can_restart
         return self.history.may_go_on(draw.kind, draw.upstream_id, _copy_of(draw), draw.making_s)
 
     def _holds_copy(self, draw: Draw) -> bool:
