--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -115,7 +115,7 @@
 
     def _blame(self, doubt: _Doubt) -> None:
         """Put a crash down to all that ran there, and tell peers."""
-        upstream_id, blame = doubt.upstream.upstream_id, self._state.blame
+        upstream_id, blame = doubt.upstream.upstream_id, self._state.poison_tracker
         self._state.stats.crashes_seen += 1
         log_event(
             PREFIX_ROUTING,
@@ -133,7 +133,7 @@
 
     def _log_verdict(self, run: BrokenRun) -> None:
         """Log what a request has come to, where it is sent on no more."""
-        verdict = self._state.blame.verdict(run.fingerprint, self._state.now())
+        verdict = self._state.poison_tracker.verdict(run.fingerprint, self._state.now())
         if verdict.wait_s:
             self._convicted(run.fingerprint)
             log_refusal(run.fingerprint, verdict, request=run.request_id)
@@ -144,7 +144,7 @@
         if now - self._forgot_at < FORGET_EVERY_S:
             return
         self._forgot_at = now
-        self._state.blame.forget_expired(now)
+        self._state.poison_tracker.forget_expired(now)
         self._crashed_at = {
             one: at for one, at in self._crashed_at.items() if now - at < CRASH_RETENTION_S
         }
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -63,7 +63,7 @@
 
     def rewrite_all(self) -> None:
         """Write down all requests that are sent to no upstream: the store may have lost them."""
-        for fingerprint in self._state.blame.quarantined(self._state.now()):
+        for fingerprint in self._state.poison_tracker.quarantined(self._state.now()):
             self.handle_quarantined(fingerprint)
 
     def _read(self) -> None:
@@ -75,7 +75,7 @@
     def _take(self) -> None:
         """Take in what the platform keeps, and have peers told."""
         told = self._kept.read()
-        if self._state.blame.merge(told, self._state.now()):
+        if self._state.poison_tracker.merge(told, self._state.now()):
             log_event(
                 PREFIX_ROUTING, f"The platform keeps {len(told)} requests that crash upstreams"
             )
@@ -83,7 +83,7 @@
 
     def _keep(self, fingerprint: str) -> None:
         """Write what is known now."""
-        told = self._state.blame.report_for(fingerprint, self._state.now())
+        told = self._state.poison_tracker.report_for(fingerprint, self._state.now())
         if told is not None:
             self._kept.write(told)
 
--- a/driftstall/gateway/crash_refusal.py
+++ b/driftstall/gateway/crash_refusal.py
@@ -15,7 +15,7 @@
     Ran tells what is known of the sends before. Each crash takes a dozen streams of others along,
     so a request is asked about before each send: first ones, repeats and resumes.
     """
-    verdict = state.blame.verdict(admitted.fingerprint, state.now())
+    verdict = state.poison_tracker.verdict(admitted.fingerprint, state.now())
     if not verdict.wait_s:
         return None
     state.stats.crashing_refused += 1
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -279,7 +279,7 @@
 
     def _crashes(self, call: CallerRequest) -> bytes:
         """Name the requests that are sent to no upstream."""
-        found = self._state.blame.quarantined(self._state.now())
+        found = self._state.poison_tracker.quarantined(self._state.now())
         rows = [
             {
                 "fingerprint": fingerprint,
@@ -294,7 +294,7 @@
     def _clear(self, call: CallerRequest) -> bytes:
         """Hold nothing more against a request, here and at the other instances."""
         fingerprint = call.path.rpartition("/")[2]
-        is_known = self._state.blame.verdict(fingerprint, self._state.now()).is_poison
+        is_known = self._state.poison_tracker.verdict(fingerprint, self._state.now()).is_poison
         if is_known:
             log_event(PREFIX_ROUTING, f"Request {fingerprint} is cleared by an operator")
             self._state.record_success(fingerprint)
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -285,7 +285,9 @@
             "upstreams_age_seconds": min(MAX_AGE_S, self._upstream_pace.age_s),
             "routing_age_seconds": min(MAX_AGE_S, self._routing_pace.age_s),
             "platform_ok": float(self._upstream_reach.is_followed),
-            "requests_refused_for_crashes": len(self.state.blame.quarantined(self.state.now())),
+            "requests_refused_for_crashes": len(
+                self.state.poison_tracker.quarantined(self.state.now())
+            ),
             "store_era": self.state.eras.era,
             "store_returns": self.state.eras.returns,
             "collects": float(self._roles().is_collector),
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -119,7 +119,7 @@
             broadcast=self._broadcast,
         )
         self._blame = PoisonSharing(
-            state.blame, self.own.instance_id, others, now=state.now, source=state.rng
+            state.poison_tracker, self.own.instance_id, others, now=state.now, source=state.rng
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
         state.request_placement = self._placer.place
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -66,7 +66,7 @@
         self.outcomes = OutlierDetector()
         self.lengths = LearnedLengths()
         self.runs = RunRegistry()
-        self.blame = PoisonTracker()
+        self.poison_tracker = PoisonTracker()
         self.stats = GatewayStats()
         self.rng = random.Random()
         self.instances = InstanceCount()
@@ -332,8 +332,8 @@
     def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, which clears it of crashes."""
         now = self.now()
-        was_convicted = self.blame.verdict(fingerprint, now).is_poison
-        if fingerprint and self.blame.record_success(fingerprint, now):
+        was_convicted = self.poison_tracker.verdict(fingerprint, now).is_poison
+        if fingerprint and self.poison_tracker.record_success(fingerprint, now):
             self.on_poison_evidence_changed()
         if was_convicted:
             self.on_quarantine_cleared(fingerprint)
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -186,14 +186,14 @@
 def told_well(context: Any) -> None:
     """Take in a peer's word."""
     state = world_of(context).state
-    state.blame.merge([BlameTold(at_path("/stream/x"), (), 0)], state.now())
+    state.poison_tracker.merge([BlameTold(at_path("/stream/x"), (), 0)], state.now())
 
 
 def tell_crashes(context: Any, ago_s: float = 0.0) -> None:
     """Take in a peer's word of two crashes."""
     state, ago_ms = world_of(context).state, int(ago_s * 1000)
     crashes = tuple(CrashTold(name, ago_ms, under_way=False) for name in ("e-8", "e-9"))
-    state.blame.merge([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
+    state.poison_tracker.merge([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
 
 
 @given('a peer tells of two crashes under "/stream/x"')
@@ -233,7 +233,7 @@
     """Look at the book."""
     state = world_of(context).state
     assert context.answers["r1"].status == 200, context.answers["r1"]
-    assert state.blame.verdict(at_path("/stream/x"), state.now()).is_poison
+    assert state.poison_tracker.verdict(at_path("/stream/x"), state.now()).is_poison
 
 
 @then("the metrics page counts one request that is refused")
@@ -241,7 +241,10 @@
     """Serve the page and read it."""
     state = world_of(context).state
     page = MetricsHandler(
-        state, lambda: {"requests_refused_for_crashes": len(state.blame.quarantined(state.now()))}
+        state,
+        lambda: {
+            "requests_refused_for_crashes": len(state.poison_tracker.quarantined(state.now()))
+        },
     )
     listener = AuxiliaryListener(state.settings.metrics_listen, page)
     listener.start()
@@ -286,7 +289,7 @@
         send=lambda recipient, message: context.told.append((recipient, message)),
         broadcast=lambda *_: None,
     )
-    return PoisonSharing(state.blame, "own", others, now=state.now, source=state.rng)
+    return PoisonSharing(state.poison_tracker, "own", others, now=state.now, source=state.rng)
 
 
 @when("a peer that knows nothing asks which requests ran beside crashes")
@@ -299,7 +302,9 @@
 def knowing_peer_asks(context: Any) -> None:
     """Take its question in."""
     state = world_of(context).state
-    known = replace(BlamesTold("peer", (), asks=True), records=state.blame.reports(state.now()))
+    known = replace(
+        BlamesTold("peer", (), asks=True), records=state.poison_tracker.reports(state.now())
+    )
     sharing_of(context).take(known)
 
 
