--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -78,7 +78,7 @@
     def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, or that an operator clears it."""
         if self.book.record_success(fingerprint, self._hub.now()):
-            self._sharing.changed()
+            self._sharing.publish_soon()
 
     def _look_again(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
         """Ask a runner once more that still listened."""
@@ -97,7 +97,7 @@
             if verdict.wait_s:
                 log_refusal(fingerprint, verdict)
             self.book.forget_expired(self._hub.now())
-            self._sharing.changed()
+            self._sharing.publish_soon()
 
     def _told(self, _: str, message: BlamesTold) -> None:
         """Take in what a peer knows."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -209,7 +209,7 @@
 
     def publish_poison_evidence(self) -> None:
         """Tell which requests ran beside crashes."""
-        self._blame.changed()
+        self._blame.publish_soon()
 
     def publish_routing(self, *, from_peer: bool) -> None:
         """Pass the routing document in force on."""
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -74,7 +74,7 @@
         keep_running(PREFIX_ROUTING, self._tell_news)
         keep_running(PREFIX_ROUTING, self._exchange)
 
-    def changed(self) -> None:
+    def publish_soon(self) -> None:
         """Have the others told soon."""
         self._news.set()
 
@@ -87,7 +87,7 @@
             for one in set(book.quarantined(now)) - refused:
                 log_refusal(one, book.verdict(one, now), peer=message.sender)
             if self._fleet.forwards():
-                self.changed()
+                self.publish_soon()
         if message.asks and _lacks(message.records, known):
             self._fleet.send(message.sender, BlamesTold(self._own_id, known, asks=False))
             return
