--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -61,7 +61,7 @@
 
 _STEPS: Final = tuple(enumerate(HORIZONS))
 _NO_STEPS: Final = tuple((index, 0) for index in range(len(HORIZONS)))
-NOTHING: Final = Hold((0.0,) * len(HORIZONS), (0.0,) * len(HORIZONS))
+ZERO_FORECAST: Final = Hold((0.0,) * len(HORIZONS), (0.0,) * len(HORIZONS))
 
 
 def hold_of(lengths: LengthModel, request: Request, produced: int) -> Hold:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -23,7 +23,7 @@
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.limits import TokenBucket
-from driftstall.decisions.memory import NOTHING
+from driftstall.decisions.memory import ZERO_FORECAST
 from driftstall.decisions.prefixes import PrefixModel
 from driftstall.decisions.retry import RetryBudget
 from driftstall.decisions.survival import Survival, bucket_of
@@ -77,7 +77,7 @@
 
 def _waiting(name: str, workspace: str, since: float) -> Waiting:
     """Return a waiting request."""
-    return Waiting("entry", request_of(name, workspace), FIRST, 700.0, since, 100.0, NOTHING)
+    return Waiting("entry", request_of(name, workspace), FIRST, 700.0, since, 100.0, ZERO_FORECAST)
 
 
 @then('"{quiet}" is among the first two served')
