--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -62,14 +62,14 @@
 
     def probe_soon(self, upstream: Upstream) -> None:
         """Probe an engine at which something has just gone wrong, in the background."""
-        gevent.spawn(self._ask, upstream)
+        gevent.spawn(self._probe, upstream)
 
     def probe_all(self) -> None:
         """Probe the engines that are assigned to this instance."""
         probers = self._probers()
         for upstream in self._state.fleet.upstreams:
             if asks(self._own, probers, upstream.upstream_id, upstream.zone):
-                gevent.spawn(self._ask, upstream)
+                gevent.spawn(self._probe, upstream)
 
     def _run(self) -> None:
         """Probe periodically while the platform is silent, or lags behind the engines' reports."""
@@ -80,7 +80,7 @@
                 gevent.sleep(PROBE_INTERVAL_S - CHECK_INTERVAL_S)
             self._forget_old()
 
-    def _ask(self, upstream: Upstream) -> None:
+    def _probe(self, upstream: Upstream) -> None:
         """Probe one engine, unless it was probed just now, and handle a bad state."""
         engine_id, now = upstream.upstream_id, self._state.now()
         service = (
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -164,7 +164,7 @@
         on_suspected=lambda _: None,
         publish=lambda _: None,
     )
-    prober._ask(context.run.upstream)
+    prober._probe(context.run.upstream)
     assert not calls, calls
     context.script.gate.set()
 
