--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -98,7 +98,7 @@
         """Return the upstreams at which the request may have run."""
         return frozenset(send.upstream_id for send in self._sends if send.fate is Fate.MAY_HAVE_RUN)
 
-    def may_go_on(
+    def can_resume(
         self, kind: CopyKind, upstream_id: str, copy_of: str, making_s: float | None
     ) -> bool:
         """Tell whether the request may be sent to an upstream to go on at a copy there.
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -69,7 +69,7 @@
     def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
         """Ask whether the request may be sent to go on at a copy, after all that was sent."""
         engine_id = copy.upstream.upstream_id
-        return self._history.may_go_on(copy.kind, engine_id, copy.copy_of, run.generating_s)
+        return self._history.can_resume(copy.kind, engine_id, copy.copy_of, run.generating_s)
 
     def _await_last_step(
         self, run: StreamRun, moving: AsyncResult, left_s: float
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -73,11 +73,11 @@
         return history.can_restart
     named = re.fullmatch(r"at copy (\w) at (\w)", wanted)
     if named is not None:
-        return history.may_go_on(CopyKind.NAMED, named.group(2), named.group(1), None)
+        return history.can_resume(CopyKind.NAMED, named.group(2), named.group(1), None)
     found = re.fullmatch(r"kept up at (\w)(?:, no event| after ([\d.]+) s)", wanted)
     assert found is not None, wanted
     making_s = float(found.group(2)) if found.group(2) else None
-    return history.may_go_on(CopyKind.KEPT_UP, found.group(1), "kept", making_s)
+    return history.can_resume(CopyKind.KEPT_UP, found.group(1), "kept", making_s)
 
 
 FAULTS: dict[str, list[Script]] = {
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -80,7 +80,7 @@
         """Ask the history, as a relay does."""
         if draw.kind is None:
             return self.history.can_restart
-        return self.history.may_go_on(draw.kind, draw.upstream_id, _copy_of(draw), draw.making_s)
+        return self.history.can_resume(draw.kind, draw.upstream_id, _copy_of(draw), draw.making_s)
 
     def _holds_copy(self, draw: Draw) -> bool:
         """Tell whether the upstream goes on with the same run."""
