--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -33,8 +33,8 @@
 
         An engine whose memory would be fuller than most_memory, from 0 to 1, is not chosen.
         """
-        kept = self.find_replica(run)
-        holder = kept.copy.upstream if kept is not None else None
+        replica = self.find_replica(run)
+        holder = replica.copy.upstream if replica is not None else None
         if holder and holder.upstream_id not in avoid and not self._state.backoff_s(holder):
             return holder
         engine = run.admitted.service.engine
@@ -54,19 +54,19 @@
 
     def find_replica(self, run: StreamRun) -> Replica | None:
         """Return the run's copy if it is young enough and its engine stays."""
-        kept = run.replica
-        if kept is None or self._is_old(kept):
+        replica = run.replica
+        if replica is None or self._is_old(replica):
             return None
-        return kept if self._takes_on(kept) else None
+        return replica if self._takes_on(replica) else None
 
-    def _takes_on(self, kept: Replica) -> bool:
+    def _takes_on(self, replica: Replica) -> bool:
         """Tell whether a copy's engine takes requests, and the one that named it has not ended.
 
         A later start of that one counts its names anew: the same name may be another run's copy.
         """
         fleet = self._state.fleet
-        is_named = not fleet.is_replaced(kept.copy.named_by)
-        return is_named and fleet.accepts_requests(kept.copy.upstream.upstream_id)
+        is_named = not fleet.is_replaced(replica.copy.named_by)
+        return is_named and fleet.accepts_requests(replica.copy.upstream.upstream_id)
 
     def is_usable(self, moved: Replica) -> bool:
         """Tell whether a stopped run can go on at its copy: nowhere else can it.
@@ -79,9 +79,9 @@
             return False
         return self._state.fleet.can_still_serve(engine_id, now, drain_s)
 
-    def _is_old(self, kept: Replica) -> bool:
+    def _is_old(self, replica: Replica) -> bool:
         """Tell whether an engine may have dropped a copy."""
-        return self._state.now() - kept.at > MAX_REPLICA_AGE_S
+        return self._state.now() - replica.at > MAX_REPLICA_AGE_S
 
     def copy(self, run: StreamRun, target: Upstream) -> MoveResult:
         """Copy a run's memory while it goes on."""
@@ -119,8 +119,8 @@
             moving.set(FinalCopy(self._stopped(target, result.copy_of, run), True))
             return True
         # The source keeps what it has made: the run goes on there if it still can.
-        kept = self._stopped(run.upstream, result.copy_of, run) if result.copy_of else None
-        moving.set(FinalCopy(kept, result.may_have_stopped))
+        replica = self._stopped(run.upstream, result.copy_of, run) if result.copy_of else None
+        moving.set(FinalCopy(replica, result.may_have_stopped))
         return False
 
     def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
@@ -130,17 +130,17 @@
 
     def drop_replica(self, run: StreamRun) -> None:
         """Free the memory of a copy that is not needed any more."""
-        kept, run.replica = run.replica, None
-        if kept is None:
+        replica, run.replica = run.replica, None
+        if replica is None:
             return
         self._hold(run, None)
         source_stays = self._state.fleet.is_staying(run.upstream.upstream_id)
-        holder = run.upstream if source_stays else kept.copy.upstream
+        holder = run.upstream if source_stays else replica.copy.upstream
         if self._state.backoff_s(holder):
             # Engines drop an unused copy by themselves after a while.
             return
         self._state.rate_limiting.charge(holder.upstream_id)
-        gevent.spawn(self._state.dialect.drop_replica, holder, kept.copy.copy_of)
+        gevent.spawn(self._state.dialect.drop_replica, holder, replica.copy.copy_of)
 
     def _step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
         """Take one step and log it."""
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -82,17 +82,17 @@
             backup = run.backup
             if backup is not None and self._state.fleet.accepts_requests(backup.upstream_id):
                 continue
-            kept = self._mover.find_replica(run)
-            if kept is None or now - kept.at >= REFRESH_S:
+            replica = self._mover.find_replica(run)
+            if replica is None or now - replica.at >= REFRESH_S:
                 found.append(run)
         return found
 
     def drop_replicas_under_pressure(self) -> None:
         """Drop copies on engines whose memory is nearly full; runs go first."""
         for run in self._state.runs.all:
-            kept, engine = run.replica, run.admitted.service.engine
+            replica, engine = run.replica, run.admitted.service.engine
             if (
-                kept is None
+                replica is None
                 or engine is None
                 or run.is_copying
                 or run.pending_final_copy is not None
@@ -101,7 +101,7 @@
             if not self._state.fleet.is_staying(run.upstream.upstream_id):
                 # Its engine is leaving: the copy is where the run goes on soon.
                 continue
-            use = self._state.loads.use(kept.copy.upstream.upstream_id, self._state.now())
+            use = self._state.loads.use(replica.copy.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
                 self._mover.drop_replica(run)
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -42,9 +42,9 @@
         run.backup = None
         if kept_up is not None:
             return kept_up
-        kept = self._mover.find_replica(run)
+        replica = self._mover.find_replica(run)
         run.replica = None
-        return kept.copy if kept is not None and self._allows(kept.copy, run) else None
+        return replica.copy if replica is not None and self._allows(replica.copy, run) else None
 
     def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
         """Tell whether a run may have ended because it was stopped for a move."""
