--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -24,7 +24,7 @@
         return None
     first_s, left_s = state.backoff_s(first), admitted.ends_at - now
     part = max(1, first.slots) / max(1, state.instances.value)
-    retry_s = state.returns.next_s(service, first_s, part * CALLS_PER_SLOT_S, now)
+    retry_s = state.retry_schedule.next_s(service, first_s, part * CALLS_PER_SLOT_S, now)
     state.stats.backoff_refused += 1
     log_event(
         PREFIX_ROUTING,
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -77,7 +77,7 @@
             pause=gevent.sleep,
         )
         self.backoff = UpstreamBackoff()
-        self.returns = StaggeredRetries()
+        self.retry_schedule = StaggeredRetries()
         """Times at which refused callers of a service return."""
         self.signals = UpstreamSignals(
             self.stats, self.rate_limiting, self.fleet, self.backoff, lambda: self.now()
