--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -101,7 +101,7 @@
 
     def _told(self, _: str, message: BlamesTold) -> None:
         """Take in what a peer knows."""
-        self._sharing.take(message)
+        self._sharing.handle_message(message)
 
     def _send(self, recipient: str, message: BlamesTold) -> None:
         """Send to one instance."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -321,7 +321,7 @@
 
     @_take.register
     def _(self, message: BlamesTold) -> None:
-        self._blame.take(message)
+        self._blame.handle_message(message)
 
     @_take.register
     def _(self, report: GatewayReport) -> None:
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -78,7 +78,7 @@
         """Have the others told soon."""
         self._news.set()
 
-    def take(self, message: BlamesTold) -> None:
+    def handle_message(self, message: BlamesTold) -> None:
         """Take in what another instance knows, and answer with what it lacks."""
         now, book = self._now(), self._book
         known = book.reports(now)
