--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -13,7 +13,7 @@
 from driftstall.core import Runner
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.membership_service import MembershipService
-from driftstall.decisions.locate import groups_of
+from driftstall.decisions.locate import group_runners
 from driftstall.exceptions import UpstreamError
 from driftstall.helpers.log import log_event
 from driftstall.peers.messages import RunnerLeaving
@@ -204,5 +204,5 @@
             )
             for one in document.runners
         }
-        self._groups = groups_of(self._runners.values())
+        self._groups = group_runners(self._runners.values())
         self._changed()
--- a/driftstall/decisions/locate.py
+++ b/driftstall/decisions/locate.py
@@ -47,7 +47,7 @@
     )
 
 
-def groups_of(runners: Iterable[Runner]) -> dict[str, tuple[Runner, ...]]:
+def group_runners(runners: Iterable[Runner]) -> dict[str, tuple[Runner, ...]]:
     """Split each model's runners into groups; each group has one owner."""
     by_model: dict[str, list[Runner]] = {}
     for runner in sorted(runners, key=lambda one: one.runner_id):
--- a/measures/capacity.py
+++ b/measures/capacity.py
@@ -30,7 +30,7 @@
 from driftstall.core import Instance, PrefixMark, Request, Verdict
 from driftstall.daemon.wire import config_to_json, shard_to_json
 from driftstall.decisions.lengths import LearnedLengths
-from driftstall.decisions.locate import groups_of, owner_of
+from driftstall.decisions.locate import group_runners, owner_of
 from driftstall.peers.codec import decode, encode, kinds_of
 from driftstall.peers.envelope import Envelope
 from driftstall.peers.messages import DaemonMessage, ProgressBatch
@@ -273,7 +273,7 @@
     rows = [
         Runner(f"runner-{index}", "", "z", f"model-{index % models}") for index in range(runners)
     ]
-    return len(groups_of(rows))
+    return len(group_runners(rows))
 
 
 def main() -> int:
