--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -138,7 +138,7 @@
         self._upstream_prober = UpstreamProber(
             self.state,
             self._peering.own,
-            probers=lambda: self._store_reachability.askers(),
+            probers=lambda: self._store_reachability.probers(),
             is_platform_silent=lambda: self._store_reachability.is_silent,
             on_suspected=self._upstreams.doubted,
             publish=self._peering.publish_suspicion,
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -106,7 +106,7 @@
         may_be_relied_on = self._upstreams.pacing.age_s <= FRESH_S + TRUST_S
         return self._roles().is_follower and not self.is_answered and may_be_relied_on
 
-    def askers(self) -> tuple[Instance, ...]:
+    def probers(self) -> tuple[Instance, ...]:
         """Return the instances that share the probing of engines.
 
         In a small fleet these are the instances that the platform does not answer. In a large one
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -262,7 +262,7 @@
 @then("it asks all of them by itself")
 def large_asks_alone(context: Any) -> None:
     """Look who shares the questions."""
-    assert context.reach.askers() == ()
+    assert context.reach.probers() == ()
 
 
 @when("the fleet would have noticed by itself, and still relies on another follower")
@@ -275,7 +275,7 @@
 def asks_none(context: Any) -> None:
     """Look."""
     assert not context.reach.is_silent
-    assert context.reach.askers() == context.others
+    assert context.reach.probers() == context.others
 
 
 @when("its newest question for routes gets no answer")
@@ -289,7 +289,7 @@
     """Look who is to ask."""
     assert context.list.current and context.routes.current
     assert context.reach.is_silent
-    assert context.reach.askers() == ()
+    assert context.reach.probers() == ()
 
 
 @when("a peer says that the platform does not answer it either")
@@ -301,7 +301,7 @@
 @then("the two share the questions")
 def two_share(context: Any) -> None:
     """Look who is to ask besides."""
-    assert [one.instance_id for one in context.reach.askers()] == ["other-2"]
+    assert [one.instance_id for one in context.reach.probers()] == ["other-2"]
 
 
 @when("its question for routes is answered again")
