--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -58,7 +58,7 @@
 class SendHistory:
     """Hold all sends of one request, in order."""
 
-    most_runs: int
+    max_runs: int
     """Upstreams that may run the request anew: one, if it may run only once."""
     _sends: list[Send] = field(default_factory=list)
 
@@ -86,7 +86,7 @@
     @property
     def can_restart(self) -> bool:
         """Tell whether the request may be sent to begin a run."""
-        return self.runs < self.most_runs
+        return self.runs < self.max_runs
 
     @property
     def sent_to(self) -> frozenset[str]:
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -71,7 +71,7 @@
 
     def check(self) -> None:
         """Check the promises."""
-        assert len(self.truly_run_at) <= self.history.most_runs, self.truly_run_at
+        assert len(self.truly_run_at) <= self.history.max_runs, self.truly_run_at
         if self.history.ran is Ran.NOT_RUN:
             assert not self.truly_run_at, self.truly_run_at
         assert set(self.truly_run_at) <= self.history.has_run_at
