--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -34,7 +34,7 @@
         An engine whose memory would be fuller than most_memory, from 0 to 1, is not chosen.
         """
         replica = self.find_replica(run)
-        holder = replica.copy.upstream if replica is not None else None
+        holder = replica.ref.upstream if replica is not None else None
         if holder and holder.upstream_id not in avoid and not self._state.backoff_s(holder):
             return holder
         engine = run.admitted.service.engine
@@ -65,17 +65,17 @@
         A later start of that one counts its names anew: the same name may be another run's copy.
         """
         fleet = self._state.fleet
-        is_named = not fleet.is_replaced(replica.copy.named_by)
-        return is_named and fleet.accepts_requests(replica.copy.upstream.upstream_id)
+        is_named = not fleet.is_replaced(replica.ref.named_by)
+        return is_named and fleet.accepts_requests(replica.ref.upstream.upstream_id)
 
     def is_usable(self, moved: Replica) -> bool:
         """Tell whether a stopped run can go on at its copy: nowhere else can it.
 
         So an engine that is leaving serves as well, for as long as it is to be sent anything.
         """
-        engine_id, now = moved.copy.upstream.upstream_id, self._state.now()
+        engine_id, now = moved.ref.upstream.upstream_id, self._state.now()
         drain_s = self._state.settings.bounds.drain_s
-        if self._is_old(moved) or self._state.fleet.is_replaced(moved.copy.named_by):
+        if self._is_old(moved) or self._state.fleet.is_replaced(moved.ref.named_by):
             return False
         return self._state.fleet.can_still_serve(engine_id, now, drain_s)
 
@@ -135,12 +135,12 @@
             return
         self._hold(run, None)
         source_stays = self._state.fleet.is_staying(run.upstream.upstream_id)
-        holder = run.upstream if source_stays else replica.copy.upstream
+        holder = run.upstream if source_stays else replica.ref.upstream
         if self._state.backoff_s(holder):
             # Engines drop an unused copy by themselves after a while.
             return
         self._state.rate_limiting.charge(holder.upstream_id)
-        gevent.spawn(self._state.dialect.drop_replica, holder, replica.copy.copy_of)
+        gevent.spawn(self._state.dialect.drop_replica, holder, replica.ref.copy_of)
 
     def _step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
         """Take one step and log it."""
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -101,7 +101,7 @@
             if not self._state.fleet.is_staying(run.upstream.upstream_id):
                 # Its engine is leaving: the copy is where the run goes on soon.
                 continue
-            use = self._state.loads.use(replica.copy.upstream.upstream_id, self._state.now())
+            use = self._state.loads.use(replica.ref.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
                 self._mover.drop_replica(run)
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -36,15 +36,15 @@
             step = self._await_last_step(run, run.pending_final_copy, left_s)
             moved = step.moved if step is not None else None
             run.pending_final_copy = None
-            if moved is not None and self._mover.is_usable(moved) and self._allows(moved.copy, run):
-                return moved.copy
+            if moved is not None and self._mover.is_usable(moved) and self._allows(moved.ref, run):
+                return moved.ref
         kept_up = self._kept_up(run)
         run.backup = None
         if kept_up is not None:
             return kept_up
         replica = self._mover.find_replica(run)
         run.replica = None
-        return replica.copy if replica is not None and self._allows(replica.copy, run) else None
+        return replica.ref if replica is not None and self._allows(replica.ref, run) else None
 
     def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
         """Tell whether a run may have ended because it was stopped for a move."""
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -29,7 +29,7 @@
 class Replica:
     """Hold a copy of a running run: where it is and how old."""
 
-    copy: ReplicaRef
+    ref: ReplicaRef
     at: float
     tokens: int
     """Tokens of the run that were copied."""
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -262,7 +262,7 @@
     others = [one for one in world.engines if one is not context.engine]
     assert any(f"copy-{request_id}" in one.copies for one in others)
     assert run.replica is not None
-    assert world.state.loads.use(run.replica.copy.upstream.upstream_id, world.state.now()).copies
+    assert world.state.loads.use(run.replica.ref.upstream.upstream_id, world.state.now()).copies
 
 
 @then("the copy is dropped when its engine fills")
