--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -15,7 +15,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.log import log_event
-from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing, log_refusal
+from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing, log_quarantine
 from driftstall.peers.blame_messages import BlamesTold
 from driftstall.runners.engine import fetch_report
 from driftstall.util.fingerprint import fingerprint
@@ -95,7 +95,7 @@
         if self.book.record_crash(fingerprint, crash):
             verdict = self.book.verdict(fingerprint, self._hub.now())
             if verdict.wait_s:
-                log_refusal(fingerprint, verdict)
+                log_quarantine(fingerprint, verdict)
             self.book.forget_expired(self._hub.now())
             self._sharing.publish_soon()
 
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -21,7 +21,7 @@
 from driftstall.gateway.runs import BrokenRun
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
-from driftstall.helpers.poison_sharing import log_refusal
+from driftstall.helpers.poison_sharing import log_quarantine
 from driftstall.util.addresses import split_address
 
 RECHECK_DELAY_S: Final = 0.15
@@ -136,7 +136,7 @@
         verdict = self._state.poison_tracker.verdict(run.fingerprint, self._state.now())
         if verdict.wait_s:
             self._convicted(run.fingerprint)
-            log_refusal(run.fingerprint, verdict, request=run.request_id)
+            log_quarantine(run.fingerprint, verdict, request=run.request_id)
 
     def _forget_old(self) -> None:
         """Forget crashes that have no effect any more."""
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -85,7 +85,7 @@
         refused = set(book.quarantined(now))
         if book.merge(message.records, now):
             for one in set(book.quarantined(now)) - refused:
-                log_refusal(one, book.verdict(one, now), peer=message.sender)
+                log_quarantine(one, book.verdict(one, now), peer=message.sender)
             if self._fleet.forwards():
                 self.publish_soon()
         if message.asks and _lacks(message.records, known):
@@ -120,7 +120,7 @@
                 self._fleet.send(instance_id, BlamesTold(self._own_id, told, asks=True))
 
 
-def log_refusal(fingerprint: str, verdict: Verdict, **more: str) -> None:
+def log_quarantine(fingerprint: str, verdict: Verdict, **more: str) -> None:
     """Log that a request is sent to no upstream from now on, and by whose word."""
     log_event(
         PREFIX_ROUTING,
