--- a/driftstall/decisions/survival.py
+++ b/driftstall/decisions/survival.py
@@ -99,7 +99,7 @@
         self._refresh()
         return self._hazards
 
-    def outlives(self, tokens: float) -> float:
+    def survival_beyond(self, tokens: float) -> float:
         """Return the chance that an output is longer than a length."""
         self._refresh()
         if tokens <= 1:
@@ -115,10 +115,10 @@
         """Return the chance to still run after ahead more tokens."""
         if produced + ahead >= cap:
             return 0.0
-        alive = self.outlives(produced)
+        alive = self.survival_beyond(produced)
         if alive <= 1e-9:
             return 0.0
-        return self.outlives(produced + ahead) / alive
+        return self.survival_beyond(produced + ahead) / alive
 
     def mean(self, cap: int) -> float:
         """Return the mean length in tokens of a new output under a cap."""
@@ -135,8 +135,8 @@
         row = self._rows.get(place)
         if row is None:
             rounded = GROWTH ** (place / ROUNDING)
-            alive = max(1e-9, self.outlives(rounded))
-            row = tuple([self.outlives(rounded + ahead) / alive for ahead in horizons])
+            alive = max(1e-9, self.survival_beyond(rounded))
+            row = tuple([self.survival_beyond(rounded + ahead) / alive for ahead in horizons])
             self._rows[place] = row
         return row
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -45,7 +45,7 @@
 @then("about half of new outputs are expected to outlive {tokens:d} tokens")
 def about_half(context: Any, tokens: int) -> None:
     """Compare the forecast; without the running ones it would be near zero."""
-    chance = context.survival.outlives(tokens)
+    chance = context.survival.survival_beyond(tokens)
     assert 0.35 <= chance <= 0.65, chance
 
 
