--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -58,7 +58,7 @@
         self._own_writes: list[Callable[[], None]] = []
         self._shared_writes: dict[str, Callable[[], None]] = {}
 
-    def writes_again(self, write: Callable[[], None]) -> None:
+    def register_own_write(self, write: Callable[[], None]) -> None:
         """Register a write of this instance's own entry; it may raise PlatformUnavailable."""
         self._own_writes.append(write)
 
