--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -24,7 +24,7 @@
 What is missing then, 1 of 71, is left to the engine's refusal."""
 
 
-class Fate(StrEnum):
+class SendOutcome(StrEnum):
     """Tell what is known of one send."""
 
     UNSENT = "unsent"
@@ -49,7 +49,7 @@
     """Hold one send of a request."""
 
     upstream_id: str
-    fate: Fate
+    fate: SendOutcome
     copy_of: str
     """Names the copy at which it goes on; empty where it begins a run of its own."""
 
@@ -70,17 +70,19 @@
     @property
     def arrived(self) -> bool:
         """Tell whether the request may have reached any upstream."""
-        return any(send.fate is not Fate.UNSENT for send in self._sends)
+        return any(send.fate is not SendOutcome.UNSENT for send in self._sends)
 
     @property
     def runs(self) -> int:
         """Return how many runs the request may have begun; at a copy none is begun."""
-        return sum(send.fate is Fate.MAY_HAVE_RUN and not send.copy_of for send in self._sends)
+        return sum(
+            send.fate is SendOutcome.MAY_HAVE_RUN and not send.copy_of for send in self._sends
+        )
 
     @property
     def ran(self) -> Ran:
         """Tell what may be said of the request when it is given up."""
-        may_have_run = any(send.fate is Fate.MAY_HAVE_RUN for send in self._sends)
+        may_have_run = any(send.fate is SendOutcome.MAY_HAVE_RUN for send in self._sends)
         return Ran.UNKNOWN if may_have_run else Ran.NOT_RUN
 
     @property
@@ -96,7 +98,9 @@
     @property
     def has_run_at(self) -> frozenset[str]:
         """Return the upstreams at which the request may have run."""
-        return frozenset(send.upstream_id for send in self._sends if send.fate is Fate.MAY_HAVE_RUN)
+        return frozenset(
+            send.upstream_id for send in self._sends if send.fate is SendOutcome.MAY_HAVE_RUN
+        )
 
     def can_resume(
         self, kind: CopyKind, upstream_id: str, copy_of: str, making_s: float | None
@@ -106,7 +110,9 @@
         The time for which its run has made events at the engine that it has left is in
         seconds, or None if it has made none there.
         """
-        if any(send.copy_of == copy_of and send.fate is not Fate.UNSENT for send in self._sends):
+        if any(
+            send.copy_of == copy_of and send.fate is not SendOutcome.UNSENT for send in self._sends
+        ):
             # A copy serves once: it was used, or the engine has said that it is not there.
             return False
         if not self.has_run_at:
@@ -122,9 +128,9 @@
 
     def begin(self, upstream_id: str, copy_of: str = "") -> None:
         """Take in that the request is being sent; until its end is known it may have run."""
-        self._sends.append(Send(upstream_id, Fate.MAY_HAVE_RUN, copy_of))
+        self._sends.append(Send(upstream_id, SendOutcome.MAY_HAVE_RUN, copy_of))
 
-    def end(self, fate: Fate) -> None:
+    def end(self, fate: SendOutcome) -> None:
         """Take in what became of the newest send."""
         newest = self._sends.pop()
         self._sends.append(Send(newest.upstream_id, fate, newest.copy_of))
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -20,7 +20,7 @@
 )
 from driftstall.core import Problem, Ran
 from driftstall.decisions.permits import SendNeed
-from driftstall.decisions.sends import Fate, SendHistory
+from driftstall.decisions.sends import SendHistory, SendOutcome
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.backoff_refusal import backoff_refusal
@@ -64,7 +64,7 @@
     """Tell why a send gave no answer."""
 
     outcome: Outcome
-    fate: Fate
+    fate: SendOutcome
     detail: str
     broke: bool = False
     """Whether the connection ended before the answer did."""
@@ -219,22 +219,22 @@
             exchange = self._state.connect(upstream, timeout_s)
         except UpstreamError as fault:
             self._state.loads.remove_load(request_id)
-            return SendFailure(Outcome.UNREACHABLE, Fate.UNSENT, str(fault))
+            return SendFailure(Outcome.UNREACHABLE, SendOutcome.UNSENT, str(fault))
         self._exchange = exchange
         try:
             if self._caller_gone:
-                return SendFailure(Outcome.GOOD, Fate.UNSENT, "the caller has left")
+                return SendFailure(Outcome.GOOD, SendOutcome.UNSENT, "the caller has left")
             if not self._state.can_start_on(upstream, tries.history.sent_to):
                 detail = "the upstream takes no more requests"
-                return SendFailure(Outcome.NOT_SENT, Fate.UNSENT, detail)
+                return SendFailure(Outcome.NOT_SENT, SendOutcome.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
             if first:
                 self._state.budget(upstream.service).record_request(self._state.now())
             return self._read_answer(upstream, exchange)
         except UpstreamError as fault:
-            return SendFailure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault), broke=True)
+            return SendFailure(Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(fault), broke=True)
         except TimeoutError as fault:
-            return SendFailure(Outcome.BROKEN, Fate.MAY_HAVE_RUN, str(fault))
+            return SendFailure(Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(fault))
         finally:
             exchange.close()
             self._exchange = None
@@ -274,7 +274,7 @@
                     continue
                 if marks.not_run:
                     detail = f"turned away with {head.status}"
-                    return SendFailure(Outcome.FULL, Fate.TURNED_AWAY, detail)
+                    return SendFailure(Outcome.FULL, SendOutcome.TURNED_AWAY, detail)
                 return UpstreamResponse(head.status, marks.forwarded_headers, b"".join(parts))
 
     def _left(self) -> float:
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftstall.decisions.sends import Fate, SendHistory
+from driftstall.decisions.sends import SendHistory, SendOutcome
 from driftstall.exceptions import UpstreamError
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
@@ -51,9 +51,9 @@
         self._state.runs.add(run)
         result = self._exchange(run, copy_of)
         if isinstance(result, UpstreamError):
-            self._history.end(Fate.MAY_HAVE_RUN if result.sent else Fate.UNSENT)
+            self._history.end(SendOutcome.MAY_HAVE_RUN if result.sent else SendOutcome.UNSENT)
         elif result.marks.not_run:
-            self._history.end(Fate.TURNED_AWAY)
+            self._history.end(SendOutcome.TURNED_AWAY)
         return result
 
     def _exchange(self, run: StreamRun, copy_of: str) -> OpenedResponse | UpstreamError:
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, Fate, SendHistory
+from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, SendHistory, SendOutcome
 from features.worlds.gateway_world import GatewayWorld, Received, script_all, wait_for
 from features.worlds.sends_world import UPSTREAMS, Draw, SendsWorld, Word
 from stand_ins.routed import Script, Seen, event_bytes
@@ -62,7 +62,7 @@
         history = SendHistory(1)
         for before in re.finditer(r"(\w) ([a-z ]+?)(?: at copy (\w))?(?:, |$)", row["before"]):
             history.begin(before.group(1), before.group(3) or "")
-            history.end(Fate(before.group(2)))
+            history.end(SendOutcome(before.group(2)))
         allowed = _may_follow(history, row["next"])
         assert allowed == (row["may follow"] == "yes"), (row["before"], row["next"], allowed)
 
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from driftstall.core import Ran
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, Fate, SendHistory
+from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, SendHistory, SendOutcome
 
 UPSTREAMS = ("a", "b", "c")
 
@@ -59,9 +59,9 @@
             return
         self.history.begin(draw.upstream_id, _copy_of(draw))
         if draw.word is Word.UNREACHABLE:
-            self.history.end(Fate.UNSENT)
+            self.history.end(SendOutcome.UNSENT)
         elif draw.word is Word.TURNED_AWAY:
-            self.history.end(Fate.TURNED_AWAY)
+            self.history.end(SendOutcome.TURNED_AWAY)
         elif not self._holds_copy(draw):
             self.truly_run_at.append(draw.upstream_id)
             self.runs_on = True
