--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -81,7 +81,7 @@
 
     def _is_old(self, replica: Replica) -> bool:
         """Tell whether an engine may have dropped a copy."""
-        return self._state.now() - replica.at > MAX_REPLICA_AGE_S
+        return self._state.now() - replica.copied_at > MAX_REPLICA_AGE_S
 
     def copy(self, run: StreamRun, target: Upstream) -> MoveResult:
         """Copy a run's memory while it goes on."""
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -83,7 +83,7 @@
             if backup is not None and self._state.fleet.accepts_requests(backup.upstream_id):
                 continue
             replica = self._mover.find_replica(run)
-            if replica is None or now - replica.at >= REFRESH_S:
+            if replica is None or now - replica.copied_at >= REFRESH_S:
                 found.append(run)
         return found
 
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -30,7 +30,7 @@
     """Hold a copy of a running run: where it is and how old."""
 
     ref: ReplicaRef
-    at: float
+    copied_at: float
     tokens: int
     """Tokens of the run that were copied."""
 
