--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -71,7 +71,7 @@
 
     def start(self) -> None:
         """Start to tell."""
-        keep_running(PREFIX_ROUTING, self._tell_news)
+        keep_running(PREFIX_ROUTING, self._publish_changes)
         keep_running(PREFIX_ROUTING, self._exchange)
 
     def publish_soon(self) -> None:
@@ -96,7 +96,7 @@
         if clearing:
             self._fleet.send(message.sender, BlamesTold(self._own_id, clearing, asks=False))
 
-    def _tell_news(self) -> None:
+    def _publish_changes(self) -> None:
         """Tell what is news at once."""
         while True:
             self._news.wait()
