--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -309,7 +309,7 @@
 
     def _resize_long_set(self, now: float) -> bool:
         """Resize the set of runners for long prefills by load; return True if it grew."""
-        if not self._long_set.applies(self._weights):
+        if not self._long_set.is_enabled(self._weights):
             return False
         loads = [
             RunnerLoad(
@@ -359,7 +359,7 @@
         headroom = self._registry.headroom(rank, now)
         own_peak = item.hold.peak(self._registry.deviations)
         members = self._long_set.members
-        isolate = rank > 0 and self._long_set.applies(self._weights)
+        isolate = rank > 0 and self._long_set.is_enabled(self._weights)
         views = []
         is_isolated = False
         for runner in self._runners.values():
--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -63,7 +63,7 @@
         return self._members
 
     @staticmethod
-    def applies(weights: Weights) -> bool:
+    def is_enabled(weights: Weights) -> bool:
         """Tell whether the policy minds token gaps enough for a set."""
         return weights.token_gap >= NO_SET_RATIO * weights.stall
 
