--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -193,8 +193,8 @@
             on_settled=self._list_again,
         )
         self._policy_persistence = PolicyPersistence(self._policies, access.policy)
-        self.state.on_store_era = self._store_recovery.seen
-        access.subscribe_store_eras(self._store_recovery.seen)
+        self.state.on_store_era = self._store_recovery.handle_era
+        access.subscribe_store_eras(self._store_recovery.handle_era)
         self._store_recovery.register_own_write(self._registration.write)
         self._store_recovery.register_shared_write(
             "policy", self._policy_persistence.rewrite_if_lost
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -66,7 +66,7 @@
         """Register a write of an object that all instances hold; may raise PlatformUnavailable."""
         self._shared_writes[what] = write
 
-    def seen(self, era: int) -> None:
+    def handle_era(self, era: int) -> None:
         """Handle an era reported by the store or a peer; a new one starts the recovery."""
         before = self._state.eras.era
         if not self._state.eras.record_era(era, self._state.now()):
