--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -35,7 +35,7 @@
     """It was sent, and nothing says that it did not run."""
 
 
-class CopyKind(StrEnum):
+class ReplicaKind(StrEnum):
     """Tell how a copy of a run's memory is known."""
 
     NAMED = "named"
@@ -103,7 +103,7 @@
         )
 
     def can_resume(
-        self, kind: CopyKind, upstream_id: str, copy_of: str, making_s: float | None
+        self, kind: ReplicaKind, upstream_id: str, copy_of: str, making_s: float | None
     ) -> bool:
         """Tell whether the request may be sent to an upstream to go on at a copy there.
 
@@ -118,7 +118,7 @@
         if not self.has_run_at:
             # Where nothing can have run, there is nothing to go on with.
             return False
-        if kind is CopyKind.NAMED:
+        if kind is ReplicaKind.NAMED:
             return True
         # A kept-up copy goes by the request's own id: an engine that has run the request
         # before may take what is left of that run for the copy, and run it again.
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -7,7 +7,7 @@
 from gevent.event import AsyncResult
 
 from driftstall.const import PREFIX_RELAY
-from driftstall.decisions.sends import CopyKind, SendHistory
+from driftstall.decisions.sends import ReplicaKind, SendHistory
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.runs import FinalCopy, ReplicaRef, StreamRun
 from driftstall.gateway.state import GatewayState
@@ -63,7 +63,7 @@
         if backup is None or not self._state.fleet.accepts_requests(backup.upstream_id):
             return None
         copy_of = self._state.dialect.backup_copy(backup, run.request_id)
-        copy = ReplicaRef(backup, copy_of, CopyKind.KEPT_UP)
+        copy = ReplicaRef(backup, copy_of, ReplicaKind.KEPT_UP)
         return copy if self._allows(copy, run) else None
 
     def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -7,7 +7,7 @@
 from gevent.event import AsyncResult
 
 from driftstall.core import Request
-from driftstall.decisions.sends import CopyKind
+from driftstall.decisions.sends import ReplicaKind
 from driftstall.gateway.admission import Admitted
 from driftstall.gateway.exchange import UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
@@ -20,7 +20,7 @@
 
     upstream: Upstream
     copy_of: str
-    kind: CopyKind = CopyKind.NAMED
+    kind: ReplicaKind = ReplicaKind.NAMED
     named_by: str = ""
     """The engine that has named it, where its name does not follow from the request."""
 
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, SendHistory, SendOutcome
+from driftstall.decisions.sends import KEPT_UP_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 from features.worlds.gateway_world import GatewayWorld, Received, script_all, wait_for
 from features.worlds.sends_world import UPSTREAMS, Draw, SendsWorld, Word
 from stand_ins.routed import Script, Seen, event_bytes
@@ -38,7 +38,7 @@
     draws = st.builds(
         Draw,
         st.sampled_from(UPSTREAMS),
-        st.sampled_from([None, *CopyKind]),
+        st.sampled_from([None, *ReplicaKind]),
         st.sampled_from(["x", "y"]),
         st.one_of(st.none(), st.floats(0.0, 1.0)),
         st.sampled_from(list(Word)),
@@ -73,11 +73,11 @@
         return history.can_restart
     named = re.fullmatch(r"at copy (\w) at (\w)", wanted)
     if named is not None:
-        return history.can_resume(CopyKind.NAMED, named.group(2), named.group(1), None)
+        return history.can_resume(ReplicaKind.NAMED, named.group(2), named.group(1), None)
     found = re.fullmatch(r"kept up at (\w)(?:, no event| after ([\d.]+) s)", wanted)
     assert found is not None, wanted
     making_s = float(found.group(2)) if found.group(2) else None
-    return history.can_resume(CopyKind.KEPT_UP, found.group(1), "kept", making_s)
+    return history.can_resume(ReplicaKind.KEPT_UP, found.group(1), "kept", making_s)
 
 
 FAULTS: dict[str, list[Script]] = {
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from driftstall.core import Ran
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, CopyKind, SendHistory, SendOutcome
+from driftstall.decisions.sends import KEPT_UP_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 
 UPSTREAMS = ("a", "b", "c")
 
@@ -32,7 +32,7 @@
     """Hold one drawn send: where, at which copy, and what comes of it."""
 
     upstream_id: str
-    kind: CopyKind | None
+    kind: ReplicaKind | None
     """The copy to go on at; None for a new run."""
     name: str
     """The name of the copy, where an engine names it."""
@@ -86,7 +86,7 @@
         """Tell whether the upstream goes on with the same run."""
         if draw.kind is None or _copy_of(draw) in self.used:
             return False
-        if draw.kind is CopyKind.NAMED:
+        if draw.kind is ReplicaKind.NAMED:
             return self.runs_on
         made = draw.making_s is not None and draw.making_s >= KEPT_UP_AFTER_S
         return made and self.runs_on and draw.upstream_id not in self.truly_run_at
@@ -96,4 +96,4 @@
     """Return the name of the copy that a send goes on at; empty for a new run."""
     if draw.kind is None:
         return ""
-    return draw.name if draw.kind is CopyKind.NAMED else f"{draw.upstream_id}/request"
+    return draw.name if draw.kind is ReplicaKind.NAMED else f"{draw.upstream_id}/request"
