--- a/driftstall/peers/blame_messages.py
+++ b/driftstall/peers/blame_messages.py
@@ -1,4 +1,4 @@
-"""Define the message about requests beside crashes, which daemons and gateways exchange."""
+"""Message of daemons and gateways about requests that were running during crashes."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BlamesTold:
-    """Tell a peer which requests ran beside crashes of upstreams."""
+    """Report which requests were running on upstreams that crashed."""
 
     sender: str
     records: tuple[BlameTold, ...]
     asks: bool
-    """Whether the peer is to answer with what it knows besides."""
+    """True if the peer should answer with the evidence that this message lacks."""
--- a/driftstall/peers/envelope.py
+++ b/driftstall/peers/envelope.py
@@ -1,4 +1,4 @@
-"""Wrap messages between instances."""
+"""Envelope of messages between instances."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Wrap a message with its way and its place in the sender's sequence."""
+    """A message with its sender, its recipient and its sequence number."""
 
     sender: str
     recipient: str
     sequence: int
-    """Senders start at a clock reading, so that it grows across restarts."""
+    """Starts at a clock reading, so that it also grows across restarts of the sender."""
     message: Any
     """One of the messages that the link carries (see codec.kinds_of)."""
--- a/driftstall/peers/gateway_messages.py
+++ b/driftstall/peers/gateway_messages.py
@@ -1,7 +1,7 @@
-"""List the messages between gateway instances.
+"""Messages between gateway instances.
 
-They stand apart from those of the daemons so that a gateway's start does not load the
-daemons' controllers.
+They are kept apart from the daemons' messages, so that a gateway does not load the
+daemons' controllers at start.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayReport:
-    """Tell peers what a gateway instance sends where, and what it holds for true."""
+    """Report a gateway instance's load on each upstream and its view of the fleet."""
 
     sender: str
     ready: bool
     platform_ok: bool
-    """Whether the platform answers this instance."""
+    """True if the platform answers this instance."""
     routing_version: int
     uses: tuple[Use, ...]
     repeats: tuple[RepeatCount, ...]
     number: int
-    """Grows with each report of this instance."""
+    """Sequence number of the instance's reports."""
     cordons: Cordons
     rate_limits: tuple[RateLimit, ...]
-    """What upstreams have named, as far as the sender knows."""
+    """Rate limits of upstreams that are known to the sender."""
     store_era: int
-    """The newest era of the platform's store that the sender knows."""
+    """The newest era of the platform's store that is known to the sender."""
     leaving: tuple[LeavingRecord, ...]
-    """Upstreams that have signalled that they leave, as far as the sender knows."""
+    """Upstreams that have signalled that they are leaving, as known to the sender."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportAck:
-    """Tell which report of an instance a summary has taken in."""
+    """The latest report of an instance that a summary contains."""
 
     instance_id: str
     number: int
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSummary:
-    """Tell the collectors of other zones the sum of what one zone's instances report."""
+    """Send the sum of one zone's reports to the collectors of other zones."""
 
     sender: str
     zone: str
     routing_version: int
     platform_age_ms: int
-    """How long ago the platform last answered the sender."""
+    """Time since the platform last answered the sender."""
     fleet_digest: int
-    """Stands for the set of upstreams that take requests."""
+    """Digest of the set of upstreams that accept requests."""
     instances: int
-    """How many instances the sums stand for."""
+    """Number of instances in the sums."""
     ready: tuple[str, ...]
     uses: tuple[Use, ...]
     repeats: tuple[RepeatCount, ...]
@@ -74,15 +74,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSummary:
-    """Tell the instances of a zone the sum of all reports, and what the platform says."""
+    """Send the sum of all reports, and the state of the platform, to the instances of a zone."""
 
     sender: str
     routing_version: int
     policy_revision: StoreVersion
     platform_age_ms: int
-    """How long ago the platform last answered any collector that the sender hears."""
+    """Time since the platform last answered any collector known to the sender."""
     fleet_digest: int
-    """Stands for the set of upstreams that take requests."""
+    """Digest of the set of upstreams that accept requests."""
     instances: int
     ready: tuple[str, ...]
     uses: tuple[Use, ...]
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingAsked:
-    """Ask a peer for its routing document, if it is newer than a version."""
+    """Request a peer's routing document if it is newer than a version."""
 
     sender: str
     version: int
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingOffered:
-    """Pass a routing document on, as the platform holds it."""
+    """Forward a routing document as stored by the platform."""
 
     sender: str
     version: int
@@ -113,24 +113,24 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetAsked:
-    """Ask a collector for all upstreams that take requests."""
+    """Request all upstreams that accept requests from a collector."""
 
     sender: str
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOffered:
-    """Pass on all upstreams that take requests."""
+    """Send all upstreams that accept requests."""
 
     sender: str
     at: StoreVersion
-    """The newest revision that the sender has seen; what is newer is not in the list."""
+    """The newest revision that the sender has seen; newer changes are not in the list."""
     upstreams: tuple[Upstream, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamNews:
-    """Pass a change of an upstream on to a peer that does not learn it from the platform."""
+    """Forward a change of an upstream to a peer that does not watch the platform's store."""
 
     sender: str
     upstream: Upstream
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamDoubted:
-    """Tell that an upstream says itself that it leaves, or that nobody listens there."""
+    """Report that an upstream announces that it is leaving, or that its port is closed."""
 
     sender: str
     upstream_id: str
@@ -147,35 +147,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementAsked:
-    """Ask who places for the zone where a stream should run."""
+    """Request the placement of a stream from the placer of the zone."""
 
     sender: str
     request_id: str
     service: str
     prompt_tokens: int
     output_tokens: int
-    """What the output is expected to be."""
+    """Expected length of the output."""
     wants_backup: bool
     avoid: tuple[str, ...]
-    """Upstreams that have turned the request away."""
+    """Upstreams that have refused the request."""
     taken_anyway: bool
-    """Whether the answer is taken even where there is no room."""
+    """True if the sender uses the placement even if the stream does not fit."""
     zone: str
-    """The availability zone from which the stream is sent."""
+    """The availability zone that sends the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementGiven:
-    """Answer where a stream should run."""
+    """Return the placement of a stream."""
 
     sender: str
     request_id: str
     upstream_id: str
-    """Empty where no upstream takes requests."""
+    """Empty if no upstream accepts requests."""
     backup_id: str
-    """The engine that is to keep a copy; empty for none."""
+    """The engine that should keep a backup of the stream's KV cache; empty for none."""
     has_room: bool
-    """Whether the stream fits the engine's memory, as far as can be forecast."""
+    """True if the stream is forecast to fit the engine's memory."""
 
 
 GatewayMessage = (
--- a/driftstall/peers/messages.py
+++ b/driftstall/peers/messages.py
@@ -1,4 +1,4 @@
-"""List the messages between daemons, and those that are only of peers."""
+"""Messages between daemons, other than those of their controllers."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressBatch:
-    """Report the progress of several generations at once."""
+    """Report the progress of several generations."""
 
     items: tuple[Progress, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigAsked:
-    """Ask a peer for its configuration, if it is newer."""
+    """Request a peer's configuration if it is newer than a generation."""
 
     sender: str
     generation: int
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerLeaving:
-    """Tell peers that a runner is leaving, or is back."""
+    """Report that a runner is leaving, or that it is back."""
 
     runner_id: str
     leaving: bool
     signalled: bool = False
-    """Whether it has signalled so in a response: its reports may be older."""
+    """True if the runner signalled this in a response, which may be newer than its reports."""
 
 
 DaemonMessage = (
--- a/driftstall/peers/permit_messages.py
+++ b/driftstall/peers/permit_messages.py
@@ -1,4 +1,4 @@
-"""Define the messages about upstreams that name a limit, which daemons and gateways exchange."""
+"""Messages of daemons and gateways about rate-limited upstreams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitsTold:
-    """Tell peers what upstreams have named, as far as the sender knows."""
+    """Report the rate limits of upstreams that are known to the sender."""
 
     sender: str
     rate_limits: tuple[RateLimit, ...]
@@ -17,34 +17,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitAsked:
-    """Ask who gives leave for an upstream with a limit to send it one request."""
+    """Request a permit to send one request, from the instance that owns a rate-limited upstream."""
 
     sender: str
     number: int
-    """Tells the questions of one sender apart."""
+    """Identifies the permit request among those of its sender."""
     limit: RateLimit
-    """What the sender knows of the limit, which may be news."""
+    """The limit known to the sender, which may be newer than the recipient's."""
     most_wait_ms: int
-    """How long the request can wait for its turn."""
+    """Maximum time that the request can wait for a permit."""
     rank: int
     under_way: bool
-    """Whether it is a stream that can go on nowhere else."""
+    """True for a stream in progress that cannot be resumed elsewhere."""
 
 
 @dataclass(frozen=True, slots=True)
 class PermitGiven:
-    """Answer whether a request may be sent."""
+    """Grant or deny a permit."""
 
     sender: str
     number: int
     allowed: bool
     wait_ms: int
-    """When it may be sent; where it may not, when to ask again."""
+    """Delay until the request may be sent, or if it was denied, until a permit may be requested
+    again."""
 
 
 @dataclass(frozen=True, slots=True)
 class PermitCharged:
-    """Tell who gives leave for an upstream of a call to it that was not held back."""
+    """Report a call that was sent without a permit to the owner of a rate-limited upstream."""
 
     sender: str
     limit: RateLimit
