--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -34,7 +34,7 @@
         """
         if run.pending_final_copy is not None:
             step = self._await_last_step(run, run.pending_final_copy, left_s)
-            moved = step.moved if step is not None else None
+            moved = step.replica if step is not None else None
             run.pending_final_copy = None
             if moved is not None and self._mover.is_usable(moved) and self._allows(moved.ref, run):
                 return moved.ref
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -39,7 +39,7 @@
 class FinalCopy:
     """Tell how the last step of a move ended."""
 
-    moved: Replica | None
+    replica: Replica | None
     """Where the run goes on, if its engine has told."""
     may_have_stopped: bool
     """Whether the run may have been stopped by it; it was not if the engine refused the step."""
