--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -66,7 +66,7 @@
         self._fleet = fleet
         self._now = now
         self._source = source
-        self._news = Event()
+        self._has_changes = Event()
         self._started_at = now()
 
     def start(self) -> None:
@@ -76,7 +76,7 @@
 
     def publish_soon(self) -> None:
         """Have the others told soon."""
-        self._news.set()
+        self._has_changes.set()
 
     def handle_message(self, message: BlamesTold) -> None:
         """Take in what another instance knows, and answer with what it lacks."""
@@ -99,9 +99,9 @@
     def _publish_changes(self) -> None:
         """Tell what is news at once."""
         while True:
-            self._news.wait()
+            self._has_changes.wait()
             gevent.sleep(PAUSE_S)
-            self._news.clear()
+            self._has_changes.clear()
             told = BlamesTold(self._own_id, self._book.reports(self._now()), asks=False)
             self._fleet.broadcast(self._fleet.hearers(), told)
 
