--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -357,7 +357,7 @@
         """Choose a runner with room for a request; return None if there is none."""
         request, rank = item.request, item.verdict.rank
         headroom = self._registry.headroom(rank, now)
-        own_peak = item.hold.peak(self._registry.deviations)
+        own_peak = item.forecast.peak(self._registry.deviations)
         members = self._long_set.members
         isolate = rank > 0 and self._long_set.is_enabled(self._weights)
         views = []
@@ -368,7 +368,7 @@
             if not runner.can_start(now):
                 continue
             limit = runner.memory - headroom - runner.unaccounted_tokens
-            if not self._registry.has_room(runner, item.hold, own_peak, limit, now):
+            if not self._registry.has_room(runner, item.forecast, own_peak, limit, now):
                 continue
             uncached = request.input_tokens - runner.prefixes.match(request.prefix)
             if isolate and uncached >= LONG_PREFILL_TOKENS and runner.runner_id not in members:
@@ -416,7 +416,7 @@
         grant = OpenGrant(item.entry, request, item.verdict, runner.runner_id, now, cached)
         grant.reserved = item.cost
         grant.running_since = now
-        self._open(runner, grant, item.hold, now)
+        self._open(runner, grant, item.forecast, now)
         runner.record_start(item.verdict.rank, now)
         runner.pending_prefill = runner.decay_pending_prefill(now) + uncached
         reason = (
