--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -232,7 +232,7 @@
             self._policy_follower,
         ):
             gevent.spawn(follower.run)
-        keep_running(PREFIX_MEMBERSHIP, self._registration.keep)
+        keep_running(PREFIX_MEMBERSHIP, self._registration.maintain)
         log_event(PREFIX_MEMBERSHIP, f"Instance {self.state.settings.instance_id} has started")
         self._run_periods()
         log_event(PREFIX_DRAIN, f"Instance {self.state.settings.instance_id} has stopped")
--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -56,7 +56,7 @@
         """Write this instance's entry; raise PlatformUnavailable if the platform rejects it."""
         self._entries.register(self._own)
 
-    def keep(self) -> None:
+    def maintain(self) -> None:
         """Write this instance's entry once, and read those of others until peers are known.
 
         Seeds usually name the peers at once. One final read joins two parts of a fleet whose seeds
