--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -1,7 +1,7 @@
-"""Find out whether an upstream has crashed, and put that down to what ran there.
+"""Crash detection: probes upstreams where runs broke off, and attributes crashes to those runs.
 
-A stream or call may break off for many reasons: a cut link, an upstream that spoils answers or ends
-as planned. Only where an upstream that was to stay has stopped to listen has it crashed.
+A stream or call may break off for many reasons: a cut link, an upstream that corrupts answers or
+ends as planned. An upstream has crashed only if it was to stay and refuses connections.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from driftstall.util.addresses import split_address
 
 RECHECK_DELAY_S: Final = 0.15
-"""Pause after which an upstream that still listened is asked once more: a process that ends
-closes its connections before or after it stops to listen."""
-SAME_END_S: Final = 1.0
-"""Runs that break off so soon after an upstream was found crashed were beside it. It is back after
-some seconds at the earliest."""
-FORGET_EVERY_S: Final = 60.0
-MOST_LOGGED: Final = 16
+"""Pause before an upstream that still listened is probed once more: an ending process may close its
+connections before it stops listening."""
+SAME_CRASH_WINDOW_S: Final = 1.0
+"""Runs that break off this soon after an upstream was found crashed were running during the crash.
+The upstream needs some seconds at least to restart."""
+CLEANUP_INTERVAL_S: Final = 60.0
+MAX_LOGGED_RUNS: Final = 16
 
 
 @dataclass(slots=True)
-class _Doubt:
-    """Hold what broke off at one upstream of which it is not known yet whether it has crashed."""
+class _Suspicion:
+    """Runs that broke off at an upstream, while it is not known yet whether it has crashed."""
 
     upstream: Upstream
     at: float
@@ -44,60 +44,61 @@
 
 
 class CrashDetector:
-    """Look at upstreams where runs have broken off."""
+    """Probes upstreams where runs have broken off, and records crashes."""
 
     def __init__(
         self,
         state: GatewayState,
         *,
-        gone: Callable[[Upstream], None],
-        changed: Callable[[], None],
-        convicted: Callable[[str], None],
+        on_crash: Callable[[Upstream], None],
+        publish_evidence: Callable[[], None],
+        on_quarantined: Callable[[str], None],
     ) -> None:
-        """Take the shared state, who sends nothing more to what is gone, and who tells peers.
+        """Initialize with the shared state and the callbacks.
 
-        Convicted takes the fingerprint of a request that is sent to no upstream from now on.
+        The callable on_crash takes a crashed upstream, publish_evidence sends the evidence to
+        peers, and on_quarantined takes the fingerprint of a request that was quarantined.
         """
         self._state = state
-        self._gone = gone
-        self._changed = changed
-        self._convicted = convicted
-        self._doubts: dict[str, _Doubt] = {}
+        self._on_crash = on_crash
+        self._publish_evidence = publish_evidence
+        self._on_quarantined = on_quarantined
+        self._suspicions: dict[str, _Suspicion] = {}
         self._crashed_at: dict[str, float] = {}
-        self._forgot_at = state.now()
+        self._cleaned_up_at = state.now()
 
     def handle_broken_run(self, upstream: Upstream, run: BrokenRun) -> None:
-        """Take in a run that broke off unexpectedly."""
+        """Handle a run that broke off unexpectedly."""
         now, upstream_id = self._state.now(), upstream.upstream_id
-        if now - self._crashed_at.get(upstream_id, float("-inf")) <= SAME_END_S:
-            self._blame(_Doubt(upstream, now, [run]))
+        if now - self._crashed_at.get(upstream_id, float("-inf")) <= SAME_CRASH_WINDOW_S:
+            self._attribute_crash(_Suspicion(upstream, now, [run]))
             return
-        known = self._doubts.get(upstream_id)
-        if known is not None:
-            known.runs.append(run)
+        suspicion = self._suspicions.get(upstream_id)
+        if suspicion is not None:
+            suspicion.runs.append(run)
             return
         if self._state.fleet.is_departure_announced(upstream_id):
             return
-        self._doubts[upstream_id] = _Doubt(upstream, now, [run])
-        gevent.spawn(self._find_out, upstream)
+        self._suspicions[upstream_id] = _Suspicion(upstream, now, [run])
+        gevent.spawn(self._investigate, upstream)
 
-    def _find_out(self, upstream: Upstream) -> None:
-        """Ask an upstream, and once more if it answers."""
+    def _investigate(self, upstream: Upstream) -> None:
+        """Probe an upstream, once more if it answers, and record a crash."""
         try:
-            word = self._ask(upstream)
-            if word is not ReportedState.TERMINATED:
+            reported = self._probe(upstream)
+            if reported is not ReportedState.TERMINATED:
                 gevent.sleep(RECHECK_DELAY_S)
-                word = self._ask(upstream)
+                reported = self._probe(upstream)
         finally:
-            doubt = self._doubts.pop(upstream.upstream_id)
-        if word is not ReportedState.TERMINATED:
+            suspicion = self._suspicions.pop(upstream.upstream_id)
+        if reported is not ReportedState.TERMINATED:
             return
         self._crashed_at[upstream.upstream_id] = self._state.now()
-        self._blame(doubt)
-        self._gone(upstream)
+        self._attribute_crash(suspicion)
+        self._on_crash(upstream)
 
-    def _ask(self, upstream: Upstream) -> ReportedState:
-        """Return what an engine says of itself; of others, whether they listen."""
+    def _probe(self, upstream: Upstream) -> ReportedState:
+        """Return the reported state of an engine; of other upstreams, whether they listen."""
         service = (
             self._state.route_table.service(upstream.service) if self._state.route_table else None
         )
@@ -113,38 +114,40 @@
             return ReportedState.UNKNOWN
         return ReportedState.SERVING
 
-    def _blame(self, doubt: _Doubt) -> None:
-        """Put a crash down to all that ran there, and tell peers."""
-        upstream_id, blame = doubt.upstream.upstream_id, self._state.poison_tracker
+    def _attribute_crash(self, suspicion: _Suspicion) -> None:
+        """Attribute a crash to all runs that broke off there, and tell peers."""
+        upstream_id, blame = suspicion.upstream.upstream_id, self._state.poison_tracker
         self._state.stats.crashes_seen += 1
         log_event(
             PREFIX_ROUTING,
-            f"Upstream {upstream_id} has crashed with {len(doubt.runs)} runs of this instance",
-            fingerprints=[one.fingerprint for one in doubt.runs[:MOST_LOGGED]],
-            requests=[one.request_id for one in doubt.runs[:MOST_LOGGED]],
-            revision=doubt.upstream.revision,
+            f"Upstream {upstream_id} has crashed with {len(suspicion.runs)} runs of this instance",
+            fingerprints=[run.fingerprint for run in suspicion.runs[:MAX_LOGGED_RUNS]],
+            requests=[run.request_id for run in suspicion.runs[:MAX_LOGGED_RUNS]],
+            revision=suspicion.upstream.revision,
         )
-        for run in doubt.runs:
+        for run in suspicion.runs:
             if run.fingerprint:
-                blame.record_crash(run.fingerprint, Crash(upstream_id, doubt.at, run.under_way))
+                blame.record_crash(run.fingerprint, Crash(upstream_id, suspicion.at, run.under_way))
                 self._log_verdict(run)
-        self._changed()
-        self._forget_old()
+        self._publish_evidence()
+        self._remove_expired()
 
     def _log_verdict(self, run: BrokenRun) -> None:
-        """Log what a request has come to, where it is sent on no more."""
+        """Log the verdict on a request if it is quarantined."""
         verdict = self._state.poison_tracker.verdict(run.fingerprint, self._state.now())
         if verdict.wait_s:
-            self._convicted(run.fingerprint)
+            self._on_quarantined(run.fingerprint)
             log_quarantine(run.fingerprint, verdict, request=run.request_id)
 
-    def _forget_old(self) -> None:
-        """Forget crashes that have no effect any more."""
+    def _remove_expired(self) -> None:
+        """Remove crashes that have no effect any more."""
         now = self._state.now()
-        if now - self._forgot_at < FORGET_EVERY_S:
+        if now - self._cleaned_up_at < CLEANUP_INTERVAL_S:
             return
-        self._forgot_at = now
+        self._cleaned_up_at = now
         self._state.poison_tracker.forget_expired(now)
         self._crashed_at = {
-            one: at for one, at in self._crashed_at.items() if now - at < CRASH_RETENTION_S
+            upstream_id: at
+            for upstream_id, at in self._crashed_at.items()
+            if now - at < CRASH_RETENTION_S
         }
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -1,7 +1,7 @@
-"""Keep in the platform which requests have crashed upstreams, and read it at the start.
+"""Persistence of the quarantined requests in the platform, read at the start of an instance.
 
-Peers tell a fresh instance what they know. Where all end at once nobody knows any more, and the
-request comes back: so who has seen the crash that convicts it writes that down.
+Peers send their evidence to a new instance. If all instances end at once that evidence is lost, and
+a poison request may be sent again: so the instance that quarantines a request stores the evidence.
 """
 
 from __future__ import annotations
@@ -19,83 +19,85 @@
 from driftstall.helpers.log import log_event
 
 READ_AFTER_S: Final = 1.0
-"""Time in which the member list is known: in a large fleet the collectors alone read."""
-TRY_AGAIN_S: Final = 0.5
-TRIES: Final = 60
-"""Tries while the platform is away, half a minute in all; peers know it besides."""
+"""Time after which the member list is known: in a large fleet only the collectors read."""
+RETRY_PAUSE_S: Final = 0.5
+MAX_ATTEMPTS: Final = 60
+"""Attempts while the platform is unavailable, half a minute in all; peers know the evidence too."""
 
 
 class StoredCrashes(Protocol):
-    """Hold what the platform keeps; each call may raise PlatformUnavailable."""
+    """Access to the stored evidence; each call may raise PlatformUnavailable."""
 
     def read(self) -> tuple[BlameTold, ...]:
-        """Return all that is kept."""
+        """Return the stored evidence on all requests."""
 
-    def write(self, told: BlameTold) -> None:
-        """Write what is known of one request."""
+    def write(self, report: BlameTold) -> None:
+        """Store the evidence on one request."""
 
     def remove(self, fingerprint: str) -> None:
-        """Remove what is kept of a request."""
+        """Remove the stored evidence on a request."""
 
 
 class CrashPersistence:
-    """Write and read what the platform keeps."""
+    """Writes and reads the evidence stored in the platform."""
 
     def __init__(
         self, state: GatewayState, kept: StoredCrashes, roles: Callable[[], FleetRoles]
     ) -> None:
-        """Take the shared state, the platform's access and who collects."""
+        """Initialize with the shared state, the access to the store and a reader of the roles."""
         self._state = state
         self._kept = kept
         self._roles = roles
 
     def start(self) -> None:
-        """Read what is kept, soon."""
+        """Schedule the read of the stored evidence."""
         gevent.spawn_later(READ_AFTER_S, self._read)
 
     def handle_quarantined(self, fingerprint: str) -> None:
-        """Write down a request that is sent to no upstream from now on."""
-        gevent.spawn(self._try, lambda: self._keep(fingerprint))
+        """Store the evidence on a request that was quarantined."""
+        gevent.spawn(self._run_with_retries, lambda: self._store_evidence(fingerprint))
 
     def handle_cleared(self, fingerprint: str) -> None:
-        """Remove what is kept of a request that has ended well."""
-        gevent.spawn(self._try, lambda: self._kept.remove(fingerprint))
+        """Remove the stored evidence on a request that has succeeded."""
+        gevent.spawn(self._run_with_retries, lambda: self._kept.remove(fingerprint))
 
     def rewrite_all(self) -> None:
-        """Write down all requests that are sent to no upstream: the store may have lost them."""
+        """Store the evidence on all quarantined requests again: the store may have lost it."""
         for fingerprint in self._state.poison_tracker.quarantined(self._state.now()):
             self.handle_quarantined(fingerprint)
 
     def _read(self) -> None:
-        """Take in what is kept."""
+        """Read the stored evidence if that is this instance's duty."""
         roles = self._roles()
         if not roles.is_large or roles.is_collector:
-            self._try(self._take)
+            self._run_with_retries(self._load)
 
-    def _take(self) -> None:
-        """Take in what the platform keeps, and have peers told."""
-        told = self._kept.read()
-        if self._state.poison_tracker.merge(told, self._state.now()):
+    def _load(self) -> None:
+        """Merge the evidence stored in the platform, and publish it to peers if it is new."""
+        reports = self._kept.read()
+        if self._state.poison_tracker.merge(reports, self._state.now()):
             log_event(
-                PREFIX_ROUTING, f"The platform keeps {len(told)} requests that crash upstreams"
+                PREFIX_ROUTING, f"The platform lists {len(reports)} requests that crash upstreams"
             )
             self._state.on_poison_evidence_changed()
 
-    def _keep(self, fingerprint: str) -> None:
-        """Write what is known now."""
-        told = self._state.poison_tracker.report_for(fingerprint, self._state.now())
-        if told is not None:
-            self._kept.write(told)
+    def _store_evidence(self, fingerprint: str) -> None:
+        """Store the current evidence on a request."""
+        report = self._state.poison_tracker.report_for(fingerprint, self._state.now())
+        if report is not None:
+            self._kept.write(report)
 
     @staticmethod
-    def _try(work: Callable[[], None]) -> None:
-        """Do something at the platform, again and again while it is away."""
-        for tried in range(TRIES):
+    def _run_with_retries(work: Callable[[], None]) -> None:
+        """Perform work at the platform, and retry while the platform is unavailable."""
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 work()
                 return
-            except PlatformUnavailable as fault:
-                if not tried:
-                    log_event(PREFIX_ROUTING, f"Crashes under requests are not kept yet: {fault}")
-                gevent.sleep(TRY_AGAIN_S)
-        log_event(PREFIX_ROUTING, "Crashes under requests are not kept: the platform stays away")
+            except PlatformUnavailable as error:
+                if not attempt:
+                    log_event(PREFIX_ROUTING, f"Crashes under requests are not stored yet: {error}")
+                gevent.sleep(RETRY_PAUSE_S)
+        log_event(
+            PREFIX_ROUTING, "Crashes under requests are not stored: the platform stays unavailable"
+        )
--- a/driftstall/gateway/crash_refusal.py
+++ b/driftstall/gateway/crash_refusal.py
@@ -1,4 +1,4 @@
-"""Refuse a request that has crashed the upstreams that ran it."""
+"""Refusal of quarantined requests: those that crashed the upstreams that ran them."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def crash_refusal(state: GatewayState, admitted: Admitted, ran: Ran) -> Problem | None:
-    """Return the problem to answer with, where the request is to be sent to no upstream now.
+    """Return the problem to answer with if the request is quarantined, otherwise None.
 
-    Ran tells what is known of the sends before. Each crash takes a dozen streams of others along,
-    so a request is asked about before each send: first ones, repeats and resumes.
+    The argument ran states what is known of earlier sends. Each crash breaks a dozen streams of
+    other callers, so the verdict is checked before each send: first ones, retries and resumes.
     """
     verdict = state.poison_tracker.verdict(admitted.fingerprint, state.now())
     if not verdict.wait_s:
