--- a/driftstall/helpers/__init__.py
+++ b/driftstall/helpers/__init__.py
@@ -1,3 +1,3 @@
-"""Hold helpers that know driftstall's objects."""
+"""Helpers shared by the daemon and the gateway."""
 
 from __future__ import annotations
--- a/driftstall/helpers/log.py
+++ b/driftstall/helpers/log.py
@@ -1,7 +1,8 @@
-"""Write log lines: a short sentence with the part's prefix, and typed fields.
+"""Structured logging: a short sentence with the component's prefix, and typed fields.
 
-The volume is bounded and a write never blocks: lines beyond the cap, or that standard
-output does not take at once, are dropped and counted; the next line tells how many.
+The volume is bounded and a write never blocks. Lines above the rate limit, and lines
+that standard output does not accept at once, are dropped and counted; the next line
+written reports their number.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from driftstall.util import clock
 
 MAX_LINES_PER_S: Final = 300
-"""Far above a quiet day's lines; a flood of refusals stays readable."""
+"""Far above the rate of normal operation; a flood of refusals stays readable."""
 MAX_LINE_BYTES: Final = 4_096
-"""What a pipe takes in one piece (PIPE_BUF): a longer line could block or be torn."""
+"""PIPE_BUF, the size up to which a write to a pipe is atomic: a longer line could block or be
+split."""
 PLAIN_FIELDS: Final = frozenset({"message", "message_type", "timestamp"})
 
 
 class BoundedWriter:
-    """Write lines to a file descriptor, never more than its reader takes."""
+    """Write lines to a file descriptor without blocking and below a rate limit."""
 
     def __init__(
         self,
@@ -34,20 +36,20 @@
         clock: Callable[[], float] = clock.now,
         cap: int = MAX_LINES_PER_S,
     ) -> None:
-        """Take the descriptor, a clock in seconds and the most lines in a second."""
+        """Initialize with the descriptor, a clock in seconds and the maximum lines a second."""
         self._descriptor = descriptor
         self._clock = clock
         self._cap = cap
         self._second = 0
         self._lines = 0
         self.dropped = 0
-        """Lines dropped since the last one that was written."""
+        """Lines dropped since the last written line."""
         self.dropped_in_all = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Write one message, or drop it."""
-        if not self._allowed():
-            self._drop()
+        if not self._is_within_limit():
+            self._count_dropped()
             return
         fields = {name: value for name, value in message.items() if not name.startswith("task_")}
         if self.dropped:
@@ -59,10 +61,10 @@
         if self._write(line[:MAX_LINE_BYTES]):
             self.dropped = 0
         else:
-            self._drop()
+            self._count_dropped()
 
-    def _allowed(self) -> bool:
-        """Count one line against the cap of this second."""
+    def _is_within_limit(self) -> bool:
+        """Count one line against the rate limit; return False if it is exceeded."""
         second = int(self._clock())
         if second != self._second:
             self._second, self._lines = second, 0
@@ -70,30 +72,30 @@
         return self._lines <= self._cap
 
     def _write(self, line: bytes) -> bool:
-        """Write a line if it is taken at once; return whether it was."""
+        """Write a line if that does not block; return False if it was not written in full."""
         try:
             if not select.select([], [self._descriptor], [], 0)[1]:
                 return False
             return os.write(self._descriptor, line) == len(line)
         except OSError:
-            # There is nobody left to tell: the reader of the log is gone.
+            # The reader of the log has closed the pipe, so the error cannot be reported.
             return False
 
-    def _drop(self) -> None:
+    def _count_dropped(self) -> None:
         """Count a dropped line."""
         self.dropped += 1
         self.dropped_in_all += 1
 
 
 def start_log() -> BoundedWriter:
-    """Send all log lines to standard output, one JSON object a line."""
+    """Send all log lines to standard output, as one JSON object per line."""
     writer = BoundedWriter(sys.stdout.fileno())
     add_destinations(writer)
     return writer
 
 
 def log_event(prefix: str, sentence: str, **fields: Any) -> None:
-    """Log a sentence; nothing secret goes into it."""
+    """Log a sentence with fields; neither may contain secrets."""
     for name, value in fields.items():
         if isinstance(value, StoreVersion):
             fields[name] = str(value)
--- a/driftstall/helpers/trace.py
+++ b/driftstall/helpers/trace.py
@@ -1,8 +1,8 @@
-"""Record what a grants controller was told and answered, and replay it.
+"""Record the events and actions of a grants controller, and replay them.
 
-A trace is one JSON object a line: the time, the event with its fields and the
-actions. Replaying the events through a fresh controller must give the same actions;
-'driftstall policy try' reads the same lines.
+A trace has one JSON object per line: the time, the event with its fields, and the
+actions. Replaying the events on a new controller must give the same actions.
+'driftstall policy try' reads the same format.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.util.dataclass_json import from_fields, to_fields
 
-_EVENTS: Final = {one.__name__: one for one in typing.get_args(GrantEvent)}
+_EVENTS: Final = {event_type.__name__: event_type for event_type in typing.get_args(GrantEvent)}
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Tell where a replay gave other actions than were recorded."""
+    """A line whose replayed actions differ from the recorded ones."""
 
     line: int
     recorded: Any
@@ -35,7 +35,7 @@
 
 
 def build_controller(group: str) -> GrantsController:
-    """Return a controller whose answers depend on nothing but its events."""
+    """Return a controller whose actions depend only on its events."""
     return GrantsController(group, LearnedLengths(), random.Random(group))
 
 
@@ -43,16 +43,16 @@
     """Write a trace."""
 
     def __init__(self, out: TextIO) -> None:
-        """Take an open file."""
+        """Initialize with an open text file."""
         self._out = out
 
     @classmethod
     def to_path(cls, path: str) -> TraceRecorder:
-        """Append to a file for as long as the process runs."""
+        """Return a recorder that appends to a file for the life of the process."""
         return cls(Path(path).open("a", encoding="utf-8"))  # noqa: SIM115
 
     def configured(self, group: str, weights: Weights, overflow: float) -> None:
-        """Record that a policy's weights came into force."""
+        """Record the weights of a policy that comes into force."""
         self._write({"group": group, "weights": to_fields(weights), "overflow": overflow})
 
     def handled(
@@ -64,7 +64,7 @@
             "at": now,
             "event": type(event).__name__,
             "fields": to_fields(event),
-            "actions": _actions(actions),
+            "actions": _describe_actions(actions),
         }
         if isinstance(event, Ask):
             request = event.request
@@ -86,13 +86,13 @@
         self._out.flush()
 
 
-def _actions(actions: list[GrantAction]) -> list[list[Any]]:
-    """Return actions as names and fields."""
-    return [[type(one).__name__, to_fields(one)] for one in actions]
+def _describe_actions(actions: list[GrantAction]) -> list[list[Any]]:
+    """Return the name and the fields of each action."""
+    return [[type(action).__name__, to_fields(action)] for action in actions]
 
 
 def replay(lines: Iterable[str]) -> list[Difference]:
-    """Replay a trace and return where the actions differ."""
+    """Replay a trace and return the lines whose actions differ."""
     controllers: dict[str, GrantsController] = {}
     differences = []
     for number, line in enumerate(lines, start=1):
@@ -105,7 +105,9 @@
             controller.configure(from_fields(Weights, row["weights"]), row["overflow"])
             continue
         event = from_fields(_EVENTS[row["event"]], row["fields"])
-        replayed = orjson.loads(orjson.dumps(_actions(controller.handle(event, row["at"]))))
+        replayed = orjson.loads(
+            orjson.dumps(_describe_actions(controller.handle(event, row["at"])))
+        )
         if replayed != row["actions"]:
             differences.append(Difference(number, row["actions"], replayed))
     return differences
