--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -16,7 +16,7 @@
 
 from driftstall.core import Ran
 
-KEPT_UP_AFTER_S: Final = 0.5
+BACKUP_READY_AFTER_S: Final = 0.5
 """Time for which a run must have made events before the copy that its engine keeps up is
 taken to be there. Of streams that were broken off, and that found the engine, it was there for
 none of 58 without an event, none of 11 within 0.3 s of the first event, 3 of 5 within 0.5 s,
@@ -124,7 +124,7 @@
         # before may take what is left of that run for the copy, and run it again.
         if upstream_id in self.has_run_at:
             return False
-        return making_s is not None and making_s >= KEPT_UP_AFTER_S
+        return making_s is not None and making_s >= BACKUP_READY_AFTER_S
 
     def begin(self, upstream_id: str, copy_of: str = "") -> None:
         """Take in that the request is being sent; until its end is known it may have run."""
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -236,7 +236,7 @@
 @given('a stream in zone "b" whose copy is kept in zone "a"')
 def stream_in_b(context: Any) -> None:
     """Start a stream while zone "a" has more running, and let its copy count."""
-    from driftstall.decisions.sends import KEPT_UP_AFTER_S
+    from driftstall.decisions.sends import BACKUP_READY_AFTER_S
 
     world = world_of(context)
     for number, one in enumerate(world.engines[:2]):
@@ -248,7 +248,7 @@
     assert run.upstream.zone == "b", run.upstream
     if run.backup is None:
         run.backup = world.state.fleet.find(world.engines[0].upstream_id)
-    world.pass_time(KEPT_UP_AFTER_S)
+    world.pass_time(BACKUP_READY_AFTER_S)
 
 
 @when('zone "a" is cordoned and the engine of the stream breaks off')
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -8,7 +8,7 @@
 import gevent
 from behave import given, then, when
 
-from driftstall.decisions.sends import KEPT_UP_AFTER_S
+from driftstall.decisions.sends import BACKUP_READY_AFTER_S
 from driftstall.gateway import streams
 from driftstall.gateway.ingress import CallerConnection
 from driftstall.gateway.loads import Use
@@ -41,7 +41,7 @@
 
     def pass_time() -> None:
         wait_for("the events", lambda: any(run.events >= waits for run in world.state.runs.all))
-        world.pass_time(KEPT_UP_AFTER_S)
+        world.pass_time(BACKUP_READY_AFTER_S)
         then()
         script.gate.set()
 
@@ -128,7 +128,7 @@
 
     def write(connection: CallerConnection, data: bytes) -> bool:
         if b"piece" in data:
-            world.pass_time(KEPT_UP_AFTER_S / 2)
+            world.pass_time(BACKUP_READY_AFTER_S / 2)
         return usual(connection, data)
 
     CallerConnection.write = write  # type: ignore[method-assign, assignment]
@@ -153,7 +153,7 @@
 
     def leave() -> None:
         (run,) = world.state.runs.all
-        world.pass_time(KEPT_UP_AFTER_S)
+        world.pass_time(BACKUP_READY_AFTER_S)
         backup = run.backup
         assert backup is not None
         (engine,) = [one for one in world.engines if one.upstream_id == backup.upstream_id]
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from driftstall.decisions.sends import KEPT_UP_AFTER_S
+from driftstall.decisions.sends import BACKUP_READY_AFTER_S
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.gateway.fleet import FleetController
@@ -219,7 +219,7 @@
     assert context.run.backup is not None
     context.holder = holder_of(context, context.run.backup)
     script_all(world_of(context), "s1", [Script(events=8)])
-    world_of(context).pass_time(KEPT_UP_AFTER_S)
+    world_of(context).pass_time(BACKUP_READY_AFTER_S)
     context.script.gate.set()
     wait_for("one more event", lambda: context.run.events >= 4)
 
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, ReplicaKind, SendHistory, SendOutcome
+from driftstall.decisions.sends import BACKUP_READY_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 from features.worlds.gateway_world import GatewayWorld, Received, script_all, wait_for
 from features.worlds.sends_world import UPSTREAMS, Draw, SendsWorld, Word
 from stand_ins.routed import Script, Seen, event_bytes
@@ -151,7 +151,7 @@
     script.paused.wait()
     waiting = script.pause_after or 0
     wait_for("the events", lambda: any(run.events >= waiting for run in world.state.runs.all))
-    world.pass_time(KEPT_UP_AFTER_S)
+    world.pass_time(BACKUP_READY_AFTER_S)
     script.gate.set()
 
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -10,7 +10,7 @@
 from eliot import add_destinations, remove_destination
 
 from driftstall.core import Instance
-from driftstall.decisions.sends import KEPT_UP_AFTER_S
+from driftstall.decisions.sends import BACKUP_READY_AFTER_S
 from driftstall.decisions.upstream_backoff import StaggeredRetries, UpstreamBackoff
 from driftstall.decisions.upstream_signals import BackoffSignal
 from driftstall.gateway.dialect import MoveFailed
@@ -180,8 +180,8 @@
     by_id[second.upstream_id].copies["named"] = 4
     copy = ReplicaRef(second, f"{second.address}/named", named_by=context.run.upstream.upstream_id)
     context.run.replica = Replica(copy, world.state.now(), 10)
-    world.pass_time(KEPT_UP_AFTER_S)
-    context.run.generating_s = 2 * KEPT_UP_AFTER_S
+    world.pass_time(BACKUP_READY_AFTER_S)
+    context.run.generating_s = 2 * BACKUP_READY_AFTER_S
     context.run.replica = Replica(copy, world.state.now(), 10)
     back_off(context, first, for_s)
     context.began, context.expected = time.monotonic(), by_id[second.upstream_id]
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from driftstall.core import Ran
-from driftstall.decisions.sends import KEPT_UP_AFTER_S, ReplicaKind, SendHistory, SendOutcome
+from driftstall.decisions.sends import BACKUP_READY_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 
 UPSTREAMS = ("a", "b", "c")
 
@@ -88,7 +88,7 @@
             return False
         if draw.kind is ReplicaKind.NAMED:
             return self.runs_on
-        made = draw.making_s is not None and draw.making_s >= KEPT_UP_AFTER_S
+        made = draw.making_s is not None and draw.making_s >= BACKUP_READY_AFTER_S
         return made and self.runs_on and draw.upstream_id not in self.truly_run_at
 
 
