--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -61,7 +61,7 @@
         source: random.Random,
     ) -> None:
         """Take the book, the own name, the others, the steady clock and a random source."""
-        self._book = book
+        self._tracker = book
         self._own_id = own_id
         self._fleet = fleet
         self._now = now
@@ -80,7 +80,7 @@
 
     def handle_message(self, message: BlamesTold) -> None:
         """Take in what another instance knows, and answer with what it lacks."""
-        now, book = self._now(), self._book
+        now, book = self._now(), self._tracker
         known = book.reports(now)
         refused = set(book.quarantined(now))
         if book.merge(message.records, now):
@@ -102,7 +102,7 @@
             self._has_changes.wait()
             gevent.sleep(PAUSE_S)
             self._has_changes.clear()
-            told = BlamesTold(self._own_id, self._book.reports(self._now()), asks=False)
+            told = BlamesTold(self._own_id, self._tracker.reports(self._now()), asks=False)
             self._fleet.broadcast(self._fleet.hearers(), told)
 
     def _exchange(self) -> None:
@@ -110,7 +110,7 @@
         while True:
             is_fresh = self._now() - self._started_at < FRESH_S
             gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_EVERY_S)
-            told = self._book.reports(self._now())
+            told = self._tracker.reports(self._now())
             if not told and not is_fresh:
                 continue
             live = self._fleet.live()
