--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -1,4 +1,4 @@
-"""Hold what the parts of one gateway instance share."""
+"""Hold the state that the components of one gateway instance share."""
 
 from __future__ import annotations
 
@@ -41,18 +41,21 @@
 
 NO_LOAD: Final = 0.0
 HINT_WEIGHT: Final = 0.33
-"""Weight of a caller's estimate beside what was learned, on a log scale; it is often well off."""
-NOTICE_AGE_S: Final = 0.5
-"""An upstream that leaves may have given notice so long before this instance learns of it."""
+"""Weight of the caller's length hint against the learned length, on a log scale.
+
+Callers' estimates are often far off.
+"""
+MAX_NOTICE_DELAY_S: Final = 0.5
+"""Longest expected delay between an upstream's leaving notice and its arrival here."""
 GROWTH_SHARE: Final = 0.5
-"""Share of a run's expected growth that is counted: others end while it grows."""
+"""Share of a run's expected growth that counts as load: other runs end while it grows."""
 
 
 class GatewayState:
-    """Share the books, the configuration in force and the clocks."""
+    """Hold the registries, the configuration in force, the clocks and the callbacks."""
 
     def __init__(self, settings: GatewaySettings, dialect: Dialect, policy: Policy) -> None:
-        """Start with the settings and the default policy, and no configuration."""
+        """Initialize with the settings and the default policy, without a configuration."""
         self.settings = settings
         self.dialect = dialect
         self.policy = policy
@@ -78,31 +81,31 @@
         )
         self.backoff = UpstreamBackoff()
         self.retry_schedule = StaggeredRetries()
-        """Times at which refused callers of a service return."""
+        """Spreads the Retry-After times of refused callers, per service."""
         self.signals = UpstreamSignals(
             self.stats, self.rate_limiting, self.fleet, self.backoff, lambda: self.now()
         )
         dialect.observe_signals = self.signals.handle_own_call
         self.fleet_changed = Event()
         self.configured = Event()
-        """Set once there is a routing document and a list of upstreams."""
+        """Set once there are a routing document, a list of upstreams and the cordons."""
         self.loads_changed = Event()
         self.stopping_since: float | None = None
         self.notice_at = float("-inf")
-        """When an upstream was last known to be leaving."""
+        """When an upstream was last reported as leaving, on the steady clock."""
         self.open_requests = 0
-        self.request_placement: Callable[[PlacementAsked], PlacementGiven | None] = _place_here
-        """Asks who places streams for the zone; None where this instance is to choose."""
-        self.on_upstream_suspected: Callable[[Upstream], None] = _ignore
-        """Takes an engine at which a stream broke off unexpectedly."""
+        self.request_placement: Callable[[PlacementAsked], PlacementGiven | None] = _place_locally
+        """Asks the zone's placer for an upstream; returns None if this instance is to choose."""
+        self.on_upstream_suspected: Callable[[Upstream], None] = _ignore_upstream
+        """Called with an upstream at which a stream broke off unexpectedly."""
         self.on_run_broken: Callable[[Upstream, BrokenRun], None] = _ignore_run
-        """Takes a run that broke off though its upstream was to stay."""
-        self.on_poison_evidence_changed: Callable[[], None] = _tell_nobody
-        """Has peers told which requests ran beside crashes."""
+        """Called with a run that broke off although its upstream had not announced to leave."""
+        self.on_poison_evidence_changed: Callable[[], None] = _do_nothing
+        """Called when the evidence of which requests were running during crashes has changed."""
         self.on_store_era: Callable[[int], None] = _ignore_era
-        """Takes an era that a peer knows of the platform's store."""
+        """Called with the era of the platform's store that a peer reports."""
         self.on_quarantine_cleared: Callable[[str], None] = _ignore_fingerprint
-        """Takes a request that is held to have crashed upstreams no more."""
+        """Called with the fingerprint of a request that is no longer quarantined."""
         self.sampler = Sampler(self.rng)
         self._started_at = self.now()
         self.cold_gate = ColdGate(self.cold, self.rng, self._cold_part, lambda: self.now())
@@ -110,27 +113,27 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock, in seconds; suspensions count."""
+        """Return the steady clock in seconds, including time in suspension."""
         return clock.now()
 
     @staticmethod
     def wall() -> float:
-        """Return the time of day, in seconds."""
+        """Return the wall-clock time as a Unix timestamp, in seconds."""
         return time.time()
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this instance takes requests."""
+        """Return True if this instance accepts requests."""
         return self.is_configured and self.stopping_since is None
 
     @property
     def is_configured(self) -> bool:
-        """Tell whether there is something to decide by."""
+        """Return True if the routes, the upstreams and, where used, the cordons are known."""
         knows_cordons = self.cordons.is_loaded or not self.settings.bounds.cordon_s
         return self.route_table is not None and self.fleet.is_loaded and knows_cordons
 
     def notify_if_configured(self) -> None:
-        """Let waiting requests go on once there is something to decide by."""
+        """Wake up waiting requests once this instance is configured."""
         if self.is_configured:
             self.configured.set()
 
@@ -143,22 +146,29 @@
         return found
 
     def set_load_pooling(self, pooled: bool) -> None:
-        """Choose among a few upstreams only where the sums of a large fleet are pooled."""
+        """Sample a few upstreams per choice while loads arrive as sums of many instances.
+
+        Choosing the best of all by the same delayed sums would send the whole fleet's requests to
+        one upstream.
+        """
         self.sampler = Sampler(self.rng, SAMPLE_SIZE if pooled else None)
 
     def notify_call_load_changed(self) -> None:
-        """Have peers told of a plain call, unless it is over before pooled sums are made."""
+        """Trigger a report after a plain call has changed the load.
+
+        With pooled loads nothing is triggered: the call ends before the sums are made.
+        """
         if self.sampler.sample_size is None:
             self.loads_changed.set()
 
     def forget_peers(self) -> None:
-        """Forget what peers have told of their loads and repeats."""
+        """Discard the loads and retry counts that peers have reported."""
         self.loads.forget_peers()
         for budget in self._budgets.values():
             budget.forget_peers()
 
     def try_take_retry(self, service: str, request_id: str) -> bool:
-        """Take one repeat from the common budget; a refusal is logged with its inputs."""
+        """Take one retry from the shared budget; return False and log why if it is used up."""
         now = self.now()
         budget = self.budget(service)
         if budget.try_take(now):
@@ -178,7 +188,7 @@
         return False
 
     def repeat_counts(self) -> tuple[RepeatCount, ...]:
-        """Return what this instance has sent to each service, for its peers."""
+        """Return this instance's own requests and retries per service, for its reports."""
         now = self.now()
         return tuple(budget.count(now) for budget in self._budgets.values())
 
@@ -190,26 +200,36 @@
         *,
         heeds_backoff: bool = True,
     ) -> list[Option]:
-        """Return the upstreams of a service that may be chosen, with what runs there.
+        """Return the upstreams of a service that may be chosen, with their loads.
 
-        Where there are more than the most wanted (None: all), so many are drawn by lot. Those that
-        back off are left out, unless a peer is to send there or memory is summed up.
+        If there are more than `most` (None: no bound), a random sample of that size is returned.
+        Upstreams in back-off are excluded unless `heeds_backoff` is False, which is for a placer
+        that chooses for a peer and for totals of memory.
         """
         now = self.now()
-        left_out = avoid | self.backoff.active(now) if heeds_backoff else avoid
-        ready = [one for one in self.fleet.ready(service) if one.upstream_id not in left_out]
+        excluded = avoid | self.backoff.active(now) if heeds_backoff else avoid
+        ready = [
+            upstream
+            for upstream in self.fleet.ready(service)
+            if upstream.upstream_id not in excluded
+        ]
         if most is not None and len(ready) > most:
-            drawn = self.rng.sample(ready, most)
-            return [self._option(one, self.loads.use(one.upstream_id, now), now) for one in drawn]
-        # All sums at once: who places for a fleet hears of a hundred instances.
+            sampled = self.rng.sample(ready, most)
+            return [
+                self._option(upstream, self.loads.use(upstream.upstream_id, now), now)
+                for upstream in sampled
+            ]
+        # One pass over all peers: a placer of a large fleet has reports of a hundred instances.
         totals = self.loads.totals(now)
         return [
-            self._option(one, totals.get(one.upstream_id) or Use(one.upstream_id), now)
-            for one in ready
+            self._option(
+                upstream, totals.get(upstream.upstream_id) or Use(upstream.upstream_id), now
+            )
+            for upstream in ready
         ]
 
     def _option(self, upstream: Upstream, use: Use, now: float) -> Option:
-        """Return what is known of an upstream that may be chosen."""
+        """Return an upstream with the state that selection compares."""
         upstream_id = upstream.upstream_id
         return Option(
             upstream,
@@ -221,9 +241,9 @@
         )
 
     def connect(self, upstream: Upstream, timeout_s: float) -> UpstreamExchange:
-        """Open a connection to an upstream; raise UpstreamError if it does not come up.
+        """Open a connection to an upstream; raise UpstreamError if it can't be opened.
 
-        What the upstream signals with its responses is handled as they arrive.
+        The upstream's signals are handled as its response headers arrive.
         """
         exchange = UpstreamExchange.connect(upstream.address, timeout_s)
 
@@ -237,29 +257,33 @@
     def draining_options(
         self, service: str, avoid: frozenset[str], for_s: float = 0.0
     ) -> list[Option]:
-        """Return the upstreams that leave and serve for so much longer: the last resort."""
+        """Return the leaving upstreams that still serve for at least `for_s` seconds.
+
+        They are the last resort, when no other upstream accepts requests.
+        """
         now = self.now()
         return [
-            self._option(one, self.loads.use(one.upstream_id, now), now)
-            for one in self.fleet.draining(service, now + for_s, self.max_new_request_drain_s)
-            if one.upstream_id not in avoid and not self.backoff_s(one)
+            self._option(upstream, self.loads.use(upstream.upstream_id, now), now)
+            for upstream in self.fleet.draining(service, now + for_s, self.max_new_request_drain_s)
+            if upstream.upstream_id not in avoid and not self.backoff_s(upstream)
         ]
 
     def backoff_s(self, upstream: Upstream) -> float:
-        """Return for how long an upstream wants no requests of this instance; zero for none."""
+        """Return the remaining back-off of an upstream in seconds; zero if it requests none."""
         return self.backoff.remaining_s(upstream.upstream_id, self.now())
 
     def can_send(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream may be sent anything, just before it is."""
+        """Return True if an upstream may be sent a request; checked just before the send."""
         serves = self.fleet.can_still_serve(
             upstream.upstream_id, self.now(), self.settings.bounds.drain_s
         )
         return serves and not self.backoff_s(upstream)
 
     def can_start_on(self, upstream: Upstream, tried: frozenset[str]) -> bool:
-        """Tell whether an upstream may be sent something new, just before it is.
+        """Return True if an upstream may be sent a new run; checked just before the send.
 
-        One that leaves is a last resort, where no other one than those tried takes requests.
+        A leaving upstream is allowed only if no upstream except those already tried accepts
+        requests.
         """
         if not self.can_send(upstream):
             return False
@@ -272,16 +296,16 @@
 
     @property
     def max_new_request_drain_s(self) -> float:
-        """Return for how long an upstream that leaves is sent something new at most."""
-        return self.settings.bounds.drain_s - NOTICE_AGE_S
+        """Return how long after its notice a leaving upstream may get new runs, in seconds."""
+        return self.settings.bounds.drain_s - MAX_NOTICE_DELAY_S
 
     def cold_rate(self, service: str) -> float:
-        """Return the requests a second that a cold upstream bears; zero where none is told."""
+        """Return the requests per second that a cold upstream can serve; zero if not set."""
         found = self.route_table.service(service) if self.route_table else None
         return found.cold_rate if found else 0.0
 
     def _cold_part(self, service: str) -> ColdPart | None:
-        """Return how often this instance may send to a cold upstream; None: unbounded."""
+        """Return this instance's part of the rate to a cold upstream; None for no bound."""
         rate = self.cold_rate(service)
         if not rate:
             return None
@@ -291,26 +315,26 @@
         return ColdPart.of_instance(rate, self.instances.value, placed=placed)
 
     def expected_tokens(self, request: Request, hint: int) -> int:
-        """Forecast the whole output of a request, in tokens."""
+        """Return the expected total output of a request, in tokens."""
         learned = self.lengths.expected(request)
         if hint:
             learned = learned ** (1 - HINT_WEIGHT) * hint**HINT_WEIGHT
         return int(learned)
 
     def record_run_load(self, run: StreamRun) -> None:
-        """Tell the books, and soon the peers, what a stream takes now."""
+        """Record a stream's current load and schedule a report to peers."""
         marks = run.admitted.marks
-        left = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
+        remaining = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
         holder = run.backup or run.replica_target
-        covered = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
-        share = RequestLoad(
+        has_replica = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
+        load = RequestLoad(
             run.upstream.upstream_id,
-            run.held_tokens + int(GROWTH_SHARE * left),
+            run.held_tokens + int(GROWTH_SHARE * remaining),
             0 if run.events else marks.input_tokens,
             holder.upstream_id if holder else "",
-            run.held_tokens if run.events and not covered else 0,
+            run.held_tokens if run.events and not has_replica else 0,
         )
-        self.loads.set_load(run.request_id, share)
+        self.loads.set_load(run.request_id, load)
         self.loads_changed.set()
 
     def memory_load(self, service_name: str) -> float:
@@ -321,53 +345,53 @@
         return self._memory_share(service)
 
     def _memory_share(self, service: Service) -> float:
-        """Return the share of engine memory in use."""
+        """Return the share of a service's engine memory in use, given that it has engines."""
         assert service.engine is not None
         options = self.options(service.name, heeds_backoff=False)
         total = service.engine.memory_tokens * len(options)
         if not total:
             return NO_LOAD
-        return min(1.0, sum(one.use.tokens + one.use.copies for one in options) / total)
+        return min(1.0, sum(option.use.tokens + option.use.copies for option in options) / total)
 
     def record_success(self, fingerprint: str) -> None:
-        """Take in that a request has ended well, which clears it of crashes."""
+        """Record that a request has succeeded, which exonerates it from earlier crashes."""
         now = self.now()
-        was_convicted = self.poison_tracker.verdict(fingerprint, now).is_poison
+        was_quarantined = self.poison_tracker.verdict(fingerprint, now).is_poison
         if fingerprint and self.poison_tracker.record_success(fingerprint, now):
             self.on_poison_evidence_changed()
-        if was_convicted:
+        if was_quarantined:
             self.on_quarantine_cleared(fingerprint)
 
     def record_outcome(
         self, upstream_id: str, service: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Take in how a request to an upstream went."""
+        """Record the outcome of a request to an upstream and its duration in seconds."""
         if outcome is Outcome.UNREACHABLE:
-            # It may be starting again, and is cold then before it can say so.
+            # It may be restarting, and a restarted upstream is cold before it can report so.
             self.cold.assume(upstream_id, UNTOLD_S, self.now())
         self.outcomes.record_outcome(upstream_id, service, outcome, self.now(), seconds)
 
 
-def _ignore(_: Upstream) -> None:
-    """Take an engine that nobody asks about."""
+def _ignore_upstream(_: Upstream) -> None:
+    """Ignore a suspected upstream until a prober is connected."""
 
 
 def _ignore_run(_: Upstream, __: BrokenRun) -> None:
-    """Take a run that nobody asks about."""
+    """Ignore a broken run until a crash detector is connected."""
 
 
 def _ignore_fingerprint(_: str) -> None:
-    """Keep nothing of it."""
+    """Ignore a cleared request until its persistence is connected."""
 
 
 def _ignore_era(_: int) -> None:
-    """Take an era that nobody asks about."""
+    """Ignore an era until the handling of store recoveries is connected."""
 
 
-def _tell_nobody() -> None:
-    """Tell nobody."""
+def _do_nothing() -> None:
+    """Do nothing until peers are connected."""
 
 
-def _place_here(_: PlacementAsked) -> PlacementGiven | None:
-    """Ask nobody."""
+def _place_locally(_: PlacementAsked) -> PlacementGiven | None:
+    """Return None: this instance chooses by itself."""
     return None
