--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -57,7 +57,7 @@
     zone: str
     grants: dict[str, OpenGrant] = field(default_factory=dict)
     prefixes: PrefixModel = field(default_factory=PrefixModel)
-    hold: Hold = ZERO_FORECAST
+    forecast: Hold = ZERO_FORECAST
     peak: float = 0.0
     forecast_at: float = -1e9
     pending_prefill: float = 0.0
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -315,7 +315,7 @@
             RunnerLoad(
                 runner.runner_id,
                 runner.memory,
-                runner.hold.means[0] / max(1, runner.memory),
+                runner.forecast.means[0] / max(1, runner.memory),
                 runner.long_prompt_tokens,
                 runner.first_rank,
             )
@@ -377,7 +377,7 @@
             pending = runner.decay_pending_prefill(now)
             if rank > 0 and pending > 0 and pending + uncached > MAX_PENDING_PREFILL:
                 continue
-            fill = runner.hold.means[0] / runner.memory
+            fill = runner.forecast.means[0] / runner.memory
             views.append(
                 RunnerView(
                     runner.runner_id,
@@ -497,7 +497,7 @@
                 continue
             addition = hold_of(self._lengths, grant.request, grant.produced)
             limit = runner.memory - self._registry.headroom(grant.verdict.rank, now)
-            if not runner.hold.fits(addition, self._registry.deviations, limit):
+            if not runner.forecast.fits(addition, self._registry.deviations, limit):
                 continue
             self._registry.resume(grant, now)
             del self._paused[request_id]
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -74,7 +74,7 @@
         """Return a runner's memory forecast, which ticks normally keep fresh."""
         if now - runner.forecast_at >= MAX_FORECAST_AGE_S:
             self._refresh(runner, now)
-        return runner.hold
+        return runner.forecast
 
     def has_room(
         self, runner: RunnerState, addition: Hold, peak: float, limit: float, now: float
@@ -108,7 +108,7 @@
         if runner is None or not runner.remove(grant):
             return
         if not grant.paused:
-            self._set_hold(runner, runner.hold.minus(self._hold_of(grant)))
+            self._set_hold(runner, runner.forecast.minus(self._hold_of(grant)))
         runner.prefixes.store(cached)
 
     def pause(self, grant: OpenGrant, now: float) -> None:
@@ -118,7 +118,7 @@
         runner = self._runner_of(grant)
         if runner is not None:
             runner.last_yield_at = now
-            self._set_hold(runner, runner.hold.minus(self._hold_of(grant)))
+            self._set_hold(runner, runner.forecast.minus(self._hold_of(grant)))
 
     def resume(self, grant: OpenGrant, now: float) -> None:
         """Add the memory of a resumed generation, and its repeated prefill."""
@@ -126,7 +126,7 @@
         grant.running_since = now
         runner = self._runner_of(grant)
         if runner is not None:
-            self._set_hold(runner, runner.hold.plus(self._hold_of(grant)))
+            self._set_hold(runner, runner.forecast.plus(self._hold_of(grant)))
             runner.pending_prefill = runner.decay_pending_prefill(now) + grant.request.input_tokens
 
     def _runner_of(self, grant: OpenGrant) -> RunnerState | None:
@@ -139,7 +139,7 @@
 
     def _set_hold(self, runner: RunnerState, hold: Hold) -> None:
         """Store a runner's forecast and its peak, which is read most often."""
-        runner.hold = hold
+        runner.forecast = hold
         runner.peak = hold.peak(self.deviations)
 
     def _refresh(self, runner: RunnerState, now: float) -> None:
@@ -148,4 +148,4 @@
         generations = ((grant.request, grant.produced) for grant in running)
         self._set_hold(runner, total(self._lengths, generations))
         runner.forecast_at = now
-        runner.prefixes.shrink(runner.memory - runner.hold.means[0] + runner.cached_tokens)
+        runner.prefixes.shrink(runner.memory - runner.forecast.means[0] + runner.cached_tokens)
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -227,7 +227,7 @@
                     "state": "live" if node.fleet.may_get_work(one.runner_id) else "leaving",
                     "open": len(state.grants) if state else None,
                     "memory": one.memory_tokens,
-                    "forecast": round(state.hold.peak(0.0)) if state else None,
+                    "forecast": round(state.forecast.peak(0.0)) if state else None,
                 }
             )
         return rows
