--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -1,4 +1,4 @@
-"""Write the submitted policy again where the platform's store has lost it."""
+"""Rewrites the submitted policy if the platform's store has lost it."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 
 
 class StoredPolicy(Protocol):
-    """Hold what the platform keeps; each call may raise PlatformUnavailable."""
+    """Access to the stored policy; each call may raise PlatformUnavailable."""
 
     def read(self) -> PolicyText | None:
         """Return the stored policy; None if there is none."""
 
     def write(self, text: str, instead_of: PolicyText | None) -> bool:
-        """Store a policy, unless something else is there by now; return whether it is stored."""
+        """Store a policy if the expected one is still stored; return whether it was stored."""
 
 
 class PolicyPersistence:
-    """Compare the policy in force with what the store holds after its return."""
+    """Compares the policy in force with the stored one after the store was restored."""
 
-    def __init__(self, policies: PolicySource, kept: StoredPolicy) -> None:
-        """Take the policy in force and the platform's access."""
+    def __init__(self, policies: PolicySource, stored: StoredPolicy) -> None:
+        """Initialize with the policy in force and the access to the store."""
         self._policies = policies
-        self._kept = kept
+        self._stored = stored
 
     def rewrite_if_lost(self) -> None:
-        """Write the policy in force, where the store lacks it or holds an earlier one.
+        """Write the policy in force if the store lacks it or holds a superseded one.
 
-        One that is not known here was submitted after the return, and counts.
+        A stored policy that is unknown here was submitted after the restore, and takes precedence.
         """
         held = self._policies.held
         if held is None:
             return
-        stored = self._kept.read()
+        stored = self._stored.read()
         if stored is not None and not self._policies.is_earlier(stored):
             return
-        done = self._kept.write(held.text, stored)
+        is_written = self._stored.write(held.text, stored)
         log_event(
             PREFIX_CONFIGURATION,
-            "The policy in force is written again" if done else "Another policy was stored first",
+            "The policy in force was rewritten to the store"
+            if is_written
+            else "The policy in force was not rewritten: another one was stored first",
             revision=held.revision,
         )
