--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -30,7 +30,7 @@
     """Access to the platform's entries of instances."""
 
     instances: Feed[Instance]
-    old_instances: Feed[Instance]
+    stale_instances: Feed[Instance]
     """The same list as of some seconds ago; cheaper to read."""
     register: Callable[[Instance], None]
     withdraw: Callable[[str], None]
@@ -71,7 +71,7 @@
                     gevent.sleep(SEED_ANSWER_TIMEOUT_S)
                 if self._state.instances.value > 1:
                     gevent.sleep(FINAL_LIST_DELAY_S * (0.5 + self._state.rng.random()))
-                    self._instances.listed(self._entries.old_instances.list().items)
+                    self._instances.listed(self._entries.stale_instances.list().items)
                     return
                 self._instances.listed(self._entries.instances.list().items)
                 gevent.sleep(RELIST_INTERVAL_S)
