--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -1,4 +1,9 @@
-"""Place a stream: on which engine it runs, and where a copy of it is kept."""
+"""Choose the engine and the backup engine of one stream.
+
+A stream asks the placer of its zone, if there is one, or selects an upstream itself. It waits
+a short time for a free upstream and for room in its memory: a run that is sent to a full
+engine would be preempted.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +24,18 @@
 from driftstall.peers.gateway_messages import PlacementAsked
 
 WAIT_FOR_UPSTREAM_S: Final = 0.4
-"""How long a stream waits for an upstream that takes requests; a quarter of its target."""
+"""How long a stream waits for an upstream that takes requests, at most a quarter of its
+latency target."""
 WAIT_FOR_ROOM_SHARE: Final = 0.4
-"""Share of a stream's target that it waits for room: sent before, it would be preempted."""
-ROOM_CHECK_S: Final = 0.02
-ASK_AGAIN_S: Final = 0.1
-"""The same where another instance is asked: room shows there within about this time."""
-BACKUP_FROM_TOKENS: Final = 120
-"""Outputs expected to be shorter end before a copy is of use: about a second of tokens."""
+"""Share of its latency target for which a stream waits for room: sent earlier, it would be
+preempted."""
+ROOM_CHECK_INTERVAL_S: Final = 0.02
+PLACER_RETRY_INTERVAL_S: Final = 0.1
+"""Interval of room checks when another instance is the placer: it learns of freed memory
+within about this time."""
+MIN_BACKUP_TOKENS: Final = 120
+"""Shorter expected outputs get no backup: about a second of tokens, so they end before a replica
+is of use."""
 
 NO_ENGINE: Final = Engine(
     slots=1,
@@ -37,20 +46,20 @@
     can_backup=False,
     event_tokens=1,
 )
-"""Stands for a service that streams without telling of an engine: room for anything."""
+"""Stand-in for a service that streams without an engine section: unlimited room."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Hold where a stream may run."""
+    """Hold the upstream chosen for a stream."""
 
     upstream: Upstream
     backup: Upstream | None
-    """The engine that is to keep a copy."""
+    """The engine that is to keep a replica."""
     has_room: bool
-    """Whether it fits the engine's memory, as far as can be forecast."""
+    """Whether the stream is expected to fit into the engine's memory."""
     placer: str
-    """The instance that has chosen."""
+    """The instance that made the choice."""
 
 
 class StreamPlacement:
@@ -59,7 +68,7 @@
     def __init__(
         self, state: GatewayState, call: CallerRequest, admitted: Admitted, request: Request
     ) -> None:
-        """Take the stream's request as it came, as it was admitted and as it is forecast."""
+        """Initialize with the caller's request, its admission and its form for forecasts."""
         self._state = state
         self._call = call
         self._admitted = admitted
@@ -67,7 +76,7 @@
 
     @property
     def engine(self) -> Engine:
-        """Return the engine of the service; a service without one still streams."""
+        """Return the engine of the service, or NO_ENGINE for a service without one."""
         return self._admitted.service.engine or NO_ENGINE
 
     def place(self, avoid: frozenset[str], gone: Callable[[], bool]) -> StreamRun | None:
@@ -84,9 +93,10 @@
     def create_resumed_run(
         self, run: StreamRun, copy: ReplicaRef, has_run_at: frozenset[str]
     ) -> StreamRun:
-        """Return the run as it goes on at another upstream.
+        """Return a run that resumes a stream at a replica on another upstream.
 
-        No engine where it has run is to keep its copy: there it could not go on at that.
+        An engine where the stream has run is not chosen as its backup: the stream could not
+        resume there.
         """
         next_run = StreamRun(self._call, self._admitted, self._request, copy.upstream)
         next_run.resumed_from = copy
@@ -101,30 +111,32 @@
         return next_run
 
     def _wait_for_room(
-        self, need: TokenRequirement, avoid: frozenset[str], gone: Callable[[], bool]
+        self, need: TokenRequirement, avoid: frozenset[str], is_canceled: Callable[[], bool]
     ) -> Placement | None:
-        """Choose the upstream; wait a little for one, and for room in its memory."""
+        """Choose the upstream; wait for one that takes requests and has room in its memory."""
         began = self._state.now()
         target_s = self._admitted.route.target_s
         upstream_until = began + min(WAIT_FOR_UPSTREAM_S, target_s / 4)
         room_until = began + min(self._admitted.verdict.wait_s, target_s * WAIT_FOR_ROOM_SHARE)
         own_id = self._state.settings.instance_id
-        while not gone():
+        while not is_canceled():
             now = self._state.now()
             waited_enough = now >= room_until
-            place = self._choose(need, avoid, taken_anyway=waited_enough)
-            if place is None and (now >= upstream_until or self._waits_in_vain()):
+            placement = self._choose(need, avoid, taken_anyway=waited_enough)
+            if placement is None and (now >= upstream_until or self._is_wait_futile()):
                 return None
-            if place is not None and (waited_enough or place.has_room):
-                return place
-            asks = place is not None and place.placer != own_id
-            self._state.fleet_changed.wait(ASK_AGAIN_S if asks else ROOM_CHECK_S)
+            if placement is not None and (waited_enough or placement.has_room):
+                return placement
+            is_remote = placement is not None and placement.placer != own_id
+            self._state.fleet_changed.wait(
+                PLACER_RETRY_INTERVAL_S if is_remote else ROOM_CHECK_INTERVAL_S
+            )
         return None
 
     def _choose(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Placement | None:
-        """Ask who places for the zone, or choose here; None where no upstream takes requests."""
+        """Ask the zone's placer, or choose locally; return None if no upstream takes requests."""
         asked = PlacementAsked(
             self._state.settings.instance_id,
             self._admitted.marks.request_id,
@@ -139,12 +151,12 @@
         given = self._state.request_placement(asked)
         upstream = self._state.fleet.find(given.upstream_id) if given else None
         if given is None or upstream is None or self._state.backoff_s(upstream):
-            return self._choose_here(need, avoid, taken_anyway=taken_anyway)
+            return self._choose_locally(need, avoid, taken_anyway=taken_anyway)
         backup = self._state.fleet.find(given.backup_id)
         return Placement(upstream, backup, given.has_room, given.sender)
 
-    def _waits_in_vain(self) -> bool:
-        """Tell whether all upstreams are in cordoned zones, or back off."""
+    def _is_wait_futile(self) -> bool:
+        """Return True if all upstreams are in cordoned zones or in back-off."""
         fleet, service = self._state.fleet, self._admitted.service.name
         ready = fleet.ready(service)
         backs_off = bool(ready) and all(self._state.backoff_s(one) for one in ready)
@@ -153,10 +165,10 @@
     def _choose_here(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Placement | None:
-        """Choose by what this instance knows."""
+        """Choose by this instance's own view of the fleet."""
         service = self._admitted.service.name
         options = self._state.options(service, avoid) or self._state.draining_options(
-            service, avoid, self._longest_s()
+            service, avoid, self._expected_duration_s()
         )
         settings = self._state.settings
         gate = self._state.cold_gate
@@ -174,7 +186,7 @@
     def _choose_backup(
         self, primary: Upstream, need: TokenRequirement, avoid: frozenset[str]
     ) -> Upstream | None:
-        """Choose where a copy of the run is kept."""
+        """Choose the backup engine; return None if the stream gets none."""
         if not self.engine.can_backup or not self._wants_backup():
             return None
         options = self._state.options(self._admitted.service.name, avoid)
@@ -182,23 +194,23 @@
         return chosen.upstream if chosen else None
 
     def _wants_backup(self) -> bool:
-        """Tell whether the output is long enough for a copy to pay."""
-        return self._expected_tokens() >= BACKUP_FROM_TOKENS
+        """Return True if the expected output is long enough for a backup."""
+        return self._expected_tokens() >= MIN_BACKUP_TOKENS
 
-    def _need(self) -> TokenRequirement:
-        """Forecast what the run will take."""
+    def _requirement(self) -> TokenRequirement:
+        """Forecast the tokens that the run needs."""
         return TokenRequirement(self._request.input_tokens, self._expected_tokens())
 
-    def _longest_s(self) -> float:
-        """Forecast how long the stream may take, in seconds."""
+    def _expected_duration_s(self) -> float:
+        """Forecast the duration of the stream, in seconds."""
         return FIRST_EVENT_S + TOKEN_S * self._expected_tokens()
 
     def _expected_tokens(self) -> int:
-        """Forecast the output, in tokens."""
+        """Forecast the length of the output, in tokens."""
         return self._state.expected_tokens(self._request, self._admitted.marks.length_hint)
 
-    def _log_placed(self, run: StreamRun, place: Placement) -> None:
-        """Log where a stream was placed."""
+    def _log_placed(self, run: StreamRun, placement: Placement) -> None:
+        """Log the placement of a stream, with the load that it was based on."""
         use = self._state.loads.use(run.upstream.upstream_id, self._state.now())
         log_event(
             PREFIX_ROUTING,
@@ -209,9 +221,9 @@
             rule=self._admitted.verdict.rule,
             rank=self._admitted.verdict.rank,
             backup=run.backup.upstream_id if run.backup else "",
-            placer=place.placer,
+            placer=placement.placer,
             waited_ms=int((self._state.now() - self._admitted.started_at) * 1000),
-            has_room=place.has_room,
+            has_room=placement.has_room,
             running=use.running,
             tokens=use.tokens,
             copies=use.copies,
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -1,9 +1,10 @@
-"""Choose the upstream of a request, where its copy is kept, and where a run moves.
+"""Select the upstream of a request, the engine of its backup, and the target of a migration.
 
-In a small fleet all instances see nearly the same sums (see loads), so the least loaded
-upstream is chosen outright; equal ones are told apart by chance. In a large fleet the
-sums are some hundred milliseconds old, and all who decide meanwhile would choose the same
-one. So there an instance compares only a few that it draws, near ones first.
+In a small fleet all instances see nearly the same load sums (see loads), so the least loaded
+upstream is selected directly, with random jitter between equal ones. In a large fleet the sums
+are some hundred milliseconds old, and all instances that decide in that time would select the
+same upstream. There an instance compares only a small random sample (power-of-d-choices
+sampling), upstreams of its own zone first.
 """
 
 from __future__ import annotations
@@ -18,82 +19,84 @@
 from driftstall.gateway.model import Engine, Upstream
 
 PREFILL_TOKENS_PER_S: Final = 14_000.0
-"""Prompt tokens that an engine reads in a second (from the engines' sheet)."""
+"""Prompt tokens that an engine prefills per second (from the engines' data sheet)."""
 STREAM_PENALTY: Final = 0.3
-"""Weight of a full batch; each running request slows the tokens of the others."""
+"""Cost of a full batch; each running request slows down the tokens of the others."""
 MEMORY_PENALTY: Final = 0.6
-"""Weight of full memory; beyond it the engine preempts."""
+"""Cost of full memory; beyond it the engine preempts."""
 CROSS_ZONE_PENALTY: Final = 0.03
-"""Weight of another zone: its bytes are priced, and moves take twice as long."""
+"""Cost of another zone: traffic between zones is billed, and migrations take twice as long."""
 CROSS_ZONE_MOVE_PENALTY: Final = 0.3
-"""Weight of another zone for a move: the notice is short and the copy takes twice as long."""
+"""Cost of another zone for a migration: the notice is short and the copy takes twice as long."""
 TIE_BREAK_JITTER: Final = 0.01
-"""Chance between upstreams that are about equal."""
+"""Upper bound of the random cost that breaks ties between upstreams of about equal cost."""
 MEMORY_FULL_SHARE: Final = 0.92
-"""Share of memory beyond which a new run would soon be preempted."""
+"""Memory share above which a new run would soon be preempted."""
 OVERFULL_PENALTY: Final = 5.0
+"""Cost per unit of memory share above MEMORY_FULL_SHARE."""
 SAMPLE_SIZE: Final = 3
-"""Upstreams that an instance of a large fleet compares."""
+"""Number of upstreams that an instance of a large fleet compares."""
 MAX_LOCAL_COST: Final = 0.40
-"""Cost up to which a near engine is taken without a look at others: one that is less than
-half full and reads no other prompt. Beyond it, as many far ones are compared with it."""
+"""Cost up to which an engine of the own zone is selected without comparing other zones: it is
+less than half full and prefills no other prompt. Above it, as many engines of other zones are
+compared with it."""
 CROSS_ZONE_STREAM_PENALTY: Final = 0.08
-"""Weight of another zone for a stream of a large fleet: what its bytes between zones cost,
-as seconds of waiting."""
+"""Cost of another zone for a stream of a large fleet: the price of the traffic between zones,
+expressed as seconds of waiting."""
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """Hold one upstream that may be chosen, with what runs there."""
+    """Represent an upstream that may be selected, with its current load."""
 
     upstream: Upstream
     use: Use
     penalty: float
-    """How much worse than usual its answers are."""
+    """Cost added for recent failures and slow responses."""
     is_ejected: bool
-    """Whether it is avoided for its failures: chosen only where all are."""
+    """Whether the upstream is ejected as an outlier; it is selected only if all are ejected."""
     cold_s: float = 0.0
-    """How much longer it is cold, in seconds."""
+    """Remaining cold time in seconds; 0 if the upstream is warm."""
     is_limited: bool = False
-    """Whether it names how many requests it takes."""
+    """Whether the upstream signals a rate limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRequirement:
-    """Hold what a generation will take."""
+    """Hold the tokens that a generation is expected to need."""
 
     prompt_tokens: int
     output_tokens: int
 
     @property
     def total(self) -> int:
-        """Return the memory at its end, in tokens."""
+        """Return the memory needed at the end of the generation, in tokens."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Sampler:
-    """Hold the chance in a choice, and among how many options it is made."""
+    """Sample the options to compare, and provide the jitter that breaks ties."""
 
     source: random.Random
     sample_size: int | None = None
-    """Options that are compared; None for all."""
+    """Number of options to compare; None for all."""
     cross_zone_penalty: float = CROSS_ZONE_PENALTY
-    """Weight of another zone for a stream where all options are compared."""
+    """Cost of another zone for a stream when all options are compared."""
 
     def sample(self, options: Sequence[Option]) -> Sequence[Option]:
-        """Return the options to compare."""
+        """Return the options to compare: a random sample, or all of them."""
         if self.sample_size is None or len(options) <= self.sample_size:
             return options
         return self.source.sample(options, self.sample_size)
 
     def jitter(self) -> float:
-        """Return a small cost by which equal options are told apart."""
+        """Return a small random cost that breaks ties between equal options."""
         return TIE_BREAK_JITTER * self.source.random()
 
 
 def choose_call(options: Iterable[Option], sampler: Sampler) -> Option | None:
-    """Return the upstream for a plain call: the one with the most free places."""
+    """Select the upstream of a plain call: the one with the largest share of free slots."""
 
     def cost(option: Option) -> float:
         busy = (option.use.running + 1) / max(1, option.upstream.slots)
@@ -105,7 +108,11 @@
 def choose_stream(
     options: Iterable[Option], engine: Engine, need: TokenRequirement, zone: str, sampler: Sampler
 ) -> Option | None:
-    """Return the upstream for a generation."""
+    """Select the upstream of a generation.
+
+    When a sample is compared, the best engine of the zone is selected if its cost is at most
+    MAX_LOCAL_COST; otherwise it is compared with the best sampled engine of other zones.
+    """
 
     def cost(option: Option) -> float:
         far = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
@@ -114,10 +121,10 @@
     known = list(options)
     if sampler.sample_size is None:
         return _least(known, cost, sampler)
-    near = _least([one for one in known if one.upstream.zone == zone], cost, sampler)
+    near = _least([option for option in known if option.upstream.zone == zone], cost, sampler)
     if near is not None and not near.is_ejected and cost(near) <= MAX_LOCAL_COST:
         return near
-    far = _least([one for one in known if one.upstream.zone != zone], cost, sampler)
+    far = _least([option for option in known if option.upstream.zone != zone], cost, sampler)
     if near is None or far is None:
         return near or far
     if near.is_ejected != far.is_ejected:
@@ -126,13 +133,13 @@
 
 
 def run_memory_share(options: Iterable[Option], engine: Engine) -> float:
-    """Return the share of the engines' memory that runs take, without copies."""
+    """Return the share of the engines' total memory that runs use, not counting replicas."""
     known = list(options)
-    return sum(one.use.tokens for one in known) / max(1, engine.memory_tokens * len(known))
+    return sum(option.use.tokens for option in known) / max(1, engine.memory_tokens * len(known))
 
 
 def has_room(option: Option, engine: Engine, need: TokenRequirement) -> bool:
-    """Tell whether a generation fits an engine's memory, as far as can be forecast."""
+    """Return True if a generation is expected to fit into an engine's memory."""
     expected = need.prompt_tokens + need.output_tokens // 2
     return _memory(option.use, engine, expected) <= MEMORY_FULL_SHARE
 
@@ -144,7 +151,7 @@
     primary: Upstream,
     sampler: Sampler,
 ) -> Option | None:
-    """Return the engine that keeps a copy of a run, or None where none has room."""
+    """Select the backup engine of a run; return None if no engine has room for the replica."""
     known = list(options)
     line = backup_line(run_memory_share(known, engine))
     fitting = [
@@ -172,12 +179,15 @@
     *,
     max_memory_share: float,
 ) -> Option | None:
-    """Return where a run's memory is copied; in the same zone if it can."""
+    """Select the engine to which a run's memory is copied, in the same zone if possible.
+
+    Engines are excluded whose memory share would exceed max_memory_share with the replica.
+    """
     fitting = [
-        one
-        for one in options
-        # What runs at a copy there is a request more to it.
-        if not one.cold_s and _memory(one.use, engine, need.total) <= max_memory_share
+        option
+        for option in options
+        # Resuming at a replica sends the engine one more request, so a cold engine is excluded.
+        if not option.cold_s and _memory(option.use, engine, need.total) <= max_memory_share
     ]
 
     def cost(option: Option) -> float:
@@ -188,7 +198,7 @@
 
 
 def _stream_cost(option: Option, engine: Engine, need: TokenRequirement) -> float:
-    """Return what a generation would suffer on an upstream, about in seconds."""
+    """Return the expected delay of a generation on an upstream, roughly in seconds."""
     use = option.use
     memory = _memory(use, engine, need.total)
     cost = (use.prefill + need.prompt_tokens) / PREFILL_TOKENS_PER_S
@@ -200,26 +210,29 @@
 
 
 def _memory(use: Use, engine: Engine, added: int) -> float:
-    """Return the share of an engine's memory in use with so many tokens more."""
+    """Return the memory share of an engine after a number of tokens is added."""
     return (use.tokens + use.copies + added) / max(1, engine.memory_tokens)
 
 
 def _unlimited(options: list[Option]) -> list[Option]:
-    """Return the options that name no limit if there are any: what goes on at a copy is a send."""
-    return [one for one in options if not one.is_limited] or options
+    """Return the options without a rate limit, or all options if each has one.
+
+    Resuming at a replica is a send, which counts against a rate limit.
+    """
+    return [option for option in options if not option.is_limited] or options
 
 
 def _near_first(options: list[Option], zone: str, sampler: Sampler) -> list[Option]:
-    """Return the options of a zone if there are any, where only some are compared."""
+    """Return the options of a zone if there are any; return all when all are compared anyway."""
     if sampler.sample_size is None:
         return options
-    return [one for one in options if one.upstream.zone == zone] or options
+    return [option for option in options if option.upstream.zone == zone] or options
 
 
 def _least(
     options: Iterable[Option], cost: Callable[[Option], float], sampler: Sampler
 ) -> Option | None:
-    """Return the cheapest of the options drawn; an ejected one only if all are."""
+    """Return the sampled option of least cost; an ejected one only if all are ejected."""
     known = list(options)
-    awake = [option for option in known if not option.is_ejected]
-    return min(sampler.sample(awake or known), key=cost, default=None)
+    healthy = [option for option in known if not option.is_ejected]
+    return min(sampler.sample(healthy or known), key=cost, default=None)
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -1,8 +1,10 @@
-"""Place streams for a large fleet, or ask who does.
+"""Place streams centrally in a large fleet: one placer chooses for many instances.
 
-The first collectors of some zones hear the sums of all of them twice a second. With its own latest
-choices added, the one that is asked knows at once what runs on all engines. A choice for an
-instance of its zone counts until that one reports, a choice for another zone for a fixed time.
+The first collectors of some zones receive the load sums of all zones twice a second and act as
+placers. A placer adds its own latest placements to these sums, so it knows the load of all
+engines without delay. A placement for an instance of its own zone is counted until that instance
+reports it, a placement for another zone for a fixed time. An instance whose placer does not
+reply in time chooses by itself.
 """
 
 from __future__ import annotations
@@ -35,7 +37,7 @@
 
 
 class StreamPlacer:
-    """Ask for places, and give them."""
+    """Request placements from the current placer, and answer such requests as the placer."""
 
     def __init__(
         self,
@@ -44,7 +46,7 @@
         roles: Callable[[], FleetRoles],
         send: Callable[[str, GatewayMessage], None],
     ) -> None:
-        """Take the shared state, the roles as they are now, and how to send."""
+        """Initialize with the shared state, a reader of the current roles, and the send function."""
         self._state = state
         self._own_id = state.settings.instance_id
         self._roles = roles
@@ -55,7 +57,7 @@
         self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
     def place(self, asked: PlacementAsked) -> PlacementGiven | None:
-        """Return where a stream should run; None where this instance is to choose by itself."""
+        """Return the placement of a stream; None if this instance has to choose by itself."""
         placer = self._order.select(self._roles().placers, self._state.now())
         if placer is None:
             return None
@@ -69,28 +71,30 @@
             del self._waiting[asked.request_id]
         if given is None:
             self._order.record_timeout(placer, self._state.now())
-            log_event(PREFIX_ROUTING, f"{placer} gives no place in time", request=asked.request_id)
+            log_event(
+                PREFIX_ROUTING, f"No placement from {placer} in time", request=asked.request_id
+            )
         return given
 
     def handle_placement(self, given: PlacementGiven) -> None:
-        """Take in an answer; one that comes late is of no use any more."""
+        """Handle the reply of a placer; a late one is ignored."""
         waiting = self._waiting.get(given.request_id)
         if waiting is not None:
             waiting.set(given)
 
     def handle_request(self, asked: PlacementAsked) -> None:
-        """Give another instance a place; who knows no configuration yet says nothing."""
+        """Answer a placement request of another instance; no reply without a configuration."""
         given = self._choose(asked)
         if given is not None:
             self._send(asked.sender, given)
 
     def handle_report(self, member: str) -> None:
-        """Learn that a member has reported all that it runs."""
+        """Drop the pending placements that a member's report of its runs now covers."""
         for request_id in self._pending.reported(member, self._state.now()):
             self._state.loads.remove_pending(request_id)
 
     def _choose(self, asked: PlacementAsked) -> PlacementGiven | None:
-        """Choose the engine and where a copy is kept, and remember it."""
+        """Choose the engine and the backup, and count the placement as pending."""
         service = (
             self._state.route_table.service(asked.service) if self._state.route_table else None
         )
@@ -98,7 +102,7 @@
             return None
         self._forget_expired()
         engine = service.engine
-        # Whoever places for all knows all engines alike.
+        # The placer knows the load of all engines equally well, so it compares all of them.
         sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
@@ -119,18 +123,18 @@
         )
         if given.has_room or asked.taken_anyway:
             self._cold_gate.record_send(chosen.upstream)
-            self._remember(asked, given)
+            self._add_pending(asked, given)
         return given
 
     def _cold_part(self, service: str) -> ColdPart | None:
-        """Return how often this placer may send others to a cold upstream; None: unbounded."""
+        """Return this placer's share of the sends to cold upstreams; None if unlimited."""
         rate = self._state.cold_rate(service)
         return ColdPart.of_placer(rate, len(self._roles().placers)) if rate else None
 
-    def _remember(self, asked: PlacementAsked, given: PlacementGiven) -> None:
-        """Count a choice for others until its instance reports it."""
+    def _add_pending(self, asked: PlacementAsked, given: PlacementGiven) -> None:
+        """Count a placement for another instance until that instance reports it."""
         if asked.sender == self._own_id:
-            # What runs from here is in the own sums as soon as it is sent.
+            # This instance's own runs are part of its own sums as soon as they are sent.
             return
         tokens = asked.prompt_tokens + int(GROWTH_SHARE * asked.output_tokens)
         share = RequestLoad(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
@@ -138,6 +142,6 @@
         self._pending.add(asked.sender, asked.request_id, self._state.now())
 
     def _forget_expired(self) -> None:
-        """Forget choices that nobody has reported."""
+        """Drop pending placements that no report has covered in time."""
         for request_id in self._pending.expired(self._state.now()):
             self._state.loads.remove_pending(request_id)
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -163,7 +163,7 @@
     """Let the clock jump between the last step and the end of the stream."""
     usual = moves.MAX_REPLICA_AGE_S
     moves.MAX_REPLICA_AGE_S = 0.5  # type: ignore[misc]
-    context.add_cleanup(setattr, moves, "COPY_KEPT_S", usual)
+    context.add_cleanup(setattr, moves, "MAX_REPLICA_AGE_S", usual)
     end_after_last_step(context, after_s=0.6)
 
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -148,7 +148,7 @@
     world = world_of(context)
     calls: list[str] = []
     dialect = world.state.dialect
-    for name in ("move", "probe_state", "drop_copy"):
+    for name in ("move", "probe_state", "drop_replica"):
         setattr(dialect, name, lambda *_, name=name, **__: calls.append(name))
     assert isinstance(world.mover.copy(context.run, context.free), MoveFailed)
     assert not world.mover.make_final_copy(context.run, context.free)
