--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -40,7 +40,7 @@
 
     NAMED = "named"
     """An engine has named it once it was made."""
-    KEPT_UP = "kept up"
+    BACKUP = "kept up"
     """The run's engine was asked to keep it up at another one while the run goes on."""
 
 
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -63,7 +63,7 @@
         if backup is None or not self._state.fleet.accepts_requests(backup.upstream_id):
             return None
         copy_of = self._state.dialect.backup_copy(backup, run.request_id)
-        copy = ReplicaRef(backup, copy_of, ReplicaKind.KEPT_UP)
+        copy = ReplicaRef(backup, copy_of, ReplicaKind.BACKUP)
         return copy if self._allows(copy, run) else None
 
     def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -77,7 +77,7 @@
     found = re.fullmatch(r"kept up at (\w)(?:, no event| after ([\d.]+) s)", wanted)
     assert found is not None, wanted
     making_s = float(found.group(2)) if found.group(2) else None
-    return history.can_resume(ReplicaKind.KEPT_UP, found.group(1), "kept", making_s)
+    return history.can_resume(ReplicaKind.BACKUP, found.group(1), "kept", making_s)
 
 
 FAULTS: dict[str, list[Script]] = {
