--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -63,7 +63,7 @@
         """Take the book, the own name, the others, the steady clock and a random source."""
         self._tracker = book
         self._own_id = own_id
-        self._fleet = fleet
+        self._transport = fleet
         self._now = now
         self._source = source
         self._has_changes = Event()
@@ -86,15 +86,15 @@
         if book.merge(message.records, now):
             for one in set(book.quarantined(now)) - refused:
                 log_quarantine(one, book.verdict(one, now), peer=message.sender)
-            if self._fleet.forwards():
+            if self._transport.forwards():
                 self.publish_soon()
         if message.asks and _lacks(message.records, known):
-            self._fleet.send(message.sender, BlamesTold(self._own_id, known, asks=False))
+            self._transport.send(message.sender, BlamesTold(self._own_id, known, asks=False))
             return
         # One that has seen no good end of a request may refuse what others serve all the time.
         clearing = book.find_exonerations(message.records, now)
         if clearing:
-            self._fleet.send(message.sender, BlamesTold(self._own_id, clearing, asks=False))
+            self._transport.send(message.sender, BlamesTold(self._own_id, clearing, asks=False))
 
     def _publish_changes(self) -> None:
         """Tell what is news at once."""
@@ -103,7 +103,7 @@
             gevent.sleep(PAUSE_S)
             self._has_changes.clear()
             told = BlamesTold(self._own_id, self._tracker.reports(self._now()), asks=False)
-            self._fleet.broadcast(self._fleet.hearers(), told)
+            self._transport.broadcast(self._transport.hearers(), told)
 
     def _exchange(self) -> None:
         """Exchange with others again and again."""
@@ -113,11 +113,11 @@
             told = self._tracker.reports(self._now())
             if not told and not is_fresh:
                 continue
-            live = self._fleet.live()
+            live = self._transport.live()
             others = [one.instance_id for one in live if one.instance_id != self._own_id]
             count = min(len(others), FRESH_ASKED if is_fresh else 1)
             for instance_id in self._source.sample(others, count):
-                self._fleet.send(instance_id, BlamesTold(self._own_id, told, asks=True))
+                self._transport.send(instance_id, BlamesTold(self._own_id, told, asks=True))
 
 
 def log_quarantine(fingerprint: str, verdict: Verdict, **more: str) -> None:
