--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -1,4 +1,4 @@
-"""Keep which zones are cordoned, as the platform and the peers tell it."""
+"""Listener that applies cordons read from the platform and sent by peers."""
 
 from __future__ import annotations
 
@@ -14,51 +14,58 @@
 
 
 class CordonSource:
-    """Keep which zones are cordoned, and tell the fleet and the peers."""
+    """Keeps the cordons up to date, and passes changes to the fleet and the peers."""
 
     def __init__(
         self,
         state: GatewayState,
         *,
-        apply: Callable[[CordonsChanged], None],
+        on_changed: Callable[[CordonsChanged], None],
         announce: Callable[[], None],
     ) -> None:
-        """Take the shared state, who applies what has changed, and how peers are told."""
+        """Initialize with the shared state and the callbacks for the fleet and the peers."""
         self._state = state
-        self._apply = apply
+        self._on_changed = on_changed
         self._announce = announce
 
     def listed(self, items: tuple[Cordon, ...], at: StoreVersion) -> None:
-        """Take in the whole list, as of a revision."""
-        self._take(self._state.cordons.merge(Cordons(at, items), keeps=self._keeps()), PLATFORM)
+        """Handle the whole list, as of a version."""
+        self._handle_change(
+            self._state.cordons.merge(
+                Cordons(at, items), keeps_missing=self._may_store_lack_cordons()
+            ),
+            PLATFORM,
+        )
         self._state.notify_if_configured()
 
     def changed(self, change: ItemChange[Cordon]) -> None:
-        """Take in one change from the platform."""
-        found = self._state.cordons.apply_change(change.item, lifted=change.gone)
-        self._take(found, PLATFORM)
+        """Handle one change read from the platform."""
+        changed = self._state.cordons.apply_change(change.item, lifted=change.gone)
+        self._handle_change(changed, PLATFORM)
 
-    def handle_peer_report(self, told: Cordons) -> None:
-        """Take in what a peer knows."""
-        knew = self._state.cordons.is_loaded
-        self._take(self._state.cordons.merge(told, keeps=self._keeps()), PEER)
-        if not knew:
+    def handle_peer_report(self, report: Cordons) -> None:
+        """Handle the cordons known to a peer."""
+        was_loaded = self._state.cordons.is_loaded
+        self._handle_change(
+            self._state.cordons.merge(report, keeps_missing=self._may_store_lack_cordons()), PEER
+        )
+        if not was_loaded:
             self._state.notify_if_configured()
 
     def platform_unreachable(self, cause: str) -> None:
         """Log that the platform does not answer."""
-        log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is out of reach: {cause}")
+        log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is unreachable: {cause}")
 
     def platform_reachable(self) -> None:
         """Log that the platform answers again."""
-        log_event(PREFIX_ROUTING, "The platform's list of cordoned zones is in reach")
+        log_event(PREFIX_ROUTING, "The platform's list of cordoned zones is reachable again")
 
-    def _keeps(self) -> bool:
-        """Tell whether the store may still lack what operators have written."""
+    def _may_store_lack_cordons(self) -> bool:
+        """Return True if the restored store may still lack cordons written by operators."""
         return self._state.eras.is_incomplete(self._state.now())
 
-    def _take(self, changed: CordonsChanged, source: str) -> None:
-        """Put in force what has changed."""
+    def _handle_change(self, changed: CordonsChanged, source: str) -> None:
+        """Put changed cordons in force, and publish them."""
         if not changed:
             return
         log_event(
@@ -69,5 +76,5 @@
             source=source,
             at=self._state.cordons.snapshot.at,
         )
-        self._apply(changed)
+        self._on_changed(changed)
         self._announce()
--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -1,8 +1,8 @@
-"""Keep which availability zones are cordoned: nothing new is sent to their upstreams.
+"""Registry of the cordoned availability zones, whose upstreams get no new requests.
 
-The operators cordon a zone in the platform and lift that again. Revisions of the platform order
-all that is told of it, whoever tells: a list without a zone is newer word than a cordon that the
-list could have named. So an instance merges what it reads and what peers know in any order.
+Operators cordon a zone in the platform, and lift the cordon again. Store versions order all
+updates, whether read from the platform or sent by peers: a list without a zone overrides any cordon
+that is not newer than the list. So an instance can merge lists and peers' reports in any order.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from driftstall.decisions.store_versions import NO_VERSION, StoreVersion
 
 UNREAD: Final = NO_VERSION
-"""Stands for the revision of a list that was never read."""
+"""Version of a list that was never read."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cordon:
-    """Name a cordoned zone, and the revision at which it was cordoned."""
+    """A cordoned zone, and the store version at which it was cordoned."""
 
     zone: str
     revision: StoreVersion
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cordons:
-    """Hold all cordons as of a revision."""
+    """All cordons as of a store version."""
 
     at: StoreVersion = UNREAD
     cordons: tuple[Cordon, ...] = ()
@@ -34,59 +34,60 @@
 
 @dataclass(frozen=True, slots=True)
 class CordonsChanged:
-    """Tell which zones are cordoned now and were not, and the other way round."""
+    """Zones that were newly cordoned, and zones whose cordon was lifted."""
 
     cordoned: frozenset[str]
     lifted: frozenset[str]
 
     def __bool__(self) -> bool:
-        """Tell whether anything has changed."""
+        """Return True if anything has changed."""
         return bool(self.cordoned or self.lifted)
 
 
 class CordonRegistry:
-    """Hold what is known of cordons."""
+    """Cordons known to one instance."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize without cordons."""
         self._revisions: dict[str, StoreVersion] = {}
         self._at = UNREAD
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether a list was ever read, here or by a peer."""
+        """Return True if a list was ever read, by this instance or by a peer."""
         return self._at != UNREAD
 
     @property
     def zones(self) -> frozenset[str]:
-        """Return the zones that are cordoned."""
+        """Return the cordoned zones."""
         return frozenset(self._revisions)
 
     @property
     def snapshot(self) -> Cordons:
-        """Return all that is known, for peers."""
-        found = sorted(self._revisions.items())
-        return Cordons(self._at, tuple(Cordon(zone, revision) for zone, revision in found))
+        """Return all known cordons, in the form sent to peers."""
+        revisions = sorted(self._revisions.items())
+        return Cordons(self._at, tuple(Cordon(zone, revision) for zone, revision in revisions))
 
-    def merge(self, told: Cordons, *, keeps: bool = False) -> CordonsChanged:
-        """Take in a whole list, of the platform or of a peer; return what has changed.
+    def merge(self, update: Cordons, *, keeps_missing: bool = False) -> CordonsChanged:
+        """Merge a whole list, of the platform or of a peer; return what has changed.
 
-        Where it keeps what is known, the list may lack what still holds.
+        With keeps_missing, known cordons that the list lacks are kept, as the store that the list
+        was read from may have lost them.
         """
         before = self.zones
-        for one in told.cordons:
-            self._put(one)
-        named = {one.zone for one in told.cordons}
+        for cordon in update.cordons:
+            self._put(cordon)
+        named = {cordon.zone for cordon in update.cordons}
         for zone, revision in list(self._revisions.items()):
-            if zone not in named and revision <= told.at and not keeps:
+            if zone not in named and revision <= update.at and not keeps_missing:
                 del self._revisions[zone]
-        self._at = max(self._at, told.at)
+        self._at = max(self._at, update.at)
         return _difference(before, self.zones)
 
     def apply_change(self, cordon: Cordon, *, lifted: bool) -> CordonsChanged:
-        """Take in one change from the platform, which tells them in order.
+        """Apply one change read from the platform, which reports changes in order.
 
-        What is lifted may carry the revision at which it was cordoned.
+        A lifted cordon may carry the version at which the zone was cordoned.
         """
         before = self.zones
         if not lifted:
@@ -97,7 +98,7 @@
         return _difference(before, self.zones)
 
     def _put(self, cordon: Cordon) -> None:
-        """Keep a cordon, unless it was lifted since by what is known here."""
+        """Add a cordon, unless it is known to be lifted since."""
         known = self._revisions.get(cordon.zone)
         if known is not None or cordon.revision > self._at:
             self._revisions[cordon.zone] = max(known or UNREAD, cordon.revision)
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -306,7 +306,7 @@
 @when("the store has come back and its list as of 2.50 names no zone")
 def names_none(context: Any) -> None:
     """Take it in, in doubt."""
-    context.book.merge(Cordons(version("2.50")), keeps=True)
+    context.book.merge(Cordons(version("2.50")), keeps_missing=True)
 
 
 @then('zone "a" is cordoned')
