--- a/driftstall/exceptions.py
+++ b/driftstall/exceptions.py
@@ -55,7 +55,7 @@
         self.sent = sent
 
 
-class HistoryGone(PlatformUnavailable):
+class HistoryUnavailable(PlatformUnavailable):
     """Report that a watch cannot go on from its revision; list again."""
 
     def __init__(self) -> None:
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -15,7 +15,7 @@
 
 from driftstall.const import PREFIX_CONFIGURATION
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.exceptions import HistoryGone, PlatformUnavailable
+from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable
 from driftstall.helpers.log import log_event
 
 HOLD_CHECK_S: Final = 0.2
@@ -160,7 +160,7 @@
                 self._list()
             else:
                 self._watch(self._at)
-        except HistoryGone:
+        except HistoryUnavailable:
             self._at = None
         except PlatformUnavailable as fault:
             self._handle_failure(str(fault))
--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -20,7 +20,7 @@
 from driftstall.const import PREFIX_CONFIGURATION
 from driftstall.decisions.freshness import ANSWER_MARGIN_S
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.exceptions import HistoryGone, PlatformUnavailable, UpstreamError
+from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, UpstreamError
 from driftstall.helpers.log import log_event
 from driftstall.platform import names
 from driftstall.util.http import Exchange
@@ -126,7 +126,7 @@
             body, era = self._read(_path(kind, query=query))
             if at is not None and era != at.era:
                 # The pages are of two eras: no watch from here would miss nothing.
-                raise HistoryGone
+                raise HistoryUnavailable
             rows = _rows(body, "items")
             readable = _readable(rows, partial(_object, era=era))
             if rows and not readable:
@@ -155,12 +155,12 @@
         query = {"watch": str(at.revision), "waitMs": str(int(wait_s * 1000))}
         body, era = self._read(_path(kind, query=query), wait_s + ANSWER_MARGIN_S)
         if era != at.era:
-            raise HistoryGone
+            raise HistoryUnavailable
         rows, until = _rows(body, "events"), _revision(body, era)
         events = tuple(_readable(rows, partial(_event, era=era)))
         if len(events) < len(rows):
             # What is passed over in a list is read again with the next one; a change is not.
-            raise HistoryGone
+            raise HistoryUnavailable
         return WatchAnswer(events, until)
 
     def create(self, kind: str, name: str, spec: Any) -> StoredObject | None:
@@ -269,7 +269,7 @@
     if status in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.NO_CONTENT):
         return body
     if status == HTTPStatus.GONE:
-        raise HistoryGone
+        raise HistoryUnavailable
     raise PlatformUnavailable(f"the store answered {status}", sent=status not in NOTHING_DONE)
 
 
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -13,7 +13,7 @@
 
 from driftstall.decisions.freshness import ANSWER_MARGIN_S, longest_wait_s
 from driftstall.decisions.store_versions import StoreVersion
-from driftstall.exceptions import HistoryGone, PlatformUnavailable, SettingsError
+from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, SettingsError
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.feeds import INITIAL_BACKOFF_S, Changes, Follower, ItemChange, Snapshot
 from driftstall.gateway.model import (
@@ -186,7 +186,7 @@
 @given("a feed whose history is gone")
 def history_gone(context: Any) -> None:
     """Forget the history."""
-    follow(context, [LIST, HistoryGone(), LIST])
+    follow(context, [LIST, HistoryUnavailable(), LIST])
 
 
 @then("it is listed twice and no outage is told")
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from driftstall.decisions.store_versions import INCOMPLETE_S, StoreEras, StoreVersion
-from driftstall.exceptions import HistoryGone, PlatformUnavailable
+from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable
 from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
@@ -120,7 +120,7 @@
     context.gone = False
     try:
         context.store.watch(KIND_UPSTREAMS, version("3.40"), 0.1)
-    except HistoryGone:
+    except HistoryUnavailable:
         context.gone = True
 
 
