--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -37,7 +37,7 @@
         if held is None:
             return
         stored = self._stored.read()
-        if stored is not None and not self._policies.is_earlier(stored):
+        if stored is not None and not self._policies.is_superseded(stored):
             return
         is_written = self._stored.write(held.text, stored)
         log_event(
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -144,7 +144,7 @@
         """Return the latest submitted policy; None if none was submitted."""
         return self._submitted
 
-    def is_earlier(self, item: PolicyText) -> bool:
+    def is_superseded(self, item: PolicyText) -> bool:
         """Return True if a stored policy was superseded, and stems from an older store copy."""
         return any(
             policy.text == item.text and policy.revision.revision == item.revision.revision
@@ -182,7 +182,7 @@
         """Put a policy in force if it is newer and valid."""
         if item.revision <= self._revision:
             return
-        if self.is_earlier(item):
+        if self.is_superseded(item):
             log_event(
                 PREFIX_CONFIGURATION,
                 "The store holds a superseded policy; the policy in force stays",
