--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -68,7 +68,7 @@
         return len(self._sends)
 
     @property
-    def arrived(self) -> bool:
+    def has_arrived(self) -> bool:
         """Tell whether the request may have reached any upstream."""
         return any(send.fate is not SendOutcome.UNSENT for send in self._sends)
 
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -111,7 +111,7 @@
             option = self._choose(tries)
             if isinstance(option, Problem):
                 return tries.answer or option
-            if tries.history.arrived and not self._budget_allows():
+            if tries.history.has_arrived and not self._budget_allows():
                 return tries.answer or self._unserved(tries)
             result = self._send(option.upstream, tries)
             if result is not None:
@@ -181,7 +181,7 @@
     def _send(self, upstream: Upstream, tries: _Tries) -> UpstreamResponse | None:
         """Try one upstream; return the final answer, or None to go on."""
         tries.avoid.add(upstream.upstream_id)
-        first = not tries.history.arrived
+        first = not tries.history.has_arrived
         tries.history.begin(upstream.upstream_id)
         started = self._state.now()
         result = self._exchange_with(upstream, tries, first=first)
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -44,7 +44,7 @@
 
     def send(self, run: StreamRun) -> OpenedResponse | UpstreamError:
         """Send the request to the run's upstream, read the answer's head and keep its fate."""
-        if not self._history.arrived:
+        if not self._history.has_arrived:
             self._state.budget(run.upstream.service).record_request(self._state.now())
         copy_of = run.resumed_from.copy_of if run.resumed_from else ""
         self._history.begin(run.upstream.upstream_id, copy_of)
