--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -72,7 +72,7 @@
     def start(self) -> None:
         """Start to tell."""
         keep_running(PREFIX_ROUTING, self._publish_changes)
-        keep_running(PREFIX_ROUTING, self._exchange)
+        keep_running(PREFIX_ROUTING, self._exchange_periodically)
 
     def publish_soon(self) -> None:
         """Have the others told soon."""
@@ -105,7 +105,7 @@
             told = BlamesTold(self._own_id, self._tracker.reports(self._now()), asks=False)
             self._transport.broadcast(self._transport.hearers(), told)
 
-    def _exchange(self) -> None:
+    def _exchange_periodically(self) -> None:
         """Exchange with others again and again."""
         while True:
             is_fresh = self._now() - self._started_at < FRESH_S
