--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -50,7 +50,7 @@
     EngineEvent,
     EngineSignals,
     EngineToken,
-    RunnerSaidNo,
+    RunnerRejected,
     control,
     open_stream,
     resume_stream,
@@ -261,9 +261,9 @@
 
     def _broken(self, fault: UpstreamError) -> None:
         """Tell the machine that the stream broke."""
-        if isinstance(fault, RunnerSaidNo):
+        if isinstance(fault, RunnerRejected):
             self._handle_signals(fault.signals)
-        gone = isinstance(fault, RunnerSaidNo) and fault.gone
+        gone = isinstance(fault, RunnerRejected) and fault.gone
         generation = self._machine.generation
         log_event(PREFIX_RELAY, f"The stream of {generation} broke: {fault}")
         self._drop_stream()
--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -66,7 +66,7 @@
     leaving: bool
 
 
-class RunnerSaidNo(UpstreamError):
+class RunnerRejected(UpstreamError):
     """Report that the runner answered with something else than a stream."""
 
     def __init__(self, status: int, signals: tuple[Signal, ...] = ()) -> None:
@@ -109,7 +109,7 @@
     """Yield a stream's events, all that have arrived at once."""
     if exchange.status != 200:
         exchange.close()
-        raise RunnerSaidNo(exchange.status, signals_of(exchange))
+        raise RunnerRejected(exchange.status, signals_of(exchange))
     try:
         yield [EngineSignals(signals_of(exchange))]
         while True:
