--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -33,7 +33,7 @@
 
         A stored policy that is unknown here was submitted after the restore, and takes precedence.
         """
-        held = self._policies.held
+        held = self._policies.submitted
         if held is None:
             return
         stored = self._stored.read()
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -140,7 +140,7 @@
         """Policies that were in force before; a restored store may hold one of them."""
 
     @property
-    def held(self) -> PolicyText | None:
+    def submitted(self) -> PolicyText | None:
         """Return the latest submitted policy; None if none was submitted."""
         return self._submitted
 
