--- a/driftstall/decisions/copy_room.py
+++ b/driftstall/decisions/copy_room.py
@@ -27,7 +27,7 @@
 AHEAD_CROWDED: Final = 0.40
 
 
-def backup_line(runs_share: float) -> float:
+def backup_fill_limit(runs_share: float) -> float:
     """Return the share of an engine's memory beyond which no copy is to be kept up there."""
     return _between(BACKUP_ROOMY, BACKUP_CROWDED, runs_share)
 
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from driftstall.decisions.copy_room import backup_line
+from driftstall.decisions.copy_room import backup_fill_limit
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Engine, Upstream
 
@@ -153,7 +153,7 @@
 ) -> Option | None:
     """Select the backup engine of a run; return None if no engine has room for the replica."""
     known = list(options)
-    line = backup_line(run_memory_share(known, engine))
+    line = backup_fill_limit(run_memory_share(known, engine))
     fitting = [
         option
         for option in known
