--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -22,7 +22,7 @@
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.blame_messages import BlamesTold
 
-PAUSE_S: Final = 0.01
+BATCH_DELAY_S: Final = 0.01
 """News within this time travels together; a crash breaks off many runs at once."""
 EXCHANGE_EVERY_S: Final = 2.0
 """Pause between two exchanges with another instance while there is something to tell: who was cut
@@ -100,7 +100,7 @@
         """Tell what is news at once."""
         while True:
             self._has_changes.wait()
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(BATCH_DELAY_S)
             self._has_changes.clear()
             told = BlamesTold(self._own_id, self._tracker.reports(self._now()), asks=False)
             self._transport.broadcast(self._transport.hearers(), told)
