--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -12,7 +12,7 @@
 from driftstall.core import PrefixMark, Runner
 from driftstall.decisions.upstream_signals import Signal
 from driftstall.exceptions import UpstreamError
-from driftstall.runners.signals import signals_of
+from driftstall.runners.signals import read_signals
 from driftstall.util.http import Exchange
 
 SILENCE_S: Final = 3.0
@@ -109,9 +109,9 @@
     """Yield a stream's events, all that have arrived at once."""
     if exchange.status != 200:
         exchange.close()
-        raise RunnerRejected(exchange.status, signals_of(exchange))
+        raise RunnerRejected(exchange.status, read_signals(exchange))
     try:
-        yield [EngineSignals(signals_of(exchange))]
+        yield [EngineSignals(read_signals(exchange))]
         while True:
             events = [_read(exchange)]
             while exchange.has_event():
--- a/driftstall/runners/service.py
+++ b/driftstall/runners/service.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Runner
 from driftstall.decisions.upstream_signals import Signal
-from driftstall.runners.signals import signals_of
+from driftstall.runners.signals import read_signals
 from driftstall.util.http import Exchange
 
 CALL_TIMEOUT_S: Final = 10.0
@@ -36,5 +36,5 @@
     """Make the call once; raise UpstreamError if there is no whole answer."""
     exchange = Exchange.open(runner.address, method, path, headers, body, timeout_s)
     status, content_type = exchange.status, exchange.content_type
-    signals = signals_of(exchange)
+    signals = read_signals(exchange)
     return ServiceAnswer(status, content_type, exchange.read(), signals)
--- a/driftstall/runners/signals.py
+++ b/driftstall/runners/signals.py
@@ -26,7 +26,7 @@
 BACKOFF_STATUSES: Final = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
 
 
-def signals_of(exchange: Exchange) -> tuple[Signal, ...]:
+def read_signals(exchange: Exchange) -> tuple[Signal, ...]:
     """Return what a response signals; without a limit it signals that there is none."""
     found: list[Signal] = [RateLimitSignal(parse_seconds(exchange.header(RATE_LIMIT_HEADER)))]
     leaving = exchange.header(LEAVING_HEADER)
