--- a/driftstall/peers/codec.py
+++ b/driftstall/peers/codec.py
@@ -1,14 +1,14 @@
-"""Turn peer messages into authenticated bytes and back, by Cap'n Proto.
+"""Encoding of peer messages as authenticated frames, with Cap'n Proto.
 
-A frame is a length of four bytes, a protocol version, a keyed hash and the encoded
-envelope. The recipient checks the version, the hash, that it is meant, and that
-the sequence has grown.
+A frame is a length of four bytes, a message authentication code (MAC), the protocol
+version and the compressed envelope. The recipient checks the MAC, the version, the
+recipient's id and that the sequence number has grown.
 
-The codec's own exceptions walk the native stack, which crashes the process inside
-a greenlet. So nothing here may provoke one: a union member is initialised before
-it is filled, and a frame reaches the decoder only with the right version and hash.
-Its packed form crashes likewise, for messages of some ten kilobytes written in a
-greenlet; so envelopes are written plain and compressed by zlib.
+Exceptions of the Cap'n Proto library walk the native stack, which crashes the process
+inside a greenlet. No code here may cause one: a union member is initialized before it is
+filled, and a frame is decoded only with the right version and MAC. The packed encoding
+crashes in the same way, for messages of about ten kilobytes written in a greenlet, so
+envelopes are written unpacked and compressed with zlib.
 """
 
 from __future__ import annotations
@@ -35,23 +35,23 @@
 
 MAX_FRAME_BYTES: Final = 4_000_000
 MAX_PLAIN_BYTES: Final = 16_000_000
-"""Size of an envelope before compression; texts shrink to a tenth and less."""
+"""Maximum size of an envelope before compression; texts shrink to a tenth or less."""
 COMPRESSION: Final = 1
-"""The quickest level: messages are small and many."""
+"""The fastest zlib level, as messages are small and frequent."""
 HEADER: Final = struct.Struct(">I")
 TRAVERSAL_WORDS: Final = 2_000_000
 PROTOCOL: Final = b"DRIFT\x08"
 """The protocol and its version."""
 FAR_FUTURE: Final = 1e300
-"""Stands for an infinite time on the wire."""
+"""Represents an infinite time on the wire."""
 
 _schema: Any = capnp.load(str(Path(__file__).with_name("schema.capnp")))
 
 
-def _camel(name: str) -> str:
-    """Turn a field's name into its name in the schema."""
-    head, *rest = name.split("_")
-    return head + "".join(part.capitalize() for part in rest)
+def _to_camel_case(name: str) -> str:
+    """Return a field's name in the schema, in camel case."""
+    head, *tail = name.split("_")
+    return head + "".join(part.capitalize() for part in tail)
 
 
 def _union_field(kind: type) -> str:
@@ -60,17 +60,17 @@
 
 
 Kinds = Mapping[str, type]
-"""Message types by their field in the schema's envelope."""
+"""Message types by their union field in the schema's envelope."""
 
 
 def kinds_of(messages: Any) -> Kinds:
-    """Return the kinds of a union of message types."""
+    """Return the message types of a type union, by their field in the envelope."""
     return {_union_field(kind): kind for kind in typing.get_args(messages)}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Field:
-    """Describe how one field travels."""
+class _FieldCodec:
+    """How one field of a dataclass is encoded and decoded."""
 
     name: str
     wire: str
@@ -80,84 +80,84 @@
 
 
 @cache
-def _fields(kind: Any) -> tuple[_Field, ...]:
-    """Return how a data class travels."""
+def _field_codecs(kind: Any) -> tuple[_FieldCodec, ...]:
+    """Return the codecs of a dataclass's fields."""
     hints = typing.get_type_hints(kind)
-    return tuple(_field(one.name, hints[one.name]) for one in dataclasses.fields(kind))
+    return tuple(_field_codec(item.name, hints[item.name]) for item in dataclasses.fields(kind))
 
 
-def _field(name: str, hint: Any) -> _Field:
-    """Return how one field travels."""
-    wire = _camel(name)
+def _field_codec(name: str, hint: Any) -> _FieldCodec:
+    """Return the codec of a field, by its type hint."""
+    wire = _to_camel_case(name)
     if typing.get_origin(hint) in (types.UnionType, typing.Union):
         inner = next(arg for arg in typing.get_args(hint) if arg is not types.NoneType)
         if not dataclasses.is_dataclass(inner):
-            return _Field(name, wire, _same, _same, True)
-        return _Field(name, wire, _to_wire, lambda value: _from_wire(inner, value), True)
+            return _FieldCodec(name, wire, _identity, _identity, True)
+        return _FieldCodec(name, wire, _to_wire, lambda value: _from_wire(inner, value), True)
     if typing.get_origin(hint) is tuple:
         item = typing.get_args(hint)[0]
         if dataclasses.is_dataclass(item):
-            return _Field(
+            return _FieldCodec(
                 name,
                 wire,
                 lambda values: [_to_wire(value) for value in values],
                 lambda values: tuple([_from_wire(item, value) for value in values]),
                 False,
             )
-        return _Field(name, wire, list, tuple, False)
+        return _FieldCodec(name, wire, list, tuple, False)
     if dataclasses.is_dataclass(hint):
-        return _Field(name, wire, _to_wire, lambda value: _from_wire(hint, value), False)
+        return _FieldCodec(name, wire, _to_wire, lambda value: _from_wire(hint, value), False)
     if isinstance(hint, type) and issubclass(hint, StrEnum):
-        return _Field(name, wire, str, hint, False)
+        return _FieldCodec(name, wire, str, hint, False)
     if hint is StoreVersion:
-        return _Field(name, wire, int, StoreVersion, False)
+        return _FieldCodec(name, wire, int, StoreVersion, False)
     if hint is float:
-        return _Field(name, wire, _finite, _infinite, False)
-    return _Field(name, wire, _same, _same, False)
+        return _FieldCodec(name, wire, _encode_float, _decode_float, False)
+    return _FieldCodec(name, wire, _identity, _identity, False)
 
 
-def _same(value: Any) -> Any:
-    """Return a plain value as it is."""
+def _identity(value: Any) -> Any:
+    """Return a value unchanged."""
     return value
 
 
-def _finite(value: float) -> float:
-    """Replace infinity for the wire."""
+def _encode_float(value: float) -> float:
+    """Replace infinity by FAR_FUTURE for the wire."""
     return FAR_FUTURE if math.isinf(value) else value
 
 
-def _infinite(value: float) -> float:
-    """Put infinity back."""
+def _decode_float(value: float) -> float:
+    """Restore infinity from FAR_FUTURE."""
     return math.inf if value >= FAR_FUTURE else value
 
 
 def _to_wire(value: Any) -> dict[str, Any]:
-    """Turn a data class into the schema's fields."""
+    """Return the schema's fields of a dataclass instance."""
     out: dict[str, Any] = {}
     kind: Any = type(value)
-    for one in _fields(kind):
-        part = getattr(value, one.name)
-        if one.optional:
-            out["has" + one.wire[0].upper() + one.wire[1:]] = part is not None
+    for codec in _field_codecs(kind):
+        part = getattr(value, codec.name)
+        if codec.optional:
+            out["has" + codec.wire[0].upper() + codec.wire[1:]] = part is not None
             if part is None:
                 continue
-        out[one.wire] = one.encode(part)
+        out[codec.wire] = codec.encode(part)
     return out
 
 
 def _from_wire(kind: Any, reader: Any) -> Any:
-    """Turn the schema's fields into a data class."""
+    """Return a dataclass instance built from the schema's fields."""
     values: list[Any] = []
-    for one in _fields(kind):
-        if one.optional and not getattr(reader, "has" + one.wire[0].upper() + one.wire[1:]):
+    for codec in _field_codecs(kind):
+        if codec.optional and not getattr(reader, "has" + codec.wire[0].upper() + codec.wire[1:]):
             values.append(None)
         else:
-            values.append(one.decode(getattr(reader, one.wire)))
+            values.append(codec.decode(getattr(reader, codec.wire)))
     return kind(*values)
 
 
 def encode(envelope: Envelope, key: bytes) -> bytes:
-    """Return the frame of an envelope."""
+    """Return an envelope as a frame, with its length in front."""
     message = envelope.message
     builder = _schema.Envelope.new_message()
     builder.sender = envelope.sender
@@ -169,15 +169,16 @@
 
 
 def decode(frame: bytes, key: bytes, kinds: Kinds) -> Envelope:
-    """Return the envelope of a frame without its length, or raise MessageError.
+    """Return the envelope of a frame, given without its length.
 
-    A message of none of the kinds is malformed.
+    Raises MessageError if the frame is not authentic, has another protocol version or is
+    malformed. A message of a type that is not expected is malformed.
     """
     tag, body = frame[:MAC_BYTES], frame[MAC_BYTES:]
     if not hmac.compare_digest(tag, mac(key, body)):
         raise MessageError("the message is not authentic")
     if not body.startswith(PROTOCOL):
-        raise MessageError("the message is of another protocol version")
+        raise MessageError("the message has another protocol version")
     try:
         plain = zlib.decompressobj().decompress(body[len(PROTOCOL) :], MAX_PLAIN_BYTES)
         with _schema.Envelope.from_bytes(plain, traversal_limit_in_words=TRAVERSAL_WORDS) as reader:
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -1,8 +1,8 @@
-"""Carry envelopes between instances over TCP.
+"""Transport of envelopes between instances over TCP.
 
-Each instance dials its peers and only sends on these connections; answers come
-on the peer's own. A queue is bounded: what does not fit is dropped, as on a
-lossy network, and every protocol above copes with loss.
+Each instance connects to its peers and only sends on these connections; replies arrive
+on the peers' own connections. Queues are bounded: messages that do not fit are dropped,
+as on a lossy network, and every protocol on top tolerates loss.
 """
 
 from __future__ import annotations
@@ -26,43 +26,47 @@
 from driftstall.util.addresses import split_address
 from driftstall.util.http import tune
 
-QUEUE_MESSAGES: Final = 4_096
+MAX_QUEUED_MESSAGES: Final = 4_096
 CONNECT_TIMEOUT_S: Final = 1.0
 SEND_TIMEOUT_S: Final = 2.0
 IDLE_CLOSE_S: Final = 60.0
-REDIAL_S: Final = 0.2
-LINK_LIFE_S: Final = 3.0
-"""A connection is used for no longer. Nothing ever comes back on it, so one that passes nothing
-on any more looks like any other, and all that is sent there is lost: loads, members, notices. A
-new one takes a round trip, every three seconds for each peer."""
+RECONNECT_DELAY_S: Final = 0.2
+MAX_CONNECTION_AGE_S: Final = 3.0
+"""Maximum age of a connection. Nothing is ever received on it, so a connection that no longer
+delivers cannot be detected, and everything sent on it is lost: loads, members, notices. A new
+connection costs one round trip, every three seconds for each peer."""
 MAX_CONNECTIONS: Final = 2_000
 
 ANYONE: Final = ""
-"""Stands for whoever listens at an address; used to find the first peers."""
+"""Addresses a message to any instance that listens at an address, as for the first peers."""
 
 Receiver = Callable[[str, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Link:
-    """Hold an open connection to a peer."""
+    """An open connection to a peer."""
 
     connection: socket.socket
     opened_at: float
 
     @property
-    def is_worn(self) -> bool:
-        """Tell whether the next frames are to go on a new connection."""
-        return clock.now() - self.opened_at > LINK_LIFE_S or _closed(self.connection)
+    def needs_reconnect(self) -> bool:
+        """Return True if the next frames need a new connection."""
+        return clock.now() - self.opened_at > MAX_CONNECTION_AGE_S or _is_closed(self.connection)
 
 
 class PeerLinks:
-    """Send to peers and receive from them."""
+    """Send messages to peers and receive theirs."""
 
     def __init__(
         self, own_id: str, listen: str, key: bytes, kinds: Kinds, receiver: Receiver
     ) -> None:
-        """Take the own id, the listening address, the shared key, the kinds and a receiver."""
+        """Initialize the links.
+
+        listen: address to listen on. key: shared key of the MAC. kinds: accepted message
+        types. receiver: called with the sender's id and the message.
+        """
         self._own_id = own_id
         self._kinds = kinds
         self._key = key
@@ -77,36 +81,36 @@
         self._server = StreamServer(split_address(listen), self._serve, spawn=MAX_CONNECTIONS)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._server.stop(timeout=0)
 
     def send(self, recipient: str, address: str, message: Any) -> None:
-        """Queue a message; a message to oneself is handed over at once."""
+        """Queue a message; a message to this instance is delivered at once."""
         if recipient == self._own_id:
             self._receiver(self._own_id, message)
             return
         self._queue(address, self._frame(recipient, message))
 
     def broadcast(self, addresses: Iterable[str], message: Any) -> None:
-        """Queue one message for many peers; it is encoded once."""
+        """Queue one message for many peers; it is encoded only once."""
         frame = self._frame(ANYONE, message)
         for address in addresses:
             self._queue(address, frame)
 
     def _frame(self, recipient: str, message: Any) -> bytes:
-        """Encode a message as the next one of the own sequence."""
+        """Encode a message with the next sequence number."""
         self._sequence += 1
         return encode(Envelope(self._own_id, recipient, self._sequence, message), self._key)
 
     def _queue(self, address: str, frame: bytes) -> None:
-        """Queue a frame for an address."""
+        """Queue a frame for an address, or drop it if the queue is full."""
         queue = self._queues.get(address)
         if queue is None:
-            queue = self._queues[address] = Queue(QUEUE_MESSAGES)
+            queue = self._queues[address] = Queue(MAX_QUEUED_MESSAGES)
             gevent.spawn(self._run_link, address, queue)
         try:
             queue.put_nowait(frame)
@@ -114,7 +118,7 @@
             self.dropped += 1
 
     def _run_link(self, address: str, queue: Queue) -> None:
-        """Send what is queued for one peer until it has long been idle."""
+        """Send the queued frames of one peer until it has been idle for IDLE_CLOSE_S."""
         link: _Link | None = None
         while True:
             try:
@@ -129,13 +133,13 @@
     def _send_frames(
         self, address: str, link: _Link | None, frame: bytes, queue: Queue
     ) -> _Link | None:
-        """Send one frame and those right behind it; return the link, if it still serves."""
+        """Send a frame and those queued behind it; return the link, or None after an error."""
         frames = [frame]
         while len(frames) < 64 and not queue.empty():
             frames.append(queue.get_nowait())
         data = b"".join(frames)
         try:
-            if link is not None and link.is_worn:
+            if link is not None and link.needs_reconnect:
                 link.connection.close()
                 link = None
             if link is None:
@@ -147,12 +151,12 @@
             self.dropped += len(frames)
             if link is not None:
                 link.connection.close()
-            gevent.sleep(REDIAL_S)
+            gevent.sleep(RECONNECT_DELAY_S)
             return None
 
     def _serve(self, connection: socket.socket, _: tuple[str, int]) -> None:
         """Receive frames from one peer."""
-        # A peer that lives sends sooner, on this connection or on the next.
+        # A live peer sends within this time, on this connection or on a new one.
         connection.settimeout(IDLE_CLOSE_S + SEND_TIMEOUT_S)
         stream = connection.makefile("rb")
         try:
@@ -170,17 +174,17 @@
                 self._receive(frame)
         except MessageError as fault:
             self.rejected += 1
-            log_event(PREFIX_MEMBERSHIP, f"A peer message was rejected: {fault}")
+            log_event(PREFIX_MEMBERSHIP, f"Peer message rejected: {fault}")
         except OSError:
             return
         finally:
             connection.close()
 
     def _receive(self, frame: bytes) -> None:
-        """Check one frame and hand its message over."""
+        """Verify a frame and deliver its message; reject wrong recipients and replays."""
         envelope = decode(frame, self._key, self._kinds)
         if envelope.recipient not in (self._own_id, ANYONE):
-            # An address was taken over by another instance; its word is not for us.
+            # This address was reassigned: the message is meant for its previous instance.
             self.rejected += 1
             return
         if envelope.sequence <= self._last_seen.get(envelope.sender, 0):
@@ -191,15 +195,15 @@
 
 
 def _dial(address: str) -> _Link:
-    """Open a connection to a peer, or raise OSError."""
+    """Open a connection to a peer; raises OSError."""
     connection = socket.create_connection(split_address(address), CONNECT_TIMEOUT_S)
     tune(connection)
     connection.settimeout(SEND_TIMEOUT_S)
     return _Link(connection, clock.now())
 
 
-def _closed(connection: socket.socket) -> bool:
-    """Tell whether the peer has closed; peers never send on this connection."""
+def _is_closed(connection: socket.socket) -> bool:
+    """Return True if the peer has closed the connection, on which it never sends."""
     try:
         connection.setblocking(False)
         return connection.recv(1) == b""
