--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -125,7 +125,7 @@
         intake = PeerUpdateHandlers(
             read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.offered,
-            apply_upstream_change=self._upstreams.told,
+            apply_upstream_change=self._upstreams.handle_peer_change,
             mark_suspected=self._upstreams.doubted,
             apply_fleet=self._upstreams.offered,
             apply_cordons=self._cordons.handle_peer_report,
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -251,7 +251,7 @@
         self._apply(Changed(change.item, change.gone, store_silence_s=self._store_silence_s()))
         self._publish_change(change)
 
-    def told(self, change: ItemChange[Upstream]) -> None:
+    def handle_peer_change(self, change: ItemChange[Upstream]) -> None:
         """Handle one change sent by a peer."""
         self._apply(Changed(change.item, change.gone, from_peer=True), from_peer=True)
 
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -126,7 +126,7 @@
 @when('a peer\'s news of revision {revision:d} say that "u1" is ready')
 def late_news(context: Any, revision: int) -> None:
     """Take in news that come late."""
-    context.source.told(ItemChange(upstream_of("u1", revision), False))
+    context.source.handle_peer_change(ItemChange(upstream_of("u1", revision), False))
 
 
 @when('a peer\'s list as of revision {at:d} names "u1" at revision {revision:d}')
