--- a/driftstall/decisions/copy_room.py
+++ b/driftstall/decisions/copy_room.py
@@ -32,7 +32,7 @@
     return _between(BACKUP_ROOMY, BACKUP_CROWDED, runs_share)
 
 
-def ahead_line(runs_share: float) -> float:
+def replica_fill_limit(runs_share: float) -> float:
     """Return the share of an engine's memory beyond which no copy is made there ahead."""
     return _between(AHEAD_ROOMY, AHEAD_CROWDED, runs_share)
 
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -12,7 +12,7 @@
 import gevent
 
 from driftstall.const import PREFIX_RELAY
-from driftstall.decisions.copy_room import ahead_line
+from driftstall.decisions.copy_room import replica_fill_limit
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.runs import StreamRun
@@ -122,7 +122,7 @@
         engine = run.admitted.service.engine
         if engine is None:
             return 0.0
-        return ahead_line(
+        return replica_fill_limit(
             run_memory_share(self._state.options(run.upstream.service, heeds_backoff=False), engine)
         )
 
