--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -24,7 +24,7 @@
 
 BATCH_DELAY_S: Final = 0.01
 """News within this time travels together; a crash breaks off many runs at once."""
-EXCHANGE_EVERY_S: Final = 2.0
+EXCHANGE_INTERVAL_S: Final = 2.0
 """Pause between two exchanges with another instance while there is something to tell: who was cut
 off is to know within three seconds of its return."""
 FRESH_S: Final = 5.0
@@ -109,7 +109,7 @@
         """Exchange with others again and again."""
         while True:
             is_fresh = self._now() - self._started_at < FRESH_S
-            gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_EVERY_S)
+            gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_INTERVAL_S)
             told = self._tracker.reports(self._now())
             if not told and not is_fresh:
                 continue
