--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -36,7 +36,7 @@
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing, RoutingNotice
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
-from driftstall.gateway.watch_delegation import FRESH_S, WatchDelegation
+from driftstall.gateway.watch_delegation import MAX_ANSWER_AGE_S, WatchDelegation
 from driftstall.helpers.log import log_event
 from driftstall.helpers.permits import Permits
 from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
@@ -345,7 +345,7 @@
         self._reporting.record_zone_summary(summary)
         self._delegation.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
-        if not self._roles.is_follower and age_s <= FRESH_S:
+        if not self._roles.is_follower and age_s <= MAX_ANSWER_AGE_S:
             self._sharing.compare_fleet(summary)
 
     @_take.register
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Instance
 from driftstall.gateway.collectors import FleetRoles
-from driftstall.gateway.watch_delegation import FRESH_S, TRUST_S, WatchDelegation
+from driftstall.gateway.watch_delegation import MAX_ANSWER_AGE_S, TRUST_S, WatchDelegation
 
 
 class FeedStatus(Protocol):
@@ -95,7 +95,7 @@
         if self._is_first_to_miss():
             return True
         is_delegated = self._delegation.is_delegated(self._now())
-        return not is_delegated and self._upstreams.pacing.age_s > FRESH_S
+        return not is_delegated and self._upstreams.pacing.age_s > MAX_ANSWER_AGE_S
 
     def _is_first_to_miss(self) -> bool:
         """Return True if this instance is a follower that lost the platform before its peers did.
@@ -103,7 +103,7 @@
         Peers rely on its reports up to a certain age; beyond it they are served by other followers
         if they still rely on any.
         """
-        may_be_relied_on = self._upstreams.pacing.age_s <= FRESH_S + TRUST_S
+        may_be_relied_on = self._upstreams.pacing.age_s <= MAX_ANSWER_AGE_S + TRUST_S
         return self._roles().is_follower and not self.is_answered and may_be_relied_on
 
     def probers(self) -> tuple[Instance, ...]:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -19,7 +19,7 @@
 connection falls silent, a policy comes into force that much later."""
 LARGE_FLEET_WATCH_S: Final = 0.8
 """Timeout of a collector's watch: a watch that is silently cut off must be noticed soon."""
-FRESH_S: Final = 1.5
+MAX_ANSWER_AGE_S: Final = 1.5
 """Age of the platform's last answer up to which a collector's report counts: a whole watch
 of a collector, and a slow answer."""
 TRUST_S: Final = 1.2
@@ -65,7 +65,7 @@
     def record_collector_report(self, platform_age_s: float, now: float) -> None:
         """Record a collector's report: how long ago the platform answered it, in seconds."""
         self._reported_at = now
-        if platform_age_s <= FRESH_S:
+        if platform_age_s <= MAX_ANSWER_AGE_S:
             self._fresh_at = now
             self._next_poll.clear()
 
@@ -142,7 +142,7 @@
         remaining_s = self._settled_at - self._now()
         if remaining_s > 0:
             return remaining_s
-        if self._is_follower or self.age_s <= FRESH_S and not self.is_delegated:
+        if self._is_follower or self.age_s <= MAX_ANSWER_AGE_S and not self.is_delegated:
             return 0.0
         return self._delegation.delay_s(self._now(), self._feed)
 
