--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -29,7 +29,7 @@
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.log import log_event
 from driftstall.helpers.rate_limiting import RateLimiting
-from driftstall.runners.service import CALL_TIMEOUT_S, ServiceAnswer, call_service
+from driftstall.runners.service import CALL_TIMEOUT_S, ServiceResponse, call_service
 
 FORWARDED: Final = ("content-type", "accept", "x-call-id")
 HTTP_NOT_RUN: Final = 503
@@ -47,7 +47,7 @@
 class _Try:
     """Hold how one send ended."""
 
-    answer: ServiceAnswer | None
+    answer: ServiceResponse | None
     sent: bool
     detail: str
     broke: bool = False
@@ -76,7 +76,7 @@
         self._budget = RetryBudget()
         self._open: dict[str, int] = {}
 
-    def call(self, context: RequestContext) -> ServiceAnswer | Problem:
+    def call(self, context: RequestContext) -> ServiceResponse | Problem:
         """Make a call and return its answer."""
         if not self._fleet.services(context.service):
             detail = f"no runner of the service {context.service} is live"
@@ -85,7 +85,7 @@
             return self._claimed(context)
         return self._tries(context)
 
-    def _claimed(self, context: RequestContext) -> ServiceAnswer | Problem:
+    def _claimed(self, context: RequestContext) -> ServiceResponse | Problem:
         """Claim the key first; only the claim's holder may run."""
         key = _claim_key(context)
         claim = self._claims.claim(key, _fingerprint(context), context.request_id)
@@ -93,7 +93,7 @@
             return self._not_granted(claim)
         self._hub.stats.claims_granted += 1
         result = self._tries(context)
-        if isinstance(result, ServiceAnswer):
+        if isinstance(result, ServiceResponse):
             body = result.body.decode("utf-8", "replace")
             self._claims.settle(
                 key,
@@ -107,11 +107,11 @@
             self._claims.settle(key, context.request_id, ran=False)
         return result
 
-    def _not_granted(self, claim: ClaimAnswer) -> ServiceAnswer | Problem:
+    def _not_granted(self, claim: ClaimAnswer) -> ServiceResponse | Problem:
         """Answer a call whose claim was not granted."""
         if claim.kind == ClaimAnswerKind.RECORDED:
             self._hub.stats.claims_repeated += 1
-            return ServiceAnswer(claim.status, claim.content_type, claim.body.encode())
+            return ServiceResponse(claim.status, claim.content_type, claim.body.encode())
         if claim.kind == ClaimAnswerKind.MISMATCH:
             detail = "this idempotency key was used for another call; take a new key"
             return Problem(CODE_CLAIMED, 422, detail, Ran.NOT_RUN)
@@ -121,7 +121,7 @@
         detail = "the claim could not be stored, so the call was not sent"
         return Problem(CODE_PLATFORM_DOWN, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
 
-    def _tries(self, context: RequestContext) -> ServiceAnswer | Problem:
+    def _tries(self, context: RequestContext) -> ServiceResponse | Problem:
         """Send once; again only if nothing was sent, or the call is repeatable."""
         self._budget.earn()
         avoid: set[str] = set()
--- a/driftstall/runners/service.py
+++ b/driftstall/runners/service.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """Hold a plain service's whole answer."""
 
     status: int
@@ -32,9 +32,9 @@
     headers: Mapping[str, str],
     body: bytes,
     timeout_s: float,
-) -> ServiceAnswer:
+) -> ServiceResponse:
     """Make the call once; raise UpstreamError if there is no whole answer."""
     exchange = Exchange.open(runner.address, method, path, headers, body, timeout_s)
     status, content_type = exchange.status, exchange.content_type
     signals = read_signals(exchange)
-    return ServiceAnswer(status, content_type, exchange.read(), signals)
+    return ServiceResponse(status, content_type, exchange.read(), signals)
