--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -127,7 +127,7 @@
             apply_routing=self._routing.offered,
             apply_upstream_change=self._upstreams.handle_peer_change,
             mark_suspected=self._upstreams.doubted,
-            apply_fleet=self._upstreams.offered,
+            apply_fleet=self._upstreams.handle_peer_list,
             apply_cordons=self._cordons.handle_peer_report,
             record_leaving=self._take_leaving,
         )
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -255,7 +255,7 @@
         """Handle one change sent by a peer."""
         self._apply(Changed(change.item, change.gone, from_peer=True), from_peer=True)
 
-    def offered(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
+    def handle_peer_list(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle a peer's list of all upstreams that accept requests, as of a version."""
         self._apply(ListedByPeer(items, at), from_peer=True)
         self._state.notify_if_configured()
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -100,7 +100,7 @@
 @when('it learns that "u1" has left from the list of another peer')
 def peer_lacks(context: Any) -> None:
     """Take in a list without it."""
-    context.source.offered((upstream_of("u2", 5),), LISTED_AT + 1)
+    context.source.handle_peer_list((upstream_of("u2", 5),), LISTED_AT + 1)
 
 
 @when('it learns that "u1" has left from a new list of its own')
@@ -114,13 +114,13 @@
 @when('a peer\'s older list still holds "u1"')
 def older_list(context: Any) -> None:
     """Take in a list of a time when it was there."""
-    context.source.offered((upstream_of("u1", 5), upstream_of("u2", 5)), LISTED_AT)
+    context.source.handle_peer_list((upstream_of("u1", 5), upstream_of("u2", 5)), LISTED_AT)
 
 
 @when('a peer\'s list as of revision {at:d} lacks "u1"')
 def list_lacks(context: Any, at: int) -> None:
     """Take in a newer list without it."""
-    context.source.offered((upstream_of("u2", 5),), at)
+    context.source.handle_peer_list((upstream_of("u2", 5),), at)
 
 
 @when('a peer\'s news of revision {revision:d} say that "u1" is ready')
@@ -132,7 +132,7 @@
 @when('a peer\'s list as of revision {at:d} names "u1" at revision {revision:d}')
 def list_names(context: Any, at: int, revision: int) -> None:
     """Take in a still newer list, of one that knew more."""
-    context.source.offered((upstream_of("u1", revision), upstream_of("u2", 5)), at)
+    context.source.handle_peer_list((upstream_of("u1", revision), upstream_of("u2", 5)), at)
 
 
 @when('the entry of "u1" changes into one {flaw}')
