--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -12,7 +12,7 @@
 import gevent
 
 from driftstall.const import PREFIX_RELAY
-from driftstall.decisions.copy_room import replica_fill_limit
+from driftstall.decisions.replica_limits import replica_fill_limit
 from driftstall.gateway.dialect import MoveFailed
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.runs import StreamRun
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from driftstall.decisions.copy_room import backup_fill_limit
+from driftstall.decisions.replica_limits import backup_fill_limit
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Engine, Upstream
 
