--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -27,7 +27,7 @@
 EXCHANGE_INTERVAL_S: Final = 2.0
 """Pause between two exchanges with another instance while there is something to tell: who was cut
 off is to know within three seconds of its return."""
-FRESH_S: Final = 5.0
+STARTUP_S: Final = 5.0
 """For so long after its start an instance asks others what they know."""
 FRESH_EVERY_S: Final = 0.5
 FRESH_ASKED: Final = 2
@@ -108,7 +108,7 @@
     def _exchange_periodically(self) -> None:
         """Exchange with others again and again."""
         while True:
-            is_fresh = self._now() - self._started_at < FRESH_S
+            is_fresh = self._now() - self._started_at < STARTUP_S
             gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_INTERVAL_S)
             told = self._tracker.reports(self._now())
             if not told and not is_fresh:
