--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -8,7 +8,11 @@
 
 from driftstall.core import Instance
 from driftstall.gateway.collectors import FleetRoles
-from driftstall.gateway.watch_delegation import MAX_ANSWER_AGE_S, TRUST_S, WatchDelegation
+from driftstall.gateway.watch_delegation import (
+    COLLECTOR_TIMEOUT_S,
+    MAX_ANSWER_AGE_S,
+    WatchDelegation,
+)
 
 
 class FeedStatus(Protocol):
@@ -103,7 +107,7 @@
         Peers rely on its reports up to a certain age; beyond it they are served by other followers
         if they still rely on any.
         """
-        may_be_relied_on = self._upstreams.pacing.age_s <= MAX_ANSWER_AGE_S + TRUST_S
+        may_be_relied_on = self._upstreams.pacing.age_s <= MAX_ANSWER_AGE_S + COLLECTOR_TIMEOUT_S
         return self._roles().is_follower and not self.is_answered and may_be_relied_on
 
     def probers(self) -> tuple[Instance, ...]:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -22,7 +22,7 @@
 MAX_ANSWER_AGE_S: Final = 1.5
 """Age of the platform's last answer up to which a collector's report counts: a whole watch
 of a collector, and a slow answer."""
-TRUST_S: Final = 1.2
+COLLECTOR_TIMEOUT_S: Final = 1.2
 """Time without a report after which a collector is no longer relied on; it sends two a second. The
 times here together stay below the three seconds within which a change must be in force."""
 FIRST_POLL_WITHIN_S: Final = 0.4
@@ -71,7 +71,7 @@
 
     def is_delegated(self, now: float) -> bool:
         """Return True if a collector follows the platform for this instance."""
-        return now - self._fresh_at <= TRUST_S
+        return now - self._fresh_at <= COLLECTOR_TIMEOUT_S
 
     def delay_s(self, now: float, feed: str = "") -> float:
         """Return how long to make no call to the platform, in seconds; zero to call now.
@@ -79,8 +79,8 @@
         During an outage, feeds of the same name share one schedule of calls.
         """
         if self.is_delegated(now):
-            return self._fresh_at + TRUST_S - now
-        if now - self._reported_at > TRUST_S:
+            return self._fresh_at + COLLECTOR_TIMEOUT_S - now
+        if now - self._reported_at > COLLECTOR_TIMEOUT_S:
             return 0.0
         next_poll_at = self._next_poll.get(feed)
         if next_poll_at is None:
@@ -183,7 +183,7 @@
     def delay_s(self) -> float:
         """Return how long to make no call, in seconds."""
         roles = self._roles()
-        return 0.0 if roles.is_follower or self._is_behind() else TRUST_S
+        return 0.0 if roles.is_follower or self._is_behind() else COLLECTOR_TIMEOUT_S
 
     def watch_timeout_s(self) -> float:
         """Return the timeout of an idle watch, in seconds."""
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -19,8 +19,8 @@
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.gateway.watch_delegation import (
+    COLLECTOR_TIMEOUT_S,
     MAX_ANSWER_AGE_S,
-    TRUST_S,
     DelegatedWatchPacing,
     WatchDelegation,
 )
@@ -268,7 +268,7 @@
 @when("the fleet would have noticed by itself, and still relies on another follower")
 def large_noticed(context: Any) -> None:
     """Let the platform's last answer to this instance be old."""
-    context.list.age_s = MAX_ANSWER_AGE_S + TRUST_S + 0.1
+    context.list.age_s = MAX_ANSWER_AGE_S + COLLECTOR_TIMEOUT_S + 0.1
 
 
 @then("it asks no engines, and would share the questions with all that live")
