--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -150,7 +150,7 @@
             maybe_ran = maybe_ran or (done.sent and done.answer is None)
             detail = done.detail
             avoid.add(runner.runner_id)
-            if maybe_ran and not context.repeatable:
+            if maybe_ran and not context.is_repeatable:
                 break
             if (
                 done.broke
--- a/driftstall/filters/context.py
+++ b/driftstall/filters/context.py
@@ -28,7 +28,7 @@
     verdict: Verdict | None = None
     service: str = ""
     service_path: str = ""
-    repeatable: bool = True
+    is_repeatable: bool = True
     idempotency_key: str = ""
 
 
