--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -124,7 +124,7 @@
         delegation = WatchDelegation(self.state.rng)
         intake = PeerUpdateHandlers(
             read_routing=lambda: (self._routing.version, self._routing.text),
-            apply_routing=self._routing.offered,
+            apply_routing=self._routing.handle_peer_document,
             apply_upstream_change=self._upstreams.handle_peer_change,
             mark_suspected=self._upstreams.doubted,
             apply_fleet=self._upstreams.handle_peer_list,
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -88,7 +88,7 @@
         if not change.gone:
             self._take(change.item, PLATFORM)
 
-    def offered(self, text: str) -> None:
+    def handle_peer_document(self, text: str) -> None:
         """Handle a document sent by a peer."""
         try:
             document = self._state.dialect.read_routing(text)
