--- a/driftstall/decisions/freshness.py
+++ b/driftstall/decisions/freshness.py
@@ -26,7 +26,7 @@
 """Below this an instance would ask without a rest."""
 
 
-def longest_wait_s(catch_up_s: float) -> float:
+def max_watch_wait_s(catch_up_s: float) -> float:
     """Return how long an idle question may wait, in seconds.
 
     Within the catch-up time after a disturbance an instance must know again what holds.
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -11,7 +11,7 @@
 import gevent
 
 from driftstall.const import PREFIX_CONFIGURATION, PREFIX_DRAIN, PREFIX_MEMBERSHIP
-from driftstall.decisions.freshness import longest_wait_s
+from driftstall.decisions.freshness import max_watch_wait_s
 from driftstall.decisions.leaving_signals import LeavingRecord
 from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.exceptions import SettingsError
@@ -317,7 +317,7 @@
 
     def _longest_wait(self) -> float:
         """Return how long a question to the platform may wait, by the settings in force."""
-        return longest_wait_s(self.state.settings.bounds.catch_up_s)
+        return max_watch_wait_s(self.state.settings.bounds.catch_up_s)
 
     def _announce(self) -> None:
         """Have peers told soon that something has changed."""
--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import Any, Final
 
-from driftstall.decisions.freshness import longest_wait_s
+from driftstall.decisions.freshness import max_watch_wait_s
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.platform import names
@@ -19,7 +19,7 @@
 CATCH_UP_S: Final = 3.0
 """How long an instance may go on with what it knew while its connection is dead; an accepted
 configuration is to be in force everywhere within five seconds."""
-WATCH_S: Final = longest_wait_s(CATCH_UP_S)
+WATCH_S: Final = max_watch_wait_s(CATCH_UP_S)
 STATE_READY: Final = "ready"
 ONLY_ONE: Final = "main"
 """The name of the object where a kind has only one."""
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -11,7 +11,7 @@
 import orjson
 from behave import given, then, when
 
-from driftstall.decisions.freshness import ANSWER_MARGIN_S, longest_wait_s
+from driftstall.decisions.freshness import ANSWER_MARGIN_S, max_watch_wait_s
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, SettingsError
 from driftstall.gateway.collectors import FleetRoles
@@ -213,7 +213,7 @@
 )
 def answered_in_time(context: Any, seconds: float, spare: float) -> None:
     """Add up what passes until the answer on another connection."""
-    given_up_s = longest_wait_s(seconds) + ANSWER_MARGIN_S
+    given_up_s = max_watch_wait_s(seconds) + ANSWER_MARGIN_S
     max_backoff_s = INITIAL_BACKOFF_S * 2 * 1.5
     assert given_up_s + max_backoff_s + SLOW_ANSWER_S <= seconds - spare
 
