--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -50,7 +50,7 @@
 from driftstall.gateway.store_recovery import StoreRecovery
 from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.gateway.watch_delegation import (
-    SETTLE_S,
+    STARTUP_SETTLE_S,
     DelegatedWatchPacing,
     RevisionWatchPacing,
     WatchDelegation,
@@ -301,7 +301,7 @@
             self._roles,
             self.state.now,
             max_watch_s=self._longest_wait,
-            settle_s=SETTLE_S,
+            settle_s=STARTUP_SETTLE_S,
             feed=feed,
         )
 
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -28,7 +28,7 @@
 FIRST_POLL_WITHIN_S: Final = 0.4
 """An instance makes its first own call within this time once no collector gets an answer: the
 collectors may be cut off from the platform while this instance is not."""
-SETTLE_S: Final = 1.5
+STARTUP_SETTLE_S: Final = 1.5
 """How long after its start an instance that has read the list makes no calls. Its seeds answer
 within half a second, and collectors report twice a second: by then it knows whether others follow
 the platform for it. Otherwise, in a fleet that starts all at once while engines join, each engine
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
 from driftstall.gateway.watch_delegation import (
-    SETTLE_S,
+    STARTUP_SETTLE_S,
     DelegatedWatchPacing,
     RevisionWatchPacing,
     WatchDelegation,
@@ -92,7 +92,7 @@
 @given("an instance that starts and hears a collector after {seconds:g} s")
 def starts_in_large_fleet(context: Any, seconds: float) -> None:
     """Start without knowing the fleet, then learn of it."""
-    context.follows = Follows(1, roles=FleetRoles(), settle_s=SETTLE_S)
+    context.follows = Follows(1, roles=FleetRoles(), settle_s=STARTUP_SETTLE_S)
     context.follows.run(seconds, None)
     context.follows.roles = MEMBER
     context.follows.run(5.0, 0.2)
@@ -101,7 +101,7 @@
 @given("an instance that starts and hears nobody")
 def starts_alone(context: Any) -> None:
     """Start as the only one."""
-    context.follows = Follows(1, roles=FleetRoles(), settle_s=SETTLE_S)
+    context.follows = Follows(1, roles=FleetRoles(), settle_s=STARTUP_SETTLE_S)
     context.silent_at = context.follows.clock.now
     context.follows.run(3.0, None)
 
