--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -126,7 +126,7 @@
             read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.handle_peer_document,
             apply_upstream_change=self._upstreams.handle_peer_change,
-            mark_suspected=self._upstreams.doubted,
+            mark_suspected=self._upstreams.handle_suspected,
             apply_fleet=self._upstreams.handle_peer_list,
             apply_cordons=self._cordons.handle_peer_report,
             record_leaving=self._take_leaving,
@@ -140,7 +140,7 @@
             self._peering.own,
             probers=lambda: self._store_reachability.probers(),
             is_platform_silent=lambda: self._store_reachability.is_silent,
-            on_suspected=self._upstreams.doubted,
+            on_suspected=self._upstreams.handle_suspected,
             publish=self._peering.publish_suspicion,
         )
         self.state.on_upstream_suspected = self._upstream_prober.probe_soon
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -260,7 +260,7 @@
         self._apply(ListedByPeer(items, at), from_peer=True)
         self._state.notify_if_configured()
 
-    def doubted(self, upstream_id: str) -> None:
+    def handle_suspected(self, upstream_id: str) -> None:
         """Handle an upstream that a probe found leaving or ended."""
         self._apply(UpstreamSuspected(upstream_id))
 
