--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -11,9 +11,9 @@
 import gevent
 
 from driftstall.const import PREFIX_CONFIGURATION, PREFIX_DRAIN, PREFIX_MEMBERSHIP
-from driftstall.decisions.freshness import max_watch_wait_s
 from driftstall.decisions.leaving_signals import LeavingRecord
 from driftstall.decisions.upstream_probes import ReportedState
+from driftstall.decisions.watch_timeouts import max_watch_wait_s
 from driftstall.exceptions import SettingsError
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordon_source import CordonSource
--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -10,8 +10,8 @@
 from enum import StrEnum
 from typing import Any, Final
 
-from driftstall.decisions.freshness import max_watch_wait_s
 from driftstall.decisions.store_versions import StoreVersion
+from driftstall.decisions.watch_timeouts import max_watch_wait_s
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.platform import names
 from driftstall.platform.store import Store, StoredObject, WatchEvent
--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -18,8 +18,8 @@
 import orjson
 
 from driftstall.const import PREFIX_CONFIGURATION
-from driftstall.decisions.freshness import ANSWER_MARGIN_S
 from driftstall.decisions.store_versions import StoreVersion
+from driftstall.decisions.watch_timeouts import ANSWER_MARGIN_S
 from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, UpstreamError
 from driftstall.helpers.log import log_event
 from driftstall.platform import names
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -10,8 +10,8 @@
 import gevent
 import orjson
 from behave import given, then, when
+from driftstall.decisions.watch_timeouts import ANSWER_MARGIN_S, max_watch_wait_s
 
-from driftstall.decisions.freshness import ANSWER_MARGIN_S, max_watch_wait_s
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, SettingsError
 from driftstall.gateway.collectors import FleetRoles
