--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -41,7 +41,7 @@
     UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
-from driftstall.gateway.upstream_registry import Entry, Tombstone, UpstreamRegistry
+from driftstall.gateway.upstream_registry import RegistryEntry, Tombstone, UpstreamRegistry
 
 LAPSE_GRACE_S: Final = 2.2
 """Entries that lapsed during an outage of the platform are written again within two seconds of its
@@ -236,7 +236,7 @@
             return
         is_newer = entry is None or upstream.revision > entry.upstream.revision
         if entry is None:
-            entry = self._entries[upstream.name] = Entry(upstream)
+            entry = self._entries[upstream.name] = RegistryEntry(upstream)
             self._names[upstream.upstream_id] = upstream.name
             signalled_since = self._signalled.since(upstream.upstream_id)
             if signalled_since is not None:
@@ -312,7 +312,7 @@
             and upstream.revision.revision <= known.revision.revision
         )
 
-    def _mark_leaving(self, entry: Entry, since: float) -> None:
+    def _mark_leaving(self, entry: RegistryEntry, since: float) -> None:
         """Mark an upstream as leaving and report that once.
 
         The time to drain runs from the notice, not from when this instance learned of it: after a
@@ -324,14 +324,14 @@
             entry.leaving_since = since
             self._actions.append(UpstreamLeaving(entry.upstream))
 
-    def _mark_signalled_leaving(self, entry: Entry, since: float) -> None:
+    def _mark_signalled_leaving(self, entry: RegistryEntry, since: float) -> None:
         """Mark an upstream as leaving by its own signal, whatever the platform's list says."""
         entry.suspected_until = None
         if entry.leaving_since is None:
             entry.leaving_since = since
             self._actions.append(UpstreamLeaving(entry.upstream, signalled=True))
 
-    def _rejoin(self, entry: Entry) -> None:
+    def _rejoin(self, entry: RegistryEntry) -> None:
         """Let an upstream accept requests again, unless it has signalled that it is leaving."""
         entry.suspected_until = None
         entry.is_listed = True
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class RegistryEntry:
     """State of one registered upstream."""
 
     upstream: Upstream
@@ -45,7 +45,7 @@
 
     def __init__(self) -> None:
         """Initialize an empty registry."""
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, RegistryEntry] = {}
         self._tombstones: dict[str, Tombstone] = {}
         """Entries and tombstones are keyed by upstream name."""
         self._names: dict[str, str] = {}
@@ -175,12 +175,12 @@
         """Return True if the upstream has restarted since: runs and replicas it held are lost."""
         return upstream_id in self._replaced
 
-    def _find_entry(self, upstream_id: str) -> Entry | None:
+    def _find_entry(self, upstream_id: str) -> RegistryEntry | None:
         """Return the entry of one start, identified by its upstream id."""
         entry = self._entries.get(self._names.get(upstream_id, ""))
         return entry if entry is not None and entry.upstream.upstream_id == upstream_id else None
 
-    def _can_accept(self, entry: Entry) -> bool:
+    def _can_accept(self, entry: RegistryEntry) -> bool:
         """Return True if an upstream may be sent new requests."""
         return entry.leaving_since is None and entry.upstream.zone not in self._cordoned
 
