--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -146,8 +146,8 @@
         self.era += 1
         for one in written_at_once:
             self._change(one["kind"], one["name"], one["spec"], gone=False)
-        self.publish_soon.set()
-        self.publish_soon.clear()
+        self.changed.set()
+        self.changed.clear()
 
     def _read(
         self, environ: dict[str, Any], start: StartResponse, kind: str, name: str
@@ -185,7 +185,7 @@
             left = ends - time.monotonic()
             if events or left <= 0:
                 return answer(start, 200, {"events": events, "at": self.revision})
-            self.publish_soon.wait(min(left, WATCH_CHECK_S))
+            self.changed.wait(min(left, WATCH_CHECK_S))
 
     def _write(
         self, environ: dict[str, Any], start: StartResponse, method: str, kind: str, name: str
@@ -227,8 +227,8 @@
         else:
             self.objects[(kind, name)] = stored
         self.history.append(Change(self.revision, kind, stored, gone))
-        self.publish_soon.set()
-        self.publish_soon.clear()
+        self.changed.set()
+        self.changed.clear()
         return stored
 
     def _control(self, environ: dict[str, Any], start: StartResponse, path: str) -> Iterable[bytes]:
@@ -251,8 +251,8 @@
         if script.get("forget"):
             self.forgotten = self.revision
             self.history.clear()
-            self.publish_soon.set()
-            self.publish_soon.clear()
+            self.changed.set()
+            self.changed.clear()
         self.faults.silent = script.get("silent", False)
         self.faults.slow_s = script.get("slow_s", self.faults.slow_s)
         self.faults.lose_answers = script.get("lose_answers", self.faults.lose_answers)
