--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -94,11 +94,11 @@
             return
         self._probed_at[engine_id] = now
         self._state.rate_limiting.charge(upstream.upstream_id)
-        word = self._state.dialect.probe_state(upstream)
-        if word.is_unavailable:
-            self.handle_bad_state(upstream, word)
+        reported = self._state.dialect.probe_state(upstream)
+        if reported.is_unavailable:
+            self.handle_bad_state(upstream, reported)
 
-    def handle_bad_state(self, upstream: Upstream, word: ReportedState) -> None:
+    def handle_bad_state(self, upstream: Upstream, reported: ReportedState) -> None:
         """Suspect an engine for a while, so that it gets no new requests, and tell the peers."""
         engine_id, now = upstream.upstream_id, self._state.now()
         self._on_suspected(engine_id)
@@ -106,7 +106,9 @@
             return
         self._published_at[engine_id] = now
         finding = (
-            "says itself that it leaves" if word is ReportedState.LEAVING else "refuses connections"
+            "reports that it is leaving"
+            if reported is ReportedState.LEAVING
+            else "refuses connections"
         )
         log_event(
             PREFIX_ROUTING,
