--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -118,7 +118,7 @@
         )
         self._cordons = CordonSource(
             self.state,
-            on_changed=self._upstreams.cordoned,
+            on_changed=self._upstreams.handle_cordons_changed,
             announce=lambda: self._peering.publish_cordons(),
         )
         delegation = WatchDelegation(self.state.rng)
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -275,7 +275,7 @@
         self._apply(SignalledLeaving(upstream_id, ago_s))
         return fleet.has_signalled_leaving(upstream_id)
 
-    def cordoned(self, changed: CordonsChanged) -> None:
+    def handle_cordons_changed(self, changed: CordonsChanged) -> None:
         """Apply a change of the cordoned zones to the fleet."""
         self._apply(Cordoned(self._state.cordons.zones, changed.lifted))
 
