--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -7,7 +7,7 @@
 
 from driftstall.core import Request, Verdict
 from driftstall.decisions.isolation import LONG_PREFILL_TOKENS
-from driftstall.decisions.memory import ZERO_FORECAST, Hold
+from driftstall.decisions.memory import ZERO_FORECAST, MemoryForecast
 from driftstall.decisions.permits import Allowance, SendNeed
 from driftstall.decisions.prefixes import PrefixModel
 from driftstall.decisions.routing import PREFILL_TOKENS_PER_S
@@ -57,7 +57,7 @@
     zone: str
     grants: dict[str, OpenGrant] = field(default_factory=dict)
     prefixes: PrefixModel = field(default_factory=PrefixModel)
-    forecast: Hold = ZERO_FORECAST
+    forecast: MemoryForecast = ZERO_FORECAST
     peak: float = 0.0
     forecast_at: float = -1e9
     pending_prefill: float = 0.0
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -38,7 +38,7 @@
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.isolation import LONG_PREFILL_TOKENS, LongPrefillSet, RunnerLoad
 from driftstall.decisions.lengths import LengthModel
-from driftstall.decisions.memory import Hold, hold_of, quantile
+from driftstall.decisions.memory import MemoryForecast, hold_of, quantile
 from driftstall.decisions.retry_schedule import (
     GRACE_S,
     retry_after,
@@ -427,7 +427,9 @@
             Granted(item.entry, request.request_id, runner.runner_id, item.verdict.rank, reason)
         )
 
-    def _open(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
+    def _open(
+        self, runner: RunnerState, grant: OpenGrant, addition: MemoryForecast, now: float
+    ) -> None:
         """Add a grant and its memory forecast to a runner's state."""
         request_id = grant.request.request_id
         grant.last_report_at = now
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -7,7 +7,7 @@
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.core import PrefixMark
 from driftstall.decisions.lengths import LengthModel
-from driftstall.decisions.memory import Hold, hold_of, total
+from driftstall.decisions.memory import MemoryForecast, hold_of, total
 from driftstall.decisions.retry_schedule import ServiceRate
 
 REFRESH_INTERVAL_S: Final = 0.25
@@ -70,14 +70,14 @@
         smallest = min(runner.memory for runner in self.runners.values())
         return min(expected / len(self.runners), MAX_HEADROOM_SHARE * smallest)
 
-    def hold(self, runner: RunnerState, now: float) -> Hold:
+    def hold(self, runner: RunnerState, now: float) -> MemoryForecast:
         """Return a runner's memory forecast, which ticks normally keep fresh."""
         if now - runner.forecast_at >= MAX_FORECAST_AGE_S:
             self._refresh(runner, now)
         return runner.forecast
 
     def has_room(
-        self, runner: RunnerState, addition: Hold, peak: float, limit: float, now: float
+        self, runner: RunnerState, addition: MemoryForecast, peak: float, limit: float, now: float
     ) -> bool:
         """Return True if a generation with a given peak fits below a memory limit.
 
@@ -96,7 +96,9 @@
             if now - runner.forecast_at >= REFRESH_INTERVAL_S:
                 self._refresh(runner, now)
 
-    def add(self, runner: RunnerState, grant: OpenGrant, addition: Hold, now: float) -> None:
+    def add(
+        self, runner: RunnerState, grant: OpenGrant, addition: MemoryForecast, now: float
+    ) -> None:
         """Add an open grant and its memory forecast to a runner."""
         hold = self.hold(runner, now)
         runner.add(grant)
@@ -133,11 +135,11 @@
         """Return the live or leaving runner of a grant, or None."""
         return self.runners.get(grant.runner_id) or self._leaving.get(grant.runner_id)
 
-    def _hold_of(self, grant: OpenGrant) -> Hold:
+    def _hold_of(self, grant: OpenGrant) -> MemoryForecast:
         """Forecast the memory of one grant."""
         return hold_of(self._lengths, grant.request, grant.produced)
 
-    def _set_hold(self, runner: RunnerState, hold: Hold) -> None:
+    def _set_hold(self, runner: RunnerState, hold: MemoryForecast) -> None:
         """Store a runner's forecast and its peak, which is read most often."""
         runner.forecast = hold
         runner.peak = hold.peak(self.deviations)
--- a/driftstall/decisions/fairness.py
+++ b/driftstall/decisions/fairness.py
@@ -13,7 +13,7 @@
 from typing import Final
 
 from driftstall.core import Request, Verdict
-from driftstall.decisions.memory import Hold
+from driftstall.decisions.memory import MemoryForecast
 
 LOOK_AHEAD: Final = 4
 """Workspaces behind a blocked one that may go before it."""
@@ -31,7 +31,7 @@
     since: float
     output: float
     """Expected output tokens."""
-    hold: Hold
+    hold: MemoryForecast
     """Forecast memory once it is granted."""
     avoid: tuple[str, ...] = ()
 
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -24,25 +24,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class MemoryForecast:
     """Hold a memory forecast: mean and variance in tokens, for each horizon."""
 
     means: tuple[float, ...]
     variances: tuple[float, ...]
 
-    def plus(self, other: Hold) -> Hold:
+    def plus(self, other: MemoryForecast) -> MemoryForecast:
         """Return the forecast of both together."""
         means = tuple([a + b for a, b in zip(self.means, other.means, strict=True)])
         variances = tuple([a + b for a, b in zip(self.variances, other.variances, strict=True)])
-        return Hold(means, variances)
+        return MemoryForecast(means, variances)
 
-    def minus(self, other: Hold) -> Hold:
+    def minus(self, other: MemoryForecast) -> MemoryForecast:
         """Return the forecast without the other part."""
         means = tuple([max(0.0, a - b) for a, b in zip(self.means, other.means, strict=True)])
         pairs = zip(self.variances, other.variances, strict=True)
-        return Hold(means, tuple([max(0.0, a - b) for a, b in pairs]))
+        return MemoryForecast(means, tuple([max(0.0, a - b) for a, b in pairs]))
 
-    def fits(self, other: Hold, deviations: float, limit: float) -> bool:
+    def fits(self, other: MemoryForecast, deviations: float, limit: float) -> bool:
         """Tell whether both together stay within a limit at every horizon."""
         for index in range(len(HORIZONS)):
             mean = self.means[index] + other.means[index]
@@ -61,15 +61,15 @@
 
 _STEPS: Final = tuple(enumerate(HORIZONS))
 _NO_STEPS: Final = tuple((index, 0) for index in range(len(HORIZONS)))
-ZERO_FORECAST: Final = Hold((0.0,) * len(HORIZONS), (0.0,) * len(HORIZONS))
+ZERO_FORECAST: Final = MemoryForecast((0.0,) * len(HORIZONS), (0.0,) * len(HORIZONS))
 
 
-def hold_of(lengths: LengthModel, request: Request, produced: int) -> Hold:
+def hold_of(lengths: LengthModel, request: Request, produced: int) -> MemoryForecast:
     """Forecast the memory that one generation holds."""
     return total(lengths, ((request, produced),))
 
 
-def total(lengths: LengthModel, generations: Iterable[tuple[Request, int]]) -> Hold:
+def total(lengths: LengthModel, generations: Iterable[tuple[Request, int]]) -> MemoryForecast:
     """Forecast the memory of generations, each with the tokens it has produced."""
     means = [0.0] * len(HORIZONS)
     variances = [0.0] * len(HORIZONS)
@@ -83,4 +83,4 @@
                 held = held_now + ahead
                 means[index] += chance * held
                 variances[index] += chance * (1.0 - chance) * held * held
-    return Hold(tuple(means), tuple(variances))
+    return MemoryForecast(tuple(means), tuple(variances))
