--- a/driftstall/daemon/blame_service.py
+++ b/driftstall/daemon/blame_service.py
@@ -34,7 +34,7 @@
         self.book = PoisonTracker()
         others = PeerTransport(
             live=lambda: members.live,
-            hearers=lambda: members.live,
+            recipients=lambda: members.live,
             forwards=lambda: False,
             send=self._send,
             broadcast=self._broadcast,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -113,7 +113,7 @@
         )
         others = PeerTransport(
             live=lambda: self._members.live,
-            hearers=self._blame_hearers,
+            recipients=self._blame_hearers,
             forwards=lambda: self._roles.is_collector,
             send=self._send,
             broadcast=self._broadcast,
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -40,7 +40,7 @@
 
     live: Callable[[], tuple[Instance, ...]]
     """Return all that live, perhaps with this one."""
-    hearers: Callable[[], Iterable[Instance]]
+    recipients: Callable[[], Iterable[Instance]]
     """Return who is told at once."""
     forwards: Callable[[], bool]
     """Return whether this instance passes on to its hearers what others tell it."""
@@ -103,7 +103,7 @@
             gevent.sleep(BATCH_DELAY_S)
             self._has_changes.clear()
             told = BlamesTold(self._own_id, self._tracker.reports(self._now()), asks=False)
-            self._transport.broadcast(self._transport.hearers(), told)
+            self._transport.broadcast(self._transport.recipients(), told)
 
     def _exchange_periodically(self) -> None:
         """Exchange with others again and again."""
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -284,7 +284,7 @@
     state = world_of(context).state
     others = PeerTransport(
         live=lambda: (Instance("peer", "", "", "a"),),
-        hearers=tuple,
+        recipients=tuple,
         forwards=lambda: False,
         send=lambda recipient, message: context.told.append((recipient, message)),
         broadcast=lambda *_: None,
