--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -1,4 +1,4 @@
-"""Put one gateway instance together and run it until its planned stop."""
+"""Assemble one gateway instance and run it until its planned stop."""
 
 from __future__ import annotations
 
@@ -61,17 +61,17 @@
 from driftstall.util import clock
 
 PERIOD_S: Final = 0.2
-"""How often the node looks for what time alone brings; each look is a wake-up."""
-CORDONS: Final = "cordons"
-LOGGED_SUSPENSION_S: Final = 0.1
-"""The two clocks are read one after the other, and differ by some microseconds."""
+"""Interval of the periodic checks for timeouts; each check wakes up the process."""
+CORDON_FEED: Final = "cordons"
+MIN_LOGGED_SUSPENSION_S: Final = 0.1
+"""Shorter differences are no suspension: the two clocks are read microseconds apart."""
 SETTINGS_CHECK_S: Final = 0.5
-"""The settings file may change without a signal."""
+"""Interval of checks for a changed settings file, which may change without a SIGHUP."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformAccess:
-    """Hold what the adapter gives: feeds, own entries, and how the address changes."""
+    """Hold the platform adapter's feeds, stored objects, dialect and functions."""
 
     dialect: Dialect
     upstreams: Feed[Upstream]
@@ -82,7 +82,7 @@
     crashes: StoredCrashes
     policy: StoredPolicy
     subscribe_store_eras: Callable[[Callable[[int], None]], None]
-    """Has somebody told of each new era of the platform's store."""
+    """Registers a callback for each new era of the platform's store."""
     use_address: Callable[[str], None]
     call_count: Callable[[], int]
     read_settings: Callable[[Path], GatewaySettings]
@@ -99,22 +99,22 @@
         policy: Policy,
         log: BoundedWriter,
     ) -> None:
-        """Take the settings, their file, the platform's access, the default policy, the log."""
+        """Initialize with the settings and their file, the platform, the policy and the log."""
         self._log = log
         self._path = path
         self._access = access
         self.state = GatewayState(settings, access.dialect, policy)
-        self._routing = RoutingSource(self.state, self._pass_routing)
+        self._routing = RoutingSource(self.state, self._publish_routing)
         mover = Mover(self.state)
         self._protection = RunProtection(self.state, mover)
         self._policies = PolicySource(self.state)
         self._upstreams = UpstreamSource(
             self.state,
             on_leaving=Evacuation(self.state, mover).start,
-            publish_change=self._pass_change,
-            publish_action=self._pass_action,
+            publish_change=self._publish_change,
+            publish_action=self._publish_action,
             announce=self._announce,
-            store_silence_s=lambda: self._upstream_pace.silence_s,
+            store_silence_s=lambda: self._upstream_pacing.silence_s,
         )
         self._cordons = CordonSource(
             self.state,
@@ -122,17 +122,17 @@
             announce=lambda: self._peering.publish_cordons(),
         )
         delegation = WatchDelegation(self.state.rng)
-        intake = PeerUpdateHandlers(
+        handlers = PeerUpdateHandlers(
             read_routing=lambda: (self._routing.version, self._routing.text),
             apply_routing=self._routing.handle_peer_document,
             apply_upstream_change=self._upstreams.handle_peer_change,
             mark_suspected=self._upstreams.handle_suspected,
             apply_fleet=self._upstreams.handle_peer_list,
             apply_cordons=self._cordons.handle_peer_report,
-            record_leaving=self._take_leaving,
+            record_leaving=self._record_leaving_report,
         )
         self._peering = Peering(
-            self.state, intake, platform_status=self._platform_status, delegation=delegation
+            self.state, handlers, platform_status=self._platform_status, delegation=delegation
         )
         self._delegation = delegation
         self._upstream_prober = UpstreamProber(
@@ -144,9 +144,9 @@
             publish=self._peering.publish_suspicion,
         )
         self.state.on_upstream_suspected = self._upstream_prober.probe_soon
-        self.state.signals.leaving = self._signalled_leaving
+        self.state.signals.leaving = self._handle_leaving_signal
         self._crash_persistence = CrashPersistence(self.state, access.crashes, self._roles)
-        watch = CrashDetector(
+        crash_detector = CrashDetector(
             self.state,
             on_crash=lambda upstream: self._upstream_prober.handle_bad_state(
                 upstream, ReportedState.TERMINATED
@@ -155,27 +155,29 @@
             on_quarantined=self._crash_persistence.handle_quarantined,
         )
         self.state.on_quarantine_cleared = self._crash_persistence.handle_cleared
-        self.state.on_run_broken = watch.handle_broken_run
+        self.state.on_run_broken = crash_detector.handle_broken_run
         self.state.on_poison_evidence_changed = self._peering.publish_poison_evidence
-        self._routing_pace = self._fleet_pace()
-        self._upstream_pace = self._fleet_pace()
-        policy_pace = RevisionWatchPacing(
+        self._routing_pacing = self._delegated_pacing()
+        self._upstream_pacing = self._delegated_pacing()
+        policy_pacing = RevisionWatchPacing(
             self._roles, lambda: self._peering.policy_revision > self._policies.revision
         )
-        source = self.state.rng
-        self._routing_follower = Follower(access.routing, self._routing, source, self._routing_pace)
+        rng = self.state.rng
+        self._routing_follower = Follower(access.routing, self._routing, rng, self._routing_pacing)
         self._upstream_follower = Follower(
-            access.upstreams, self._upstreams, source, self._upstream_pace
+            access.upstreams, self._upstreams, rng, self._upstream_pacing
         )
-        self._policy_follower = Follower(access.policies, self._policies, source, policy_pace)
+        self._policy_follower = Follower(access.policies, self._policies, rng, policy_pacing)
         self._cordon_follower = Follower(
-            access.cordons, self._cordons, source, self._cordon_pace(settings)
+            access.cordons, self._cordons, rng, self._cordon_pacing(settings)
+        )
+        self._routing_reachability = FeedReachability(self._routing_follower, self._routing_pacing)
+        self._upstream_reachability = FeedReachability(
+            self._upstream_follower, self._upstream_pacing
         )
-        self._routing_reach = FeedReachability(self._routing_follower, self._routing_pace)
-        self._upstream_reach = FeedReachability(self._upstream_follower, self._upstream_pace)
         self._store_reachability = StoreReachability(
-            self._routing_reach,
-            self._upstream_reach,
+            self._routing_reachability,
+            self._upstream_reachability,
             delegation,
             now=self.state.now,
             roles=self._roles,
@@ -190,7 +192,7 @@
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
             on_restored=self._upstreams.store_returned,
-            on_settled=self._list_again,
+            on_settled=self._relist_all,
         )
         self._policy_persistence = PolicyPersistence(self._policies, access.policy)
         self.state.on_store_era = self._store_recovery.handle_era
@@ -207,14 +209,14 @@
         self._locate = AuxiliaryListener(settings.locate_listen, locate)
         metrics = MetricsHandler(self.state, self._gauges)
         self._metrics = AuxiliaryListener(settings.metrics_listen, metrics)
-        self._settings_seen = self._settings_time()
+        self._settings_signature = self._read_settings_signature()
 
     def run(self) -> None:
-        """Run until a planned stop has ended."""
+        """Run until a planned stop is complete."""
         gevent.signal_handler(signal.SIGTERM, self._drain.begin)
         gevent.signal_handler(signal.SIGINT, self._drain.begin)
         gevent.signal_handler(signal.SIGHUP, self._reload)
-        for part in (
+        for component in (
             self._callers,
             self._ready,
             self._locate,
@@ -224,7 +226,7 @@
             self._upstream_prober,
             self._crash_persistence,
         ):
-            part.start()
+            component.start()
         for follower in (
             self._routing_follower,
             self._upstream_follower,
@@ -238,30 +240,30 @@
         log_event(PREFIX_DRAIN, f"Instance {self.state.settings.instance_id} has stopped")
 
     def _run_periods(self) -> None:
-        """Let time pass until the stop has ended."""
+        """Run the periodic checks until the stop is complete."""
         checked_at = self.state.now()
         suspended_s = clock.suspended_s()
-        told_stop = False
+        has_announced_stop = False
         while not self._drain.is_finished:
             gevent.sleep(PERIOD_S)
             self._upstreams.period()
             suspended_s = _log_suspension(suspended_s)
             self.state.stats.platform_calls = self._access.call_count()
-            if self.state.stopping_since is not None and not told_stop:
-                told_stop = True
+            if self.state.stopping_since is not None and not has_announced_stop:
+                has_announced_stop = True
                 self._leave()
             if self.state.now() - checked_at >= SETTINGS_CHECK_S:
                 checked_at = self.state.now()
-                if self._settings_time() != self._settings_seen:
+                if self._read_settings_signature() != self._settings_signature:
                     self._reload()
 
     def _leave(self) -> None:
-        """Tell peers and the platform that this instance takes nothing more."""
+        """Announce to peers and the platform that this instance accepts no more requests."""
         self._peering.leave()
         gevent.spawn(self._registration.withdraw)
 
-    def _list_again(self) -> None:
-        """Read all lists anew: what the store lacks by now is gone."""
+    def _relist_all(self) -> None:
+        """List all feeds again; objects that the store no longer has count as removed."""
         for follower in (
             self._routing_follower,
             self._upstream_follower,
@@ -271,7 +273,7 @@
             follower.request_relist()
 
     def _gauges(self) -> dict[str, float]:
-        """Return what has a value now, for the metrics page."""
+        """Return the values of the gauges for the metrics page."""
         return {
             "open_requests": self.state.open_requests,
             "open_streams": len(self.state.runs.all),
@@ -282,9 +284,9 @@
             "upstreams_leaving_by_signal": len(self.state.fleet.leaving_records(self.state.now())),
             "upstreams_in_backoff": len(self.state.backoff.active(self.state.now())),
             "cordoned_zones": len(self.state.cordons.zones),
-            "upstreams_age_seconds": min(MAX_AGE_S, self._upstream_pace.age_s),
-            "routing_age_seconds": min(MAX_AGE_S, self._routing_pace.age_s),
-            "platform_ok": float(self._upstream_reach.is_followed),
+            "upstreams_age_seconds": min(MAX_AGE_S, self._upstream_pacing.age_s),
+            "routing_age_seconds": min(MAX_AGE_S, self._routing_pacing.age_s),
+            "platform_ok": float(self._upstream_reachability.is_followed),
             "requests_refused_for_crashes": len(
                 self.state.poison_tracker.quarantined(self.state.now())
             ),
@@ -294,99 +296,101 @@
             "log_lines_dropped": self._log.dropped_in_all,
         }
 
-    def _fleet_pace(self, feed: str = "") -> DelegatedWatchPacing:
-        """Return the pace of a feed on which it depends who gets requests."""
+    def _delegated_pacing(self, feed: str = "") -> DelegatedWatchPacing:
+        """Return the pacing of a feed that decides which upstreams get requests."""
         return DelegatedWatchPacing(
             self._delegation,
             self._roles,
             self.state.now,
-            max_watch_s=self._longest_wait,
+            max_watch_s=self._max_watch_s,
             settle_s=STARTUP_SETTLE_S,
             feed=feed,
         )
 
-    def _cordon_pace(self, settings: GatewaySettings) -> WatchPacing:
-        """Return the pace at which cordoned zones are followed.
+    def _cordon_pacing(self, settings: GatewaySettings) -> WatchPacing:
+        """Return the pacing of the feed of cordons.
 
-        Where the site sets no bound for them, none are expected: a look now and then is enough.
+        A site that sets no bound for cordons is not expected to use them, so occasional reads are
+        enough.
         """
         if settings.bounds.cordon_s:
-            # Beside the others in an outage: three feeds by turns would each wait for too long.
-            return self._fleet_pace(CORDONS)
+            # Its own feed name has it retried in parallel with the others in an outage: three
+            # feeds that take turns would each wait too long.
+            return self._delegated_pacing(CORDON_FEED)
         return RevisionWatchPacing(self._roles, lambda: False)
 
-    def _longest_wait(self) -> float:
-        """Return how long a question to the platform may wait, by the settings in force."""
+    def _max_watch_s(self) -> float:
+        """Return the longest duration of a watch request, by the settings in force."""
         return max_watch_wait_s(self.state.settings.bounds.catch_up_s)
 
     def _announce(self) -> None:
-        """Have peers told soon that something has changed."""
+        """Trigger a report to peers after a change."""
         self.state.loads_changed.set()
 
-    def _signalled_leaving(self, upstream_id: str) -> None:
-        """Take in that an upstream has signalled that it leaves, and tell peers at once."""
+    def _handle_leaving_signal(self, upstream_id: str) -> None:
+        """Record that an upstream has signalled to leave, and publish it to peers at once."""
         if self._upstreams.signalled_leaving(upstream_id):
             self._peering.publish_signals()
 
-    def _take_leaving(self, record: LeavingRecord) -> bool:
-        """Take in what an upstream has signalled to a peer; return whether it was new."""
+    def _record_leaving_report(self, record: LeavingRecord) -> bool:
+        """Record a leaving signal that a peer reports; return whether it was new."""
         return self._upstreams.signalled_leaving(record.upstream_id, record.ago_ms / MS)
 
-    def _pass_routing(self, *, from_peer: bool) -> None:
-        """Pass the routing document in force on to peers."""
+    def _publish_routing(self, *, from_peer: bool) -> None:
+        """Publish the routing document in force to peers."""
         self._peering.publish_routing(from_peer=from_peer)
 
-    def _pass_change(self, change: ItemChange[Upstream]) -> None:
-        """Tell a change to the peers that the platform does not answer."""
+    def _publish_change(self, change: ItemChange[Upstream]) -> None:
+        """Publish a change of an upstream to peers that can't reach the platform."""
         self._peering.publish_change(change)
 
-    def _pass_action(self, action: FleetAction, *, from_peer: bool) -> None:
-        """Tell the zone who joined or leaves, if this instance collects for it."""
+    def _publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
+        """Publish that an upstream joined or leaves, as the roles require."""
         self._peering.publish_action(action, from_peer=from_peer)
 
     def _roles(self) -> FleetRoles:
-        """Return who collects."""
+        """Return the current roles in the fleet."""
         return self._peering.roles
 
     def _platform_status(self) -> PlatformStatus:
-        """Return what this instance knows of the platform."""
+        """Return what this instance reports about its data from the platform."""
         return PlatformStatus(
             self._routing.version,
             self._policies.revision,
             self._store_reachability.is_answered,
-            self._upstream_pace.age_s,
+            self._upstream_pacing.age_s,
         )
 
     def _is_current(self) -> bool:
-        """Tell whether the routing in force is the newest, as far as can be known."""
+        """Return True if no newer routing document is known here or at any peer."""
         newest = self._peering.newest_version
-        return self._routing_reach.is_followed and newest <= self._routing.version
+        return self._routing_reachability.is_followed and newest <= self._routing.version
 
-    def _settings_time(self) -> tuple[int, int]:
-        """Return what changes when the settings file does."""
+    def _read_settings_signature(self) -> tuple[int, int]:
+        """Return the settings file's modification time in ns and its size in bytes."""
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError:
             return (0, 0)
-        return (found.st_mtime_ns, found.st_size)
+        return (status.st_mtime_ns, status.st_size)
 
     def _reload(self) -> None:
-        """Read the settings again; wrong ones are logged and the old ones stay."""
-        self._settings_seen = self._settings_time()
+        """Reload the settings; invalid ones are logged and the old ones stay in force."""
+        self._settings_signature = self._read_settings_signature()
         try:
             settings = self._access.read_settings(self._path)
-        except SettingsError as fault:
-            log_event(PREFIX_CONFIGURATION, f"The changed settings are not used: {fault}")
+        except SettingsError as error:
+            log_event(PREFIX_CONFIGURATION, f"The changed settings are not used: {error}")
             return
         self.state.settings = settings
         self._access.use_address(settings.platform_address)
-        log_event(PREFIX_CONFIGURATION, "The settings were read again")
+        log_event(PREFIX_CONFIGURATION, "Settings reloaded")
 
 
 def _log_suspension(before_s: float) -> float:
-    """Log a suspension of the machine since the last look; return all there were, in seconds."""
+    """Log a suspension of the machine since the last check; return the total in seconds."""
     suspended_s = clock.suspended_s()
-    if suspended_s - before_s < LOGGED_SUSPENSION_S:
+    if suspended_s - before_s < MIN_LOGGED_SUSPENSION_S:
         return before_s
     for_s = round(suspended_s - before_s, 2)
     log_event(PREFIX_MEMBERSHIP, f"The machine was suspended for {for_s} s", for_s=for_s)
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -1,7 +1,7 @@
-"""Keep in touch with the other instances: who lives, and what each message leads to.
+"""Maintain the membership of the fleet and dispatch peers' messages to their handlers.
 
-Reports (reports.py) tell what runs where; sharing (sharing.py) passes on what the
-platform has told. Who collects for whom follows from the member list (collectors.py).
+Reports (reports.py) carry the load of each instance; sharing (sharing.py) distributes data
+from the platform. The collectors of each zone follow from the member list (collectors.py).
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 from driftstall.peers.permit_messages import PermitAsked, PermitCharged, PermitGiven
 
 PERIOD_S: Final = 0.15
-"""How often the member list lets time pass: twice within the time for an answer."""
+"""Interval at which timeouts of the failure detection are checked: twice per ping timeout."""
 
 
 class Peering:
@@ -70,15 +70,15 @@
     def __init__(
         self,
         state: GatewayState,
-        intake: PeerUpdateHandlers,
+        handlers: PeerUpdateHandlers,
         *,
         platform_status: Callable[[], PlatformStatus],
         delegation: WatchDelegation,
     ) -> None:
-        """Take the shared state, how things are taken in, the standing, and the reliance."""
+        """Initialize with the shared state, the handlers of peers' updates and the delegation."""
         settings = state.settings
         self._state = state
-        self._intake = intake
+        self._handlers = handlers
         self._delegation = delegation
         self.own = Instance(
             settings.instance_id,
@@ -105,21 +105,21 @@
         )
         self._sharing = PlatformDataSharing(
             state,
-            intake,
+            handlers,
             roles=lambda: self._roles,
             live=lambda: self._members.live,
             send=self._send,
             broadcast=self._broadcast,
         )
-        others = PeerTransport(
+        transport = PeerTransport(
             live=lambda: self._members.live,
-            recipients=self._blame_hearers,
+            recipients=self._poison_evidence_recipients,
             forwards=lambda: self._roles.is_collector,
             send=self._send,
             broadcast=self._broadcast,
         )
-        self._blame = PoisonSharing(
-            state.poison_tracker, self.own.instance_id, others, now=state.now, source=state.rng
+        self._poison_sharing = PoisonSharing(
+            state.poison_tracker, self.own.instance_id, transport, now=state.now, source=state.rng
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
         state.request_placement = self._placer.place
@@ -128,100 +128,104 @@
             state.rate_limiting,
             now=state.now,
             live=lambda: self._members.live,
-            upstreams=lambda: {one.upstream_id for one in state.fleet.upstreams},
+            upstreams=lambda: {upstream.upstream_id for upstream in state.fleet.upstreams},
             send=self._send,
         )
         state.rate_limiting.ask_permit = self._permits.ask
         state.rate_limiting.charge_permit = self._permits.charge
         state.rate_limiting.tell = self._reporting.publish_now
         self.policy_revision = NO_VERSION
-        """The newest revision of the policy that a collector has told of."""
+        """The newest revision of the policy that a collector has reported."""
 
     @property
     def roles(self) -> FleetRoles:
-        """Return who collects, as far as is known."""
+        """Return the roles that follow from the current member list."""
         return self._roles
 
     @property
     def live(self) -> tuple[Instance, ...]:
-        """Return the instances that live, as far as is known."""
+        """Return the live instances by the member list."""
         return self._members.live
 
     @property
     def newest_version(self) -> int:
-        """Return the newest routing version that any peer has told of."""
+        """Return the newest routing version that any peer has reported."""
         return self._reporting.newest_version
 
     @property
     def peers_without_platform(self) -> tuple[str, ...]:
-        """Return the peers that the platform does not answer, as they say."""
+        """Return the peers that report that they can't reach the platform."""
         return self._reporting.peers_without_platform
 
     def start(self) -> None:
-        """Start to listen and to report."""
+        """Start listening, failure detection and reporting, and ping the seeds."""
         self._links.start()
         keep_running(PREFIX_MEMBERSHIP, self._run_periods)
         self._reporting.start()
-        self._blame.start()
+        self._poison_sharing.start()
         for address in self._state.settings.seeds:
             if address != self.own.peer_address:
                 ping = Ping(self.own.instance_id, 0, "", self._members.changes)
                 self._links.send(ANYONE, address, ping)
 
     def add_listed_instances(self, instances: tuple[Instance, ...]) -> None:
-        """Take in the instances that the platform lists."""
+        """Add the instances that the platform lists to the member list."""
         self._apply(Seeds(instances))
         self._state.loads_changed.set()
 
     def locatable_instances(self) -> tuple[Instance, ...]:
-        """Return the instances that callers may use, this one included if it is ready."""
+        """Return the live and ready instances that callers may connect to."""
         live = self._members.live
         ready = self._reporting.ready_peers()
         if ready is None:
-            # Large, and no collector is heard: who answers probes is taken for ready.
-            ready = {one.instance_id for one in live if not one.leaving}
+            # A large fleet without a fresh summary of a collector: live instances that are not
+            # leaving count as ready.
+            ready = {instance.instance_id for instance in live if not instance.leaving}
             ready.discard(self.own.instance_id)
         if self._state.is_ready:
             ready.add(self.own.instance_id)
-        return tuple(one for one in live if one.instance_id in ready)
+        return tuple(instance for instance in live if instance.instance_id in ready)
 
     def leave(self) -> None:
-        """Tell peers that this instance stops; collectors name their successors so."""
+        """Announce to peers that this instance stops.
+
+        A collector also announces it in the membership, so that its successor takes over at once.
+        """
         self._reporting.report_now()
         if self._roles.is_collector:
             self._apply(Leave())
 
     def publish_change(self, change: ItemChange[Upstream]) -> None:
-        """Pass a change of an upstream on that the platform has told."""
+        """Forward a change of an upstream from the platform to peers that can't reach it."""
         self._sharing.publish_change(change, self._reporting.peers_without_platform)
 
     def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
-        """Pass on who joined or leaves."""
+        """Publish that an upstream joined or leaves."""
         self._sharing.publish_action(action, from_peer=from_peer)
 
     def publish_suspicion(self, upstream_id: str) -> None:
-        """Tell all that an upstream says itself that it leaves, or that it is gone."""
+        """Publish that a probed upstream has reported to be leaving or has terminated."""
         self._broadcast(self._members.live, UpstreamDoubted(self.own.instance_id, upstream_id))
 
     def publish_signals(self) -> None:
-        """Tell at once what an upstream has signalled; each report and summary repeats it."""
+        """Publish upstreams' signals at once; each report and summary repeats them."""
         self._reporting.publish_now()
 
     def publish_poison_evidence(self) -> None:
-        """Tell which requests ran beside crashes."""
-        self._blame.publish_soon()
+        """Schedule publishing which requests were running during crashes."""
+        self._poison_sharing.publish_soon()
 
     def publish_routing(self, *, from_peer: bool) -> None:
-        """Pass the routing document in force on."""
+        """Publish the routing document in force."""
         self._state.loads_changed.set()
         self._sharing.publish_routing(from_peer=from_peer)
 
     def publish_cordons(self) -> None:
-        """Pass on which zones are cordoned; with each report and summary it is told again."""
+        """Publish the cordoned zones at once; each report and summary repeats them."""
         self._reporting.publish_now()
 
-    def _blame_hearers(self) -> tuple[Instance, ...]:
-        """Return who is told at once of requests beside crashes; collectors pass it on."""
+    def _poison_evidence_recipients(self) -> tuple[Instance, ...]:
+        """Return the recipients of new crash evidence; collectors forward it to the others."""
         roles = self._roles
         if not roles.is_large:
             return self._members.live
@@ -230,103 +234,105 @@
         return roles.own_collectors
 
     def _run_periods(self) -> None:
-        """Let time pass in the member list."""
-        known: tuple[Instance, ...] = ()
+        """Run the timeouts of the membership and the permits, and follow member changes."""
+        last_live: tuple[Instance, ...] = ()
         while True:
             self._apply(Period())
             self._permits.tend()
             live = self._members.live
             self._state.instances.seen(len(live), self._state.now())
-            if live is not known:
-                known = live
+            if live is not last_live:
+                last_live = live
                 if self._state.rate_limiting.limited or self._state.fleet.has_leaving_records:
-                    # One that has just started is to know what upstreams signal before it is ready.
+                    # A newly started instance needs upstreams' signals before it is ready.
                     self._state.loads_changed.set()
-                self._take_roles(FleetRoles.from_fleet(self.own, live))
+                self._update_roles(FleetRoles.from_fleet(self.own, live))
             gevent.sleep(PERIOD_S)
 
-    def _take_roles(self, roles: FleetRoles) -> None:
-        """Take over the roles; after a change of the own one, sums come from others."""
+    def _update_roles(self, roles: FleetRoles) -> None:
+        """Set the roles; discard received sums if they now come from other senders."""
         before, self._roles = self._roles, roles
         if (before.is_large, before.is_collector) == (roles.is_large, roles.is_collector):
             return
         log_event(
             PREFIX_MEMBERSHIP,
-            "This instance collects for its zone" if roles.is_collector else "This one reports",
+            "This instance collects for its zone"
+            if roles.is_collector
+            else "This instance does not collect for its zone",
             large=roles.is_large,
-            collectors=[one.instance_id for one in roles.own_collectors],
+            collectors=[collector.instance_id for collector in roles.own_collectors],
         )
         self._reporting.forget()
         self._state.set_load_pooling(roles.is_large)
         self._state.loads_changed.set()
 
     def _receive(self, _: str, message: GatewayMessage) -> None:
-        """Take in a peer's message."""
-        self._take(message)
+        """Dispatch a peer's message to its handler."""
+        self._handle(message)
 
     @singledispatchmethod
-    def _take(self, message: GatewayMessage) -> None:
-        """Take in one kind of message."""
+    def _handle(self, message: GatewayMessage) -> None:
+        """Handle one kind of message; raise TypeError if it has no handler."""
         raise TypeError(f"no handler for {type(message).__name__}")
 
-    @_take.register(Ping)
-    @_take.register(Ack)
-    @_take.register(PingRequest)
+    @_handle.register(Ping)
+    @_handle.register(Ack)
+    @_handle.register(PingRequest)
     def _(self, message: Ping | Ack | PingRequest) -> None:
         self._apply(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: RoutingAsked) -> None:
         self._sharing.handle_routing_request(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: RoutingOffered) -> None:
         self._sharing.handle_routing_offer(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: FleetAsked) -> None:
         self._sharing.handle_fleet_request(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: FleetOffered) -> None:
         self._sharing.handle_fleet_offer(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: UpstreamNews) -> None:
         self._sharing.handle_upstream_update(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: UpstreamDoubted) -> None:
         self._sharing.handle_suspicion(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: PlacementAsked) -> None:
         self._placer.handle_request(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: PlacementGiven) -> None:
         self._placer.handle_placement(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: PermitAsked) -> None:
         self._permits.answer(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: PermitGiven) -> None:
         self._permits.take_answer(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: PermitCharged) -> None:
         self._permits.charged(message)
 
-    @_take.register
+    @_handle.register
     def _(self, message: BlamesTold) -> None:
-        self._blame.handle_message(message)
+        self._poison_sharing.handle_message(message)
 
-    @_take.register
+    @_handle.register
     def _(self, report: GatewayReport) -> None:
         self._state.on_store_era(report.store_era)
-        self._take_signals(report.rate_limits, report.leaving)
+        self._handle_signals(report.rate_limits, report.leaving)
         self._sharing.handle_cordons(report.cordons)
         self._placer.handle_report(report.sender)
         if self._reporting.record_report(report):
@@ -335,12 +341,11 @@
         if report.platform_ok:
             self._sharing.request_fleet_if_unknown(report.sender)
 
-    @_take.register
+    @_handle.register
     def _(self, summary: ZoneSummary) -> None:
         self._state.on_store_era(summary.store_era)
-        self._take_signals(summary.rate_limits, summary.leaving)
+        self._handle_signals(summary.rate_limits, summary.leaving)
         self._sharing.handle_cordons(summary.cordons)
-        # A follower knows the platform's list better than any other collector.
         age_s = summary.platform_age_ms / MS
         self._reporting.record_zone_summary(summary)
         self._delegation.record_collector_report(age_s, self._state.now())
@@ -348,13 +353,13 @@
         if not self._roles.is_follower and age_s <= MAX_ANSWER_AGE_S:
             self._sharing.compare_fleet(summary)
 
-    @_take.register
+    @_handle.register
     def _(self, summary: FleetSummary) -> None:
         self._state.on_store_era(summary.store_era)
-        self._take_signals(summary.rate_limits, summary.leaving)
+        self._handle_signals(summary.rate_limits, summary.leaving)
         self._sharing.handle_cordons(summary.cordons)
         if self._roles.is_collector:
-            # Its sender does not know yet that this instance collects now.
+            # The sender does not know yet that this instance has become a collector.
             return
         self._reporting.record_fleet_summary(summary)
         self._delegation.record_collector_report(summary.platform_age_ms / MS, self._state.now())
@@ -363,18 +368,18 @@
         if self._delegation.is_delegated(self._state.now()):
             self._sharing.compare_fleet(summary)
 
-    def _take_signals(
+    def _handle_signals(
         self, limits: tuple[RateLimit, ...], leaving: tuple[LeavingRecord, ...]
     ) -> None:
-        """Take in what upstreams have signalled to peers; collectors pass news on at once."""
-        has_news = self._state.rate_limiting.heard(limits)
+        """Record the signals that peers report; a collector publishes new ones at once."""
+        has_new_signal = self._state.rate_limiting.heard(limits)
         for record in leaving:
-            has_news |= self._intake.record_leaving(record)
-        if has_news and self._roles.is_collector:
+            has_new_signal |= self._handlers.record_leaving(record)
+        if has_new_signal and self._roles.is_collector:
             self._reporting.publish_now()
 
     def _apply(self, event: MembershipEvent) -> None:
-        """Hand an event to the member list and send what it wants sent."""
+        """Apply an event to the membership; send its messages and log health changes."""
         for action in self._members.handle(event, self._state.now()):
             if isinstance(action, SendTo):
                 self._send(action.recipient, action.message)
@@ -382,14 +387,16 @@
                 log_event(PREFIX_MEMBERSHIP, f"Instance {action.instance_id} is {action.health}")
 
     def _send(self, recipient: str, message: GatewayMessage) -> None:
-        """Send to a known instance."""
+        """Send a message to an instance if its address is known."""
         address = self._members.address_of(recipient)
         if address is not None:
             self._links.send(recipient, address, message)
 
     def _broadcast(self, recipients: Iterable[Instance], message: GatewayMessage) -> None:
-        """Send one message to many."""
+        """Send one message to several instances except this one."""
         own_id = self.own.instance_id
-        addresses = [one.peer_address for one in recipients if one.instance_id != own_id]
+        addresses = [
+            recipient.peer_address for recipient in recipients if recipient.instance_id != own_id
+        ]
         if addresses:
             self._links.broadcast(addresses, message)
