--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -246,7 +246,7 @@
         has_announced_stop = False
         while not self._drain.is_finished:
             gevent.sleep(PERIOD_S)
-            self._upstreams.period()
+            self._upstreams.handle_timer()
             suspended_s = _log_suspension(suspended_s)
             self.state.stats.platform_calls = self._access.call_count()
             if self.state.stopping_since is not None and not has_announced_stop:
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -296,7 +296,7 @@
         self._apply(StoreRestored())
         self._announce()
 
-    def period(self) -> None:
+    def handle_timer(self) -> None:
         """Handle the periodic timer: expire entries and back-offs."""
         self._apply(Period())
         self._state.cold.forget_ended(self._state.now())
