--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -38,7 +38,7 @@
 from driftstall.decisions.fairness import FairQueue, Waiting
 from driftstall.decisions.isolation import LONG_PREFILL_TOKENS, LongPrefillSet, RunnerLoad
 from driftstall.decisions.lengths import LengthModel
-from driftstall.decisions.memory import MemoryForecast, hold_of, quantile
+from driftstall.decisions.memory import MemoryForecast, forecast_request, quantile
 from driftstall.decisions.retry_schedule import (
     GRACE_S,
     retry_after,
@@ -176,7 +176,7 @@
             self._limits.settle(request, cost, 0.0)
             self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
             return
-        hold = hold_of(self._lengths, request, 0)
+        hold = forecast_request(self._lengths, request, 0)
         item = Waiting(event.entry, request, verdict, cost, now, output, hold, event.avoid)
         self._queues_by_rank.push(item)
 
@@ -188,7 +188,7 @@
         grant = OpenGrant(event.entry, event.request, event.verdict, event.runner_id, now, 0)
         grant.produced = event.produced
         grant.running_since = now
-        addition = hold_of(self._lengths, event.request, event.produced)
+        addition = forecast_request(self._lengths, event.request, event.produced)
         self._open(runner, grant, addition, now)
 
     @_apply.register
@@ -497,7 +497,7 @@
             runner = self._runners.get(grant.runner_id)
             if runner is None or grant.verdict.rank > blocked:
                 continue
-            addition = hold_of(self._lengths, grant.request, grant.produced)
+            addition = forecast_request(self._lengths, grant.request, grant.produced)
             limit = runner.memory - self._registry.headroom(grant.verdict.rank, now)
             if not runner.forecast.fits(addition, self._registry.deviations, limit):
                 continue
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -7,7 +7,7 @@
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.core import PrefixMark
 from driftstall.decisions.lengths import LengthModel
-from driftstall.decisions.memory import MemoryForecast, hold_of, total
+from driftstall.decisions.memory import MemoryForecast, forecast_request, total
 from driftstall.decisions.retry_schedule import ServiceRate
 
 REFRESH_INTERVAL_S: Final = 0.25
@@ -137,7 +137,7 @@
 
     def _hold_of(self, grant: OpenGrant) -> MemoryForecast:
         """Forecast the memory of one grant."""
-        return hold_of(self._lengths, grant.request, grant.produced)
+        return forecast_request(self._lengths, grant.request, grant.produced)
 
     def _set_hold(self, runner: RunnerState, hold: MemoryForecast) -> None:
         """Store a runner's forecast and its peak, which is read most often."""
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -64,7 +64,7 @@
 ZERO_FORECAST: Final = MemoryForecast((0.0,) * len(HORIZONS), (0.0,) * len(HORIZONS))
 
 
-def hold_of(lengths: LengthModel, request: Request, produced: int) -> MemoryForecast:
+def forecast_request(lengths: LengthModel, request: Request, produced: int) -> MemoryForecast:
     """Forecast the memory that one generation holds."""
     return total(lengths, ((request, produced),))
 
