--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -29,7 +29,7 @@
 off is to know within three seconds of its return."""
 STARTUP_S: Final = 5.0
 """For so long after its start an instance asks others what they know."""
-FRESH_EVERY_S: Final = 0.5
+STARTUP_EXCHANGE_INTERVAL_S: Final = 0.5
 FRESH_ASKED: Final = 2
 """Instances that a fresh one asks at a time; one of them may be as fresh, or dead."""
 
@@ -109,7 +109,7 @@
         """Exchange with others again and again."""
         while True:
             is_fresh = self._now() - self._started_at < STARTUP_S
-            gevent.sleep(FRESH_EVERY_S if is_fresh else EXCHANGE_INTERVAL_S)
+            gevent.sleep(STARTUP_EXCHANGE_INTERVAL_S if is_fresh else EXCHANGE_INTERVAL_S)
             told = self._tracker.reports(self._now())
             if not told and not is_fresh:
                 continue
