--- a/driftstall/gateway/cordons.py
+++ b/driftstall/gateway/cordons.py
@@ -12,7 +12,7 @@
 
 from driftstall.decisions.store_versions import NO_VERSION, StoreVersion
 
-UNREAD: Final = NO_VERSION
+NEVER_READ: Final = NO_VERSION
 """Version of a list that was never read."""
 
 
@@ -28,7 +28,7 @@
 class Cordons:
     """All cordons as of a store version."""
 
-    at: StoreVersion = UNREAD
+    at: StoreVersion = NEVER_READ
     cordons: tuple[Cordon, ...] = ()
 
 
@@ -50,12 +50,12 @@
     def __init__(self) -> None:
         """Initialize without cordons."""
         self._revisions: dict[str, StoreVersion] = {}
-        self._at = UNREAD
+        self._at = NEVER_READ
 
     @property
     def is_loaded(self) -> bool:
         """Return True if a list was ever read, by this instance or by a peer."""
-        return self._at != UNREAD
+        return self._at != NEVER_READ
 
     @property
     def zones(self) -> frozenset[str]:
@@ -101,7 +101,7 @@
         """Add a cordon, unless it is known to be lifted since."""
         known = self._revisions.get(cordon.zone)
         if known is not None or cordon.revision > self._at:
-            self._revisions[cordon.zone] = max(known or UNREAD, cordon.revision)
+            self._revisions[cordon.zone] = max(known or NEVER_READ, cordon.revision)
 
 
 def _difference(before: frozenset[str], after: frozenset[str]) -> CordonsChanged:
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -49,7 +49,7 @@
 
 
 class FleetController(UpstreamRegistry):
-    """Apply fleet events to the registry and return the resulting actions."""
+    """Applies fleet events to the registry and returns the resulting actions."""
 
     def __init__(self) -> None:
         """Initialize an empty fleet."""
@@ -79,7 +79,7 @@
 
     @_on.register
     def _(self, event: Listed, now: float) -> None:
-        self._read = True
+        self._is_loaded = True
         self._store_read_to = max(self._store_read_to, event.at)
         listed = {upstream.name for upstream in event.upstreams}
         since = now - event.store_silence_s
@@ -95,7 +95,7 @@
 
     @_on.register
     def _(self, event: ListedByPeer, now: float) -> None:
-        self._read = True
+        self._is_loaded = True
         listed = {upstream.name for upstream in event.upstreams}
         if event.at >= self._peer_list_at:
             self._peer_list_at = event.at
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -81,27 +81,27 @@
 
     @property
     def is_answered(self) -> bool:
-        """Return True if the platform answers this instance on both feeds."""
+        """Return True if the latest call of each feed was answered and the upstreams are read."""
         feeds = (self._routing, self._upstreams)
-        if any(one.follower.is_unanswered for one in feeds):
+        if any(feed.follower.is_unanswered for feed in feeds):
             return False
         return self._upstreams.follower.current
 
     @property
     def is_silent(self) -> bool:
-        """Return True if neither this instance nor its followers may be answered by the platform.
+        """Return True if the platform may answer neither this instance nor its delegates.
 
         One failed call is enough: from then on engines may leave unnoticed, and probing them is
         cheap.
         """
         if not self._roles().is_large:
             return not self.is_answered
-        if self._is_first_to_miss():
+        if self._is_first_without_platform():
             return True
         is_delegated = self._delegation.is_delegated(self._now())
         return not is_delegated and self._upstreams.pacing.age_s > MAX_ANSWER_AGE_S
 
-    def _is_first_to_miss(self) -> bool:
+    def _is_first_without_platform(self) -> bool:
         """Return True if this instance is a follower that lost the platform before its peers did.
 
         Peers rely on its reports up to a certain age; beyond it they are served by other followers
@@ -118,7 +118,7 @@
         """
         live = self._live()
         if self._roles().is_large:
-            return () if self._is_first_to_miss() else live
+            return () if self._is_first_without_platform() else live
         if self.is_answered:
             return live
         without_platform = self._peers_without_platform()
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -55,13 +55,13 @@
         self._signalled = LeavingRegistry()
         self._cordoned: frozenset[str] = frozenset()
         self._at = NO_VERSION
-        self._read = False
+        self._is_loaded = False
         self._digest: int | None = None
 
     @property
     def is_loaded(self) -> bool:
         """Return True if a list was ever read, from the platform or a peer."""
-        return self._read
+        return self._is_loaded
 
     @property
     def at(self) -> StoreVersion:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -40,8 +40,6 @@
 collectors; an instance has at least three seconds to catch up after a cut."""
 OUTAGE_POLL_INTERVAL_S: Final = 4.0
 """Mean pause between further calls of an instance during an outage, to avoid a call storm."""
-
-
 WATCH_JITTER: Final = 0.5
 """Share of an idle watch's timeout that is randomized."""
 
@@ -116,7 +114,7 @@
         self._now = now
         self._answered_at = float("-inf")
         self._silence_s = 0.0
-        self._longest_wait = max_watch_s
+        self._max_watch_s = max_watch_s
         self._settled_at = now() + settle_s
 
     @property
@@ -148,12 +146,12 @@
 
     def watch_timeout_s(self) -> float:
         """Return the timeout of an idle watch, in seconds."""
-        longest_s = self._longest_wait()
+        max_watch_s = self._max_watch_s()
         if self._roles().is_large:
-            return min(LARGE_FLEET_WATCH_S, longest_s)
+            return min(LARGE_FLEET_WATCH_S, max_watch_s)
         # An update wakes all instances at once. If their next watches also timed out together,
         # all of them would notice a silence that begins meanwhile only then.
-        return longest_s * (1.0 - WATCH_JITTER * self._source.random())
+        return max_watch_s * (1.0 - WATCH_JITTER * self._source.random())
 
     def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls, in seconds."""
