--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -191,7 +191,7 @@
             self.state,
             own_id=settings.instance_id,
             live=lambda: self._peering.live,
-            on_restored=self._upstreams.store_returned,
+            on_restored=self._upstreams.handle_store_restored,
             on_settled=self._relist_all,
         )
         self._policy_persistence = PolicyPersistence(self._policies, access.policy)
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -291,7 +291,7 @@
         self._apply(PlatformReachable())
         self._announce()
 
-    def store_returned(self) -> None:
+    def handle_store_restored(self) -> None:
         """Handle that the store was restored from an older copy."""
         self._apply(StoreRestored())
         self._announce()
