--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -476,7 +476,7 @@
         """Return a grant as a candidate for preemption."""
         held = grant.held_tokens
         ahead = 64
-        chance = self._lengths.keeps_going(grant.request, grant.produced, ahead)
+        chance = self._lengths.survival_probability(grant.request, grant.produced, ahead)
         remaining = 0.0 if grant.paused else self._lengths.expected(grant.request) * chance
         return Candidate(
             grant.request.request_id,
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -20,7 +20,7 @@
     grows: bool
     """Whether the memory held grows with each token."""
 
-    def keeps_going(self, request: Request, produced: int, ahead: int) -> float:
+    def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Return the chance that the output outlives ahead more tokens."""
 
     def chances(self, request: Request, produced: int) -> tuple[float, ...]:
@@ -65,9 +65,9 @@
         found = self._classes[key] = Survival(kind)
         return found
 
-    def keeps_going(self, request: Request, produced: int, ahead: int) -> float:
+    def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Return the chance that the output outlives ahead more tokens."""
-        return self._class_of(request).keeps_going(produced, ahead, request.max_tokens)
+        return self._class_of(request).survival_probability(produced, ahead, request.max_tokens)
 
     def chances(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the chance that the output still runs at each horizon."""
@@ -103,7 +103,7 @@
 
     grows = False
 
-    def keeps_going(self, request: Request, produced: int, ahead: int) -> float:
+    def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Assume that every output runs on."""
         return 1.0
 
@@ -135,7 +135,7 @@
         """Take the true output length of each request id."""
         self._lengths = lengths
 
-    def keeps_going(self, request: Request, produced: int, ahead: int) -> float:
+    def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Return one until the true end, then zero."""
         return 1.0 if produced + ahead < self._lengths[request.request_id] else 0.0
 
--- a/driftstall/decisions/survival.py
+++ b/driftstall/decisions/survival.py
@@ -111,7 +111,7 @@
         share = position - bucket
         return self._table[bucket] * (1 - share) + self._table[bucket + 1] * share
 
-    def keeps_going(self, produced: int, ahead: int, cap: int) -> float:
+    def survival_probability(self, produced: int, ahead: int, cap: int) -> float:
         """Return the chance to still run after ahead more tokens."""
         if produced + ahead >= cap:
             return 0.0
