--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -30,7 +30,7 @@
 STARTUP_S: Final = 5.0
 """For so long after its start an instance asks others what they know."""
 STARTUP_EXCHANGE_INTERVAL_S: Final = 0.5
-FRESH_ASKED: Final = 2
+STARTUP_EXCHANGE_PEERS: Final = 2
 """Instances that a fresh one asks at a time; one of them may be as fresh, or dead."""
 
 
@@ -115,7 +115,7 @@
                 continue
             live = self._transport.live()
             others = [one.instance_id for one in live if one.instance_id != self._own_id]
-            count = min(len(others), FRESH_ASKED if is_fresh else 1)
+            count = min(len(others), STARTUP_EXCHANGE_PEERS if is_fresh else 1)
             for instance_id in self._source.sample(others, count):
                 self._transport.send(instance_id, BlamesTold(self._own_id, told, asks=True))
 
