--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -329,12 +329,12 @@
 
     def _handle_leaving_signal(self, upstream_id: str) -> None:
         """Record that an upstream has signalled to leave, and publish it to peers at once."""
-        if self._upstreams.signalled_leaving(upstream_id):
+        if self._upstreams.handle_leaving_signal(upstream_id):
             self._peering.publish_signals()
 
     def _record_leaving_report(self, record: LeavingRecord) -> bool:
         """Record a leaving signal that a peer reports; return whether it was new."""
-        return self._upstreams.signalled_leaving(record.upstream_id, record.ago_ms / MS)
+        return self._upstreams.handle_leaving_signal(record.upstream_id, record.ago_ms / MS)
 
     def _publish_routing(self, *, from_peer: bool) -> None:
         """Publish the routing document in force to peers."""
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -264,7 +264,7 @@
         """Handle an upstream that a probe found leaving or ended."""
         self._apply(UpstreamSuspected(upstream_id))
 
-    def signalled_leaving(self, upstream_id: str, ago_s: float = 0.0) -> bool:
+    def handle_leaving_signal(self, upstream_id: str, ago_s: float = 0.0) -> bool:
         """Handle an upstream's signal that it is leaving; return True if the signal was new.
 
         The age of the response, ago_s, is in seconds; it is set if a peer received the response.
