--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -23,7 +23,7 @@
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Return the chance that the output outlives ahead more tokens."""
 
-    def chances(self, request: Request, produced: int) -> tuple[float, ...]:
+    def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the chance that the output still runs at each horizon."""
 
     def expected(self, request: Request) -> float:
@@ -69,9 +69,9 @@
         """Return the chance that the output outlives ahead more tokens."""
         return self._class_of(request).survival_probability(produced, ahead, request.max_tokens)
 
-    def chances(self, request: Request, produced: int) -> tuple[float, ...]:
+    def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the chance that the output still runs at each horizon."""
-        row = self._class_of(request).chances(produced, HORIZONS)
+        row = self._class_of(request).survival_probabilities(produced, HORIZONS)
         left = request.max_tokens - produced
         if left > HORIZONS[-1]:
             return row
@@ -107,7 +107,7 @@
         """Assume that every output runs on."""
         return 1.0
 
-    def chances(self, request: Request, produced: int) -> tuple[float, ...]:
+    def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the chance that the output still runs at each horizon."""
         return (1.0,) * len(HORIZONS)
 
@@ -139,7 +139,7 @@
         """Return one until the true end, then zero."""
         return 1.0 if produced + ahead < self._lengths[request.request_id] else 0.0
 
-    def chances(self, request: Request, produced: int) -> tuple[float, ...]:
+    def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the chance that the output still runs at each horizon."""
         left = self._lengths[request.request_id] - produced
         return tuple([1.0 if ahead < left else 0.0 for ahead in HORIZONS])
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -76,9 +76,9 @@
     steps = _STEPS if lengths.grows else _NO_STEPS
     for request, produced in generations:
         held_now = lengths.held_now(request, produced)
-        chances = lengths.chances(request, produced)
+        survival_probabilities = lengths.survival_probabilities(request, produced)
         for index, ahead in steps:
-            chance = chances[index]
+            chance = survival_probabilities[index]
             if chance > 0.0:
                 held = held_now + ahead
                 means[index] += chance * held
--- a/driftstall/decisions/survival.py
+++ b/driftstall/decisions/survival.py
@@ -128,7 +128,7 @@
             known = self._means[cap] = self._mean(cap)
         return known
 
-    def chances(self, produced: int, horizons: tuple[int, ...]) -> tuple[float, ...]:
+    def survival_probabilities(self, produced: int, horizons: tuple[int, ...]) -> tuple[float, ...]:
         """Return the chance to still run at each horizon; lengths are rounded a little."""
         self._refresh()
         place = int(math.log(produced) / _LOG_GROWTH * ROUNDING) if produced > 1 else 0
