--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -12,7 +12,7 @@
 from driftstall.daemon.membership_service import MembershipService
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.permits import scaled_limit
-from driftstall.helpers.permits import Permits
+from driftstall.helpers.permits import PermitCoordinator
 from driftstall.helpers.rate_limiting import RateLimiting
 from driftstall.peers.permit_messages import (
     PermitAsked,
@@ -38,7 +38,7 @@
         self.limits = RateLimiting(
             hub.stats, instances=lambda: self._count.value, now=hub.now, pause=gevent.sleep
         )
-        self._permits = Permits(
+        self._permits = PermitCoordinator(
             hub.own.instance_id,
             self.limits,
             now=hub.now,
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -38,7 +38,7 @@
 from driftstall.gateway.stream_placer import StreamPlacer
 from driftstall.gateway.watch_delegation import MAX_ANSWER_AGE_S, WatchDelegation
 from driftstall.helpers.log import log_event
-from driftstall.helpers.permits import Permits
+from driftstall.helpers.permits import PermitCoordinator
 from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.codec import kinds_of
@@ -123,7 +123,7 @@
         )
         self._placer = StreamPlacer(state, roles=lambda: self._roles, send=self._send)
         state.request_placement = self._placer.place
-        self._permits = Permits(
+        self._permits = PermitCoordinator(
             self.own.instance_id,
             state.rate_limiting,
             now=state.now,
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -29,7 +29,7 @@
 MS: Final = 1000
 
 
-class Permits:
+class PermitCoordinator:
     """Ask for permits, and give them."""
 
     def __init__(
