--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -100,30 +100,30 @@
 
     def serve(self) -> UpstreamResponse | Problem:
         """Return the answer, or the problem where there is none."""
-        tries = _Tries(SendHistory(self._admitted.route.max_runs))
+        attempts = _Tries(SendHistory(self._admitted.route.max_runs))
         while True:
-            problem = self._stop_reason(tries)
+            problem = self._stop_reason(attempts)
             if problem is not None:
-                return tries.answer or problem
-            refusal = crash_refusal(self._state, self._admitted, tries.history.ran)
+                return attempts.answer or problem
+            refusal = crash_refusal(self._state, self._admitted, attempts.history.ran)
             if refusal is not None:
-                return tries.answer or self._unsent(tries, refusal)
-            option = self._choose(tries)
+                return attempts.answer or self._unsent(attempts, refusal)
+            option = self._choose(attempts)
             if isinstance(option, Problem):
-                return tries.answer or option
-            if tries.history.has_arrived and not self._budget_allows():
-                return tries.answer or self._unserved(tries)
-            result = self._send(option.upstream, tries)
+                return attempts.answer or option
+            if attempts.history.has_arrived and not self._budget_allows():
+                return attempts.answer or self._unserved(attempts)
+            result = self._send(option.upstream, attempts)
             if result is not None:
                 return result
 
-    def _choose(self, tries: _Tries) -> Option | Problem:
+    def _choose(self, attempts: _Tries) -> Option | Problem:
         """Return the upstream to try; wait a little for one that is cold.
 
         Where the wait would be longer the caller is told at once when to come back.
         """
         gate, service = self._state.cold_gate, self._admitted.service.name
-        avoid = frozenset(tries.avoid)
+        avoid = frozenset(attempts.avoid)
         options = self._state.options(service, avoid) or self._state.draining_options(
             service, avoid
         )
@@ -131,8 +131,8 @@
         if option is not None:
             gate.record_send(option.upstream)
             return option
-        if not options or tries.history.ran is not Ran.NOT_RUN:
-            return self._unserved(tries)
+        if not options or attempts.history.ran is not Ran.NOT_RUN:
+            return self._unserved(attempts)
         unlimited = [one for one in options if not one.is_limited]
         if not unlimited:
             ids = [one.upstream.upstream_id for one in options]
@@ -164,13 +164,13 @@
         until = self._admitted.started_at + WAIT_FOR_TURN_SHARE * self._admitted.route.target_s
         return until - self._state.now()
 
-    def _stop_reason(self, tries: _Tries) -> Problem | None:
+    def _stop_reason(self, attempts: _Tries) -> Problem | None:
         """Return why no further upstream is tried, if so."""
         if self._caller_gone or self._left() <= 0:
             detail = "the time for this request is over"
-            return Problem(CODE_DEADLINE, 504, detail, tries.history.ran)
-        if not tries.history.can_restart or tries.history.sends >= MAX_SENDS:
-            return self._unserved(tries)
+            return Problem(CODE_DEADLINE, 504, detail, attempts.history.ran)
+        if not attempts.history.can_restart or attempts.history.sends >= MAX_SENDS:
+            return self._unserved(attempts)
         return None
 
     def _budget_allows(self) -> bool:
@@ -178,36 +178,36 @@
         marks = self._admitted.marks
         return self._state.try_take_retry(self._admitted.service.name, marks.request_id)
 
-    def _send(self, upstream: Upstream, tries: _Tries) -> UpstreamResponse | None:
+    def _send(self, upstream: Upstream, attempts: _Tries) -> UpstreamResponse | None:
         """Try one upstream; return the final answer, or None to go on."""
-        tries.avoid.add(upstream.upstream_id)
-        first = not tries.history.has_arrived
-        tries.history.begin(upstream.upstream_id)
+        attempts.avoid.add(upstream.upstream_id)
+        first = not attempts.history.has_arrived
+        attempts.history.begin(upstream.upstream_id)
         started = self._state.now()
-        result = self._exchange_with(upstream, tries, first=first)
+        result = self._exchange_with(upstream, attempts, first=first)
         seconds = self._state.now() - started
         outcome = result.outcome if isinstance(result, SendFailure) else _outcome_of(result)
         if not self._caller_gone:
             self._state.record_outcome(upstream.upstream_id, upstream.service, outcome, seconds)
-        self._log_send(upstream, outcome, seconds, tries)
+        self._log_send(upstream, outcome, seconds, attempts)
         if isinstance(result, SendFailure):
-            tries.history.end(result.fate)
+            attempts.history.end(result.fate)
             if result.broke and not self._caller_gone:
                 run = BrokenRun(
                     self._admitted.marks.request_id, self._admitted.fingerprint, under_way=False
                 )
                 self._state.on_run_broken(upstream, run)
-            tries.failure = result
+            attempts.failure = result
             return None
         if outcome is Outcome.GOOD:
             self._state.record_success(self._admitted.fingerprint)
         if outcome is Outcome.GOOD or self._admitted.route.repeat is not Repeat.SAFE:
             return result
-        tries.answer = result
+        attempts.answer = result
         return None
 
     def _exchange_with(
-        self, upstream: Upstream, tries: _Tries, *, first: bool
+        self, upstream: Upstream, attempts: _Tries, *, first: bool
     ) -> UpstreamResponse | SendFailure:
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
@@ -224,7 +224,7 @@
         try:
             if self._caller_gone:
                 return SendFailure(Outcome.GOOD, SendOutcome.UNSENT, "the caller has left")
-            if not self._state.can_start_on(upstream, tries.history.sent_to):
+            if not self._state.can_start_on(upstream, attempts.history.sent_to):
                 detail = "the upstream takes no more requests"
                 return SendFailure(Outcome.NOT_SENT, SendOutcome.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
@@ -281,26 +281,26 @@
         """Return the seconds that are left."""
         return self._admitted.ends_at - self._state.now()
 
-    def _unsent(self, tries: _Tries, refusal: Problem) -> Problem:
+    def _unsent(self, attempts: _Tries, refusal: Problem) -> Problem:
         """Return the refusal, unless the request may have run in this attempt already."""
-        return refusal if tries.history.ran is Ran.NOT_RUN else self._unserved(tries)
+        return refusal if attempts.history.ran is Ran.NOT_RUN else self._unserved(attempts)
 
-    def _unserved(self, tries: _Tries) -> Problem:
+    def _unserved(self, attempts: _Tries) -> Problem:
         """Return the truth about a request that no upstream has answered."""
-        if tries.history.ran is not Ran.NOT_RUN:
+        if attempts.history.ran is not Ran.NOT_RUN:
             detail = "no whole answer came; the request may have run"
             return Problem(CODE_RUNNER_FAILED, 502, detail, Ran.UNKNOWN)
         refusal = backoff_refusal(self._state, self._admitted)
         if refusal is not None:
             return refusal
-        detail = tries.failure.detail if tries.failure else "no upstream takes requests"
+        detail = attempts.failure.detail if attempts.failure else "no upstream takes requests"
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, FULL_RETRY_S)
 
     def _log_send(
-        self, upstream: Upstream, outcome: Outcome, seconds: float, tries: _Tries
+        self, upstream: Upstream, outcome: Outcome, seconds: float, attempts: _Tries
     ) -> None:
         """Log how one send went; good first sends are left to the counters."""
-        if outcome is Outcome.GOOD and tries.history.sends == 1:
+        if outcome is Outcome.GOOD and attempts.history.sends == 1:
             return
         log_event(
             PREFIX_ROUTING,
@@ -309,7 +309,7 @@
             fingerprint=self._admitted.fingerprint,
             route=self._admitted.route.name,
             seconds=round(seconds, 3),
-            sends=tries.history.sends,
+            sends=attempts.history.sends,
             revision=upstream.revision,
         )
 
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -36,14 +36,14 @@
 
     def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
-        tries, history = _Tries(), self._context.history
+        attempts, history = _Tries(), self._context.history
         while history.can_restart and history.sends < MAX_SENDS:
-            result = self._try_one(tries)
+            result = self._try_one(attempts)
             if result is not None:
                 return result
-        return self._unserved(tries)
+        return self._unserved(attempts)
 
-    def _try_one(self, tries: _Tries) -> OpenedResponse | Problem | None:
+    def _try_one(self, attempts: _Tries) -> OpenedResponse | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         context = self._context
         if context.remaining_s() <= 0 or context.is_caller_disconnected:
@@ -55,57 +55,57 @@
         if refusal is not None:
             return refusal
         limits = context.state.rate_limiting
-        ready = self._ready(tries.avoid)
+        ready = self._ready(attempts.avoid)
         waits_s = limits.patience_s(ready, self._patience_s())
         closed = limits.closed(ready, waits_s)
-        if len(closed) == len(ready) and (ready or tries.denied):
+        if len(closed) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
-            return limits.refusal(service, ready or tries.denied, context.request_id)
+            return limits.refusal(service, ready or attempts.denied, context.request_id)
         run = context.placement.place(
-            closed.union(tries.avoid), lambda: context.is_caller_disconnected
+            closed.union(attempts.avoid), lambda: context.is_caller_disconnected
         )
         if run is None:
-            return self._unserved(tries)
+            return self._unserved(attempts)
         refusal = context.refusal()
         if refusal is not None:
             # It was learned while the stream waited for its place.
             context.remove_run(run)
             return refusal
         if context.history.has_arrived and not context.try_take_repeat(run.upstream):
-            return self._unserved(tries)
+            return self._unserved(attempts)
         engine_id = run.upstream.upstream_id
         if not limits.take_turn(engine_id, context.send_need(waits_s), context.request_id):
             context.remove_run(run)
-            tries.avoid.add(engine_id)
-            tries.denied.append(engine_id)
+            attempts.avoid.add(engine_id)
+            attempts.denied.append(engine_id)
             return None
-        return self._send(run, tries)
+        return self._send(run, attempts)
 
-    def _send(self, run: StreamRun, tries: _Tries) -> OpenedResponse | Problem | None:
+    def _send(self, run: StreamRun, attempts: _Tries) -> OpenedResponse | Problem | None:
         """Send the request where it was placed; return None where that one did not take it."""
         context = self._context
         result = context.send(run)
         if isinstance(result, OpenedResponse):
             if not result.marks.not_run:
                 return result
-            tries.detail = f"turned away with {result.head.status}"
+            attempts.detail = f"turned away with {result.head.status}"
             context.record_outcome(run, Outcome.FULL)
         elif result.sent:
             return self._after_break(run, str(result))
         else:
-            tries.detail = str(result)
+            attempts.detail = str(result)
             if context.state.can_start_on(run.upstream, context.history.sent_to):
                 context.record_outcome(run, Outcome.UNREACHABLE)
                 context.state.on_upstream_suspected(run.upstream)
         context.remove_run(run)
-        tries.avoid.add(run.upstream.upstream_id)
+        attempts.avoid.add(run.upstream.upstream_id)
         return None
 
-    def _unserved(self, tries: _Tries) -> Problem:
+    def _unserved(self, attempts: _Tries) -> Problem:
         """Return that no upstream takes the request."""
         ran = self._context.history.ran
         return self._backoff_refusal() or Problem(
-            CODE_NO_RUNNER, 503, tries.detail, ran, FULL_RETRY_S
+            CODE_NO_RUNNER, 503, attempts.detail, ran, FULL_RETRY_S
         )
 
     def _backoff_refusal(self) -> Problem | None:
