--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -45,7 +45,7 @@
 """Sources of routing documents and upstreams, as logged."""
 
 
-class PassAction(Protocol):
+class PublishAction(Protocol):
     """Publishes to peers that an upstream joined or leaves."""
 
     def __call__(self, action: FleetAction, *, from_peer: bool) -> None:
@@ -222,7 +222,7 @@
         *,
         on_leaving: Callable[[Upstream], None],
         publish_change: Callable[[ItemChange[Upstream]], None],
-        publish_action: PassAction,
+        publish_action: PublishAction,
         announce: Callable[[], None],
         store_silence_s: Callable[[], float],
     ) -> None:
