--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -29,7 +29,7 @@
     def expected(self, request: Request) -> float:
         """Return the expected output in tokens."""
 
-    def held_now(self, request: Request, produced: int) -> int:
+    def memory_tokens_now(self, request: Request, produced: int) -> int:
         """Return the memory in tokens held now, or reserved."""
 
     def progressed(self, request: Request, before: int, after: int) -> None:
@@ -82,7 +82,7 @@
         """Return the expected output in tokens."""
         return self._class_of(request).mean(request.max_tokens)
 
-    def held_now(self, request: Request, produced: int) -> int:
+    def memory_tokens_now(self, request: Request, produced: int) -> int:
         """Return the memory in tokens held now."""
         return request.input_tokens + produced
 
@@ -115,7 +115,7 @@
         """Return the cap."""
         return float(request.max_tokens)
 
-    def held_now(self, request: Request, produced: int) -> int:
+    def memory_tokens_now(self, request: Request, produced: int) -> int:
         """Return the whole reservation; closing the grant settles it."""
         return request.input_tokens + request.max_tokens
 
@@ -148,7 +148,7 @@
         """Return the true length."""
         return float(self._lengths[request.request_id])
 
-    def held_now(self, request: Request, produced: int) -> int:
+    def memory_tokens_now(self, request: Request, produced: int) -> int:
         """Return the memory in tokens held now."""
         return request.input_tokens + produced
 
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -75,12 +75,12 @@
     variances = [0.0] * len(HORIZONS)
     steps = _STEPS if lengths.grows else _NO_STEPS
     for request, produced in generations:
-        held_now = lengths.held_now(request, produced)
+        memory_tokens_now = lengths.memory_tokens_now(request, produced)
         survival_probabilities = lengths.survival_probabilities(request, produced)
         for index, ahead in steps:
             chance = survival_probabilities[index]
             if chance > 0.0:
-                held = held_now + ahead
+                held = memory_tokens_now + ahead
                 means[index] += chance * held
                 variances[index] += chance * (1.0 - chance) * held * held
     return MemoryForecast(tuple(means), tuple(variances))
