--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -207,15 +207,15 @@
 def with_policy(context: Any) -> None:
     """Make its pace."""
     context.told_revision = 7
-    context.policy_pace = RevisionWatchPacing(lambda: MEMBER, lambda: context.told_revision > 7)
+    context.policy_pacing = RevisionWatchPacing(lambda: MEMBER, lambda: context.told_revision > 7)
 
 
 @then("it leaves the policies alone until a collector tells of revision 9")
 def until_newer(context: Any) -> None:
     """Compare before and after."""
-    assert context.policy_pace.delay_s() > 0
+    assert context.policy_pacing.delay_s() > 0
     context.told_revision = 9
-    assert context.policy_pace.delay_s() == 0.0
+    assert context.policy_pacing.delay_s() == 0.0
 
 
 @given('the platform tells of an upstream "{name}" at revision {revision:d}')
