--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -69,7 +69,7 @@
     def _tend(self) -> None:
         """Look at who lives, and for which runners this instance is asked."""
         self._count.record(len(self._members.live), self._hub.now())
-        self._permits.tend()
+        self._permits.update_ownership()
 
     def _tell(self) -> None:
         """Tell all peers what is known, if anything is."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -238,7 +238,7 @@
         last_live: tuple[Instance, ...] = ()
         while True:
             self._apply(Period())
-            self._permits.tend()
+            self._permits.update_ownership()
             live = self._members.live
             self._state.instances.seen(len(live), self._state.now())
             if live is not last_live:
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -89,7 +89,7 @@
         else:
             self._send(giver, PermitCharged(self._own_id, limit))
 
-    def tend(self) -> None:
+    def update_ownership(self) -> None:
         """Find out for which upstreams this instance gives permits; to be called often."""
         limited = self._limits.keep_only(self._upstreams)
         mine = {one for one in limited if self._giver(one) == self._own_id}
