--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class _Tries:
+class _Attempts:
     """Hold what was tried for one request."""
 
     history: SendHistory
@@ -100,7 +100,7 @@
 
     def serve(self) -> UpstreamResponse | Problem:
         """Return the answer, or the problem where there is none."""
-        attempts = _Tries(SendHistory(self._admitted.route.max_runs))
+        attempts = _Attempts(SendHistory(self._admitted.route.max_runs))
         while True:
             problem = self._stop_reason(attempts)
             if problem is not None:
@@ -117,7 +117,7 @@
             if result is not None:
                 return result
 
-    def _choose(self, attempts: _Tries) -> Option | Problem:
+    def _choose(self, attempts: _Attempts) -> Option | Problem:
         """Return the upstream to try; wait a little for one that is cold.
 
         Where the wait would be longer the caller is told at once when to come back.
@@ -164,7 +164,7 @@
         until = self._admitted.started_at + WAIT_FOR_TURN_SHARE * self._admitted.route.target_s
         return until - self._state.now()
 
-    def _stop_reason(self, attempts: _Tries) -> Problem | None:
+    def _stop_reason(self, attempts: _Attempts) -> Problem | None:
         """Return why no further upstream is tried, if so."""
         if self._caller_gone or self._left() <= 0:
             detail = "the time for this request is over"
@@ -178,7 +178,7 @@
         marks = self._admitted.marks
         return self._state.try_take_retry(self._admitted.service.name, marks.request_id)
 
-    def _send(self, upstream: Upstream, attempts: _Tries) -> UpstreamResponse | None:
+    def _send(self, upstream: Upstream, attempts: _Attempts) -> UpstreamResponse | None:
         """Try one upstream; return the final answer, or None to go on."""
         attempts.avoid.add(upstream.upstream_id)
         first = not attempts.history.has_arrived
@@ -207,7 +207,7 @@
         return None
 
     def _exchange_with(
-        self, upstream: Upstream, attempts: _Tries, *, first: bool
+        self, upstream: Upstream, attempts: _Attempts, *, first: bool
     ) -> UpstreamResponse | SendFailure:
         """Send the request to one upstream and read its answer; first if none has seen it."""
         request_id = self._admitted.marks.request_id
@@ -281,11 +281,11 @@
         """Return the seconds that are left."""
         return self._admitted.ends_at - self._state.now()
 
-    def _unsent(self, attempts: _Tries, refusal: Problem) -> Problem:
+    def _unsent(self, attempts: _Attempts, refusal: Problem) -> Problem:
         """Return the refusal, unless the request may have run in this attempt already."""
         return refusal if attempts.history.ran is Ran.NOT_RUN else self._unserved(attempts)
 
-    def _unserved(self, attempts: _Tries) -> Problem:
+    def _unserved(self, attempts: _Attempts) -> Problem:
         """Return the truth about a request that no upstream has answered."""
         if attempts.history.ran is not Ran.NOT_RUN:
             detail = "no whole answer came; the request may have run"
@@ -297,7 +297,7 @@
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, FULL_RETRY_S)
 
     def _log_send(
-        self, upstream: Upstream, outcome: Outcome, seconds: float, attempts: _Tries
+        self, upstream: Upstream, outcome: Outcome, seconds: float, attempts: _Attempts
     ) -> None:
         """Log how one send went; good first sends are left to the counters."""
         if outcome is Outcome.GOOD and attempts.history.sends == 1:
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class _Tries:
+class _Attempts:
     """Hold what was tried for one request."""
 
     avoid: set[str] = field(default_factory=set)
@@ -36,14 +36,14 @@
 
     def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
-        attempts, history = _Tries(), self._context.history
+        attempts, history = _Attempts(), self._context.history
         while history.can_restart and history.sends < MAX_SENDS:
             result = self._try_one(attempts)
             if result is not None:
                 return result
         return self._unserved(attempts)
 
-    def _try_one(self, attempts: _Tries) -> OpenedResponse | Problem | None:
+    def _try_one(self, attempts: _Attempts) -> OpenedResponse | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         context = self._context
         if context.remaining_s() <= 0 or context.is_caller_disconnected:
@@ -81,7 +81,7 @@
             return None
         return self._send(run, attempts)
 
-    def _send(self, run: StreamRun, attempts: _Tries) -> OpenedResponse | Problem | None:
+    def _send(self, run: StreamRun, attempts: _Attempts) -> OpenedResponse | Problem | None:
         """Send the request where it was placed; return None where that one did not take it."""
         context = self._context
         result = context.send(run)
@@ -101,7 +101,7 @@
         attempts.avoid.add(run.upstream.upstream_id)
         return None
 
-    def _unserved(self, attempts: _Tries) -> Problem:
+    def _unserved(self, attempts: _Attempts) -> Problem:
         """Return that no upstream takes the request."""
         ran = self._context.history.ran
         return self._backoff_refusal() or Problem(
