--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -52,7 +52,7 @@
         """Publish an action; from_peer is set if a peer reported it."""
 
 
-class PassRouting(Protocol):
+class PublishRouting(Protocol):
     """Publishes the routing document in force to peers."""
 
     def __call__(self, *, from_peer: bool) -> None:
@@ -62,7 +62,7 @@
 class RoutingSource:
     """Puts the newest routing document in force; versions never go back."""
 
-    def __init__(self, state: GatewayState, announce: PassRouting) -> None:
+    def __init__(self, state: GatewayState, announce: PublishRouting) -> None:
         """Initialize with the shared state and the publisher to peers."""
         self._state = state
         self._announce = announce
