--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -199,7 +199,7 @@
         grant.last_report_at = now
         if event.produced <= grant.produced:
             return
-        self._lengths.progressed(grant.request, grant.produced, event.produced)
+        self._lengths.record_progress(grant.request, grant.produced, event.produced)
         grant.produced = event.produced
 
     @_apply.register
@@ -440,7 +440,7 @@
         """Release a grant's memory and update the length model with its output."""
         self._paused.pop(event.request_id, None)
         if event.produced > grant.produced:
-            self._lengths.progressed(grant.request, grant.produced, event.produced)
+            self._lengths.record_progress(grant.request, grant.produced, event.produced)
         if event.finished:
             self._lengths.finished(grant.request, event.produced)
         used = grant.request.input_tokens + event.produced
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -32,7 +32,7 @@
     def memory_tokens_now(self, request: Request, produced: int) -> int:
         """Return the memory in tokens held now, or reserved."""
 
-    def progressed(self, request: Request, before: int, after: int) -> None:
+    def record_progress(self, request: Request, before: int, after: int) -> None:
         """Learn that a running output grew."""
 
     def finished(self, request: Request, tokens: int) -> None:
@@ -86,7 +86,7 @@
         """Return the memory in tokens held now."""
         return request.input_tokens + produced
 
-    def progressed(self, request: Request, before: int, after: int) -> None:
+    def record_progress(self, request: Request, before: int, after: int) -> None:
         """Count the output as exposed in the buckets it has newly entered."""
         first = bucket_of(before) + 1 if before else 0
         last = bucket_of(after)
@@ -119,7 +119,7 @@
         """Return the whole reservation; closing the grant settles it."""
         return request.input_tokens + request.max_tokens
 
-    def progressed(self, request: Request, before: int, after: int) -> None:
+    def record_progress(self, request: Request, before: int, after: int) -> None:
         """Learn nothing."""
 
     def finished(self, request: Request, tokens: int) -> None:
@@ -152,7 +152,7 @@
         """Return the memory in tokens held now."""
         return request.input_tokens + produced
 
-    def progressed(self, request: Request, before: int, after: int) -> None:
+    def record_progress(self, request: Request, before: int, after: int) -> None:
         """Learn nothing."""
 
     def finished(self, request: Request, tokens: int) -> None:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -206,7 +206,7 @@
         before = run.tokens
         run.events += events
         run.tokens += events * self._context.placement.engine.event_tokens
-        self._state.lengths.progressed(self._context.request, before, run.tokens)
+        self._state.lengths.record_progress(self._context.request, before, run.tokens)
         if before == 0 or before // ACCOUNT_TOKENS != run.tokens // ACCOUNT_TOKENS:
             self._state.record_run_load(run)
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -55,7 +55,7 @@
     context.lengths = LearnedLengths()
     for number in range(300):
         request = request_of(f"k{number}", "taught")
-        context.lengths.progressed(request, 0, tokens)
+        context.lengths.record_progress(request, 0, tokens)
         context.lengths.finished(request, tokens)
 
 
--- a/measures/capacity.py
+++ b/measures/capacity.py
@@ -256,7 +256,7 @@
     """Return a length model with so many classes."""
     lengths = LearnedLengths()
     for index in range(count):
-        lengths.progressed(request_of(index, count), 0, 10)
+        lengths.record_progress(request_of(index, count), 0, 10)
         lengths.expected(request_of(index, count))
     return lengths
 
