--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -319,7 +319,7 @@
 
     @_handle.register
     def _(self, message: PermitGiven) -> None:
-        self._permits.take_answer(message)
+        self._permits.handle_answer(message)
 
     @_handle.register
     def _(self, message: PermitCharged) -> None:
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -105,7 +105,7 @@
         given = PermitGiven(self._own_id, asked.number, allowed, int(wait_s * MS))
         self._send(asked.sender, given)
 
-    def take_answer(self, given: PermitGiven) -> None:
+    def handle_answer(self, given: PermitGiven) -> None:
         """Take in an answer; one that comes late is of no use any more."""
         waiting = self._waiting.get(given.number)
         if waiting is not None:
