--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -38,12 +38,12 @@
         """Send the request to an upstream that takes it, and read the answer's head."""
         attempts, history = _Attempts(), self._context.history
         while history.can_restart and history.sends < MAX_SENDS:
-            result = self._try_one(attempts)
+            result = self._attempt(attempts)
             if result is not None:
                 return result
         return self._unserved(attempts)
 
-    def _try_one(self, attempts: _Attempts) -> OpenedResponse | Problem | None:
+    def _attempt(self, attempts: _Attempts) -> OpenedResponse | Problem | None:
         """Place the request and send it; return None where another upstream may be tried."""
         context = self._context
         if context.remaining_s() <= 0 or context.is_caller_disconnected:
