--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -40,7 +40,7 @@
 
     def changed(self, change: ItemChange[Cordon]) -> None:
         """Handle one change read from the platform."""
-        changed = self._state.cordons.apply_change(change.item, lifted=change.gone)
+        changed = self._state.cordons.apply_change(change.item, lifted=change.removed)
         self._handle_change(changed, PLATFORM)
 
     def handle_peer_report(self, report: Cordons) -> None:
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -44,7 +44,7 @@
     """One change of an item."""
 
     item: Item
-    gone: bool
+    removed: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -113,12 +113,12 @@
         self._recent = [(at, one) for at, one in self._recent if now - at <= RECENT_S]
         self._recent.append((now, change))
         for peer in peers:
-            self._send(peer, UpstreamNews(self._own_id, change.item, change.gone))
+            self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
     def resend_changes(self, peer: str) -> None:
         """Tell a peer that has just lost the platform what it may have missed."""
         for _, change in self._recent:
-            self._send(peer, UpstreamNews(self._own_id, change.item, change.gone))
+            self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
     def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
         """Tell who joined or leaves.
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -85,7 +85,7 @@
 
     def changed(self, change: ItemChange[RoutingText]) -> None:
         """Handle a changed document; a removed document stays in force."""
-        if not change.gone:
+        if not change.removed:
             self._take(change.item, PLATFORM)
 
     def handle_peer_document(self, text: str) -> None:
@@ -163,7 +163,7 @@
 
     def changed(self, change: ItemChange[PolicyText]) -> None:
         """Handle a changed policy."""
-        if not change.gone:
+        if not change.removed:
             self._take(change.item)
 
     def platform_unreachable(self, cause: str) -> None:
@@ -248,12 +248,12 @@
 
     def changed(self, change: ItemChange[Upstream]) -> None:
         """Handle one change read from the platform."""
-        self._apply(Changed(change.item, change.gone, store_silence_s=self._store_silence_s()))
+        self._apply(Changed(change.item, change.removed, store_silence_s=self._store_silence_s()))
         self._publish_change(change)
 
     def handle_peer_change(self, change: ItemChange[Upstream]) -> None:
         """Handle one change sent by a peer."""
-        self._apply(Changed(change.item, change.gone, from_peer=True), from_peer=True)
+        self._apply(Changed(change.item, change.removed, from_peer=True), from_peer=True)
 
     def handle_peer_list(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle a peer's list of all upstreams that accept requests, as of a version."""
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -10,9 +10,9 @@
 import gevent
 import orjson
 from behave import given, then, when
-from driftstall.decisions.watch_timeouts import ANSWER_MARGIN_S, max_watch_wait_s
 
 from driftstall.decisions.store_versions import StoreVersion
+from driftstall.decisions.watch_timeouts import ANSWER_MARGIN_S, max_watch_wait_s
 from driftstall.exceptions import HistoryUnavailable, PlatformUnavailable, SettingsError
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.feeds import INITIAL_BACKOFF_S, Changes, Follower, ItemChange, Snapshot
@@ -310,7 +310,7 @@
 def says_which(context: Any) -> None:
     """Compare the change."""
     (change,) = context.changes
-    assert change.gone and change.item.upstream_id == "a" and change.item.revision == 7
+    assert change.removed and change.item.upstream_id == "a" and change.item.revision == 7
 
 
 def routing_text(version: int) -> RoutingText:
