--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -38,7 +38,7 @@
 from driftstall.gateway.policy_persistence import PolicyPersistence, StoredPolicy
 from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.registration import InstanceEntries, Registration
-from driftstall.gateway.reports import MAX_AGE_S, MS, PlatformStatus
+from driftstall.gateway.reports import MAX_AGE_S, MS_PER_S, PlatformStatus
 from driftstall.gateway.sharing import PeerUpdateHandlers
 from driftstall.gateway.sources import (
     PolicySource,
@@ -334,7 +334,7 @@
 
     def _record_leaving_report(self, record: LeavingRecord) -> bool:
         """Record a leaving signal that a peer reports; return whether it was new."""
-        return self._upstreams.handle_leaving_signal(record.upstream_id, record.ago_ms / MS)
+        return self._upstreams.handle_leaving_signal(record.upstream_id, record.ago_ms / MS_PER_S)
 
     def _publish_routing(self, *, from_peer: bool) -> None:
         """Publish the routing document in force to peers."""
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -32,7 +32,7 @@
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import FleetAction
 from driftstall.gateway.model import Upstream
-from driftstall.gateway.reports import MS, PlatformStatus, Reporting
+from driftstall.gateway.reports import MS_PER_S, PlatformStatus, Reporting
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing, RoutingNotice
 from driftstall.gateway.state import GatewayState
 from driftstall.gateway.stream_placer import StreamPlacer
@@ -87,7 +87,7 @@
             settings.zone,
             link_mbps=settings.link_mbps,
         )
-        incarnation = int(state.wall() * MS)
+        incarnation = int(state.wall() * MS_PER_S)
         self._members = MembershipController(self.own, incarnation, state.rng)
         key = settings.peer_key.encode()
         kinds = kinds_of(GatewayMessage)
@@ -346,7 +346,7 @@
         self._state.on_store_era(summary.store_era)
         self._handle_signals(summary.rate_limits, summary.leaving)
         self._sharing.handle_cordons(summary.cordons)
-        age_s = summary.platform_age_ms / MS
+        age_s = summary.platform_age_ms / MS_PER_S
         self._reporting.record_zone_summary(summary)
         self._delegation.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
@@ -362,7 +362,9 @@
             # The sender does not know yet that this instance has become a collector.
             return
         self._reporting.record_fleet_summary(summary)
-        self._delegation.record_collector_report(summary.platform_age_ms / MS, self._state.now())
+        self._delegation.record_collector_report(
+            summary.platform_age_ms / MS_PER_S, self._state.now()
+        )
         self.policy_revision = max(self.policy_revision, summary.policy_revision)
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
         if self._delegation.is_delegated(self._state.now()):
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -40,7 +40,7 @@
 """A peer that has not reported for two periods is not located any more."""
 MAX_AGE_S: Final = 60.0
 """Ages beyond this make no difference."""
-MS: Final = 1000
+MS_PER_S: Final = 1000
 
 Broadcast = Callable[[Iterable[Instance], GatewayMessage], None]
 
@@ -252,7 +252,9 @@
     def _least_age(self, platform_status: PlatformStatus) -> float:
         """Return how long ago the platform last answered any collector, in seconds."""
         now = self._state.now()
-        ages = [now - one.at + one.summary.platform_age_ms / MS for one in self._zones.values()]
+        ages = [
+            now - one.at + one.summary.platform_age_ms / MS_PER_S for one in self._zones.values()
+        ]
         return min([platform_status.platform_age_s, *ages])
 
     def _own_ready(self) -> tuple[str, ...]:
@@ -293,4 +295,4 @@
 
 def _milliseconds(age_s: float) -> int:
     """Return an age as it travels."""
-    return int(min(age_s, MAX_AGE_S) * MS)
+    return int(min(age_s, MAX_AGE_S) * MS_PER_S)
