--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -35,7 +35,7 @@
 from driftstall.controllers.rank_queues import RankQueues, WorkspaceLimits
 from driftstall.controllers.runner_registry import RunnerRegistry
 from driftstall.core import Request, Verdict, Weights
-from driftstall.decisions.fairness import FairQueue, Waiting
+from driftstall.decisions.fairness import FairQueue, WaitingRequest
 from driftstall.decisions.isolation import LONG_PREFILL_TOKENS, LongPrefillSet, RunnerLoad
 from driftstall.decisions.lengths import LengthModel
 from driftstall.decisions.memory import MemoryForecast, forecast_request, quantile
@@ -177,7 +177,7 @@
             self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
             return
         hold = forecast_request(self._lengths, request, 0)
-        item = Waiting(event.entry, request, verdict, cost, now, output, hold, event.avoid)
+        item = WaitingRequest(event.entry, request, verdict, cost, now, output, hold, event.avoid)
         self._queues_by_rank.push(item)
 
     @_apply.register
@@ -353,7 +353,7 @@
             return True
         return False
 
-    def _place(self, item: Waiting, now: float) -> Choice | None:
+    def _place(self, item: WaitingRequest, now: float) -> Choice | None:
         """Choose a runner with room for a request; return None if there is none."""
         request, rank = item.request, item.verdict.rank
         headroom = self._registry.headroom(rank, now)
@@ -398,7 +398,7 @@
             output=item.output,
         )
 
-    def _record_long_prefill_wait(self, item: Waiting) -> None:
+    def _record_long_prefill_wait(self, item: WaitingRequest) -> None:
         """Record since when the oldest long prompt has waited for a runner of the set."""
         if (
             self._long_prefill_waiting_since is None
@@ -407,7 +407,7 @@
             self._long_prefill_waiting_since = item.since
             self._long_prefill_max_wait_s = item.verdict.wait_s
 
-    def _grant(self, item: Waiting, choice: Choice, now: float) -> None:
+    def _grant(self, item: WaitingRequest, choice: Choice, now: float) -> None:
         """Open a grant and notify the entry."""
         runner = self._runners[choice.runner_id]
         request = item.request
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from driftstall.core import Request, Verdict
-from driftstall.decisions.fairness import FairQueue, Waiting
+from driftstall.decisions.fairness import FairQueue, WaitingRequest
 from driftstall.decisions.limits import TokenBucket
 from driftstall.decisions.retry_schedule import (
     FLOOR_RATE,
@@ -27,7 +27,7 @@
         self._queues: dict[int, FairQueue] = {}
         self._rates: dict[int, ServiceRate] = {}
         self._reservations: dict[int, QueueReservations] = {}
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, WaitingRequest] = {}
         self._expiry: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
@@ -54,7 +54,7 @@
         """Return the ids of the waiting requests of one entry."""
         return [request_id for request_id, item in self._waiting.items() if item.entry == entry]
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: WaitingRequest) -> None:
         """Queue a request until its maximum wait or its deadline passes."""
         request, verdict = item.request, item.verdict
         self._waiting[request.request_id] = item
@@ -62,21 +62,21 @@
         until = item.since + verdict.wait_s if verdict.may_refuse else request.deadline
         heapq.heappush(self._expiry, (min(until, request.deadline), request.request_id))
 
-    def serve(self, item: Waiting, now: float) -> None:
+    def serve(self, item: WaitingRequest, now: float) -> None:
         """Remove a granted request and charge its workspace."""
         rank = item.verdict.rank
         self._queues[rank].serve(item)
         self._rates.setdefault(rank, ServiceRate(FLOOR_RATE)).add(item.cost, now)
         del self._waiting[item.request.request_id]
 
-    def discard(self, request_id: str) -> Waiting | None:
+    def discard(self, request_id: str) -> WaitingRequest | None:
         """Remove and return a request, or return None if it does not wait."""
         item = self._waiting.pop(request_id, None)
         if item is not None:
             self._queues[item.verdict.rank].discard(item)
         return item
 
-    def pop_expired(self, now: float) -> Iterator[Waiting]:
+    def pop_expired(self, now: float) -> Iterator[WaitingRequest]:
         """Remove and yield the requests whose maximum wait has passed."""
         while self._expiry and self._expiry[0][0] <= now:
             _, request_id = heapq.heappop(self._expiry)
--- a/driftstall/decisions/fairness.py
+++ b/driftstall/decisions/fairness.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingRequest:
     """Hold a request that waits for a grant."""
 
     entry: str
@@ -42,7 +42,7 @@
 
     served: float = 0.0
     cost: float = 0.0
-    waiting: list[tuple[float, int, Waiting]] = field(default_factory=list)
+    waiting: list[tuple[float, int, WaitingRequest]] = field(default_factory=list)
 
 
 class FairQueue:
@@ -76,7 +76,7 @@
         line = self._lines.get(workspace)
         return line.cost if line else 0.0
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: WaitingRequest) -> None:
         """Add a request; within a workspace the oldest asked goes first."""
         line = self._lines.get(item.request.workspace)
         if line is None:
@@ -88,18 +88,18 @@
         self._cost += item.cost
         self._count += 1
 
-    def candidates(self) -> Iterator[Waiting]:
+    def candidates(self) -> Iterator[WaitingRequest]:
         """Yield the next requests in fair order, one for each workspace."""
         for _, workspace in heapq.nsmallest(LOOK_AHEAD, self._order):
             yield self._lines[workspace].waiting[0][2]
 
-    def serve(self, item: Waiting) -> None:
+    def serve(self, item: WaitingRequest) -> None:
         """Take out a request that was granted, and charge its workspace."""
         line = self._lines[item.request.workspace]
         self._virtual = max(self._virtual, line.served)
         self._remove(line, item, charge=item.cost / item.verdict.share)
 
-    def discard(self, item: Waiting) -> bool:
+    def discard(self, item: WaitingRequest) -> bool:
         """Take out a request that no longer waits; return whether it did."""
         line = self._lines.get(item.request.workspace)
         if line is None or all(entry[2] is not item for entry in line.waiting):
@@ -107,7 +107,7 @@
         self._remove(line, item, charge=0.0)
         return True
 
-    def _remove(self, line: _Line, item: Waiting, *, charge: float) -> None:
+    def _remove(self, line: _Line, item: WaitingRequest, *, charge: float) -> None:
         """Take a request out of its line and put the line where it now belongs."""
         workspace = item.request.workspace
         line.waiting = [entry for entry in line.waiting if entry[2] is not item]
@@ -123,7 +123,7 @@
             del self._lines[workspace]
         heapq.heapify(self._order)
 
-    def items(self) -> Iterator[Waiting]:
+    def items(self) -> Iterator[WaitingRequest]:
         """Yield all that wait, in no order."""
         for line in self._lines.values():
             for _, _, item in line.waiting:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -20,7 +20,7 @@
 )
 from driftstall.controllers.grants import GrantsController
 from driftstall.core import PrefixMark
-from driftstall.decisions.fairness import FairQueue, Waiting
+from driftstall.decisions.fairness import FairQueue, WaitingRequest
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.limits import TokenBucket
 from driftstall.decisions.memory import ZERO_FORECAST
@@ -75,9 +75,11 @@
     context.queue.push(_waiting("q", quiet, 1e6))
 
 
-def _waiting(name: str, workspace: str, since: float) -> Waiting:
+def _waiting(name: str, workspace: str, since: float) -> WaitingRequest:
     """Return a waiting request."""
-    return Waiting("entry", request_of(name, workspace), FIRST, 700.0, since, 100.0, ZERO_FORECAST)
+    return WaitingRequest(
+        "entry", request_of(name, workspace), FIRST, 700.0, since, 100.0, ZERO_FORECAST
+    )
 
 
 @then('"{quiet}" is among the first two served')
