--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -323,7 +323,7 @@
 
     @_handle.register
     def _(self, message: PermitCharged) -> None:
-        self._permits.charged(message)
+        self._permits.handle_charge(message)
 
     @_handle.register
     def _(self, message: BlamesTold) -> None:
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -111,7 +111,7 @@
         if waiting is not None:
             waiting.set(given)
 
-    def charged(self, told: PermitCharged) -> None:
+    def handle_charge(self, told: PermitCharged) -> None:
         """Count a call of another instance."""
         self._limits.heard((told.limit,))
         self._charge(told.limit.upstream_id)
