--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -32,7 +32,7 @@
     def __init__(self, context: StreamContext, resuming: StreamResumer) -> None:
         """Take the stream, and who goes on with it where its upstream breaks."""
         self._context = context
-        self._resuming = resuming
+        self._resumer = resuming
 
     def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
@@ -134,7 +134,7 @@
     def _after_break(self, run: StreamRun, detail: str) -> OpenedResponse | Problem:
         """Go on at a copy after a break before the answer's head."""
         self._context.handle_break(run)
-        resumed = self._resuming.resume(run, detail)
+        resumed = self._resumer.resume(run, detail)
         if resumed is not None:
             return resumed
         if self._context.remaining_s() <= 0:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -57,8 +57,8 @@
         self._connection = connection
         self._admitted = admitted
         self._context = StreamContext(state, mover, call, admitted)
-        self._resuming = StreamResumer(self._context)
-        self._opening = StreamOpener(self._context, self._resuming)
+        self._resumer = StreamResumer(self._context)
+        self._opening = StreamOpener(self._context, self._resumer)
         self._order = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
@@ -93,7 +93,7 @@
             if self._context.is_caller_disconnected:
                 return False
             self._context.handle_break(run, broken)
-            resumed = self._resuming.resume(run, str(broken))
+            resumed = self._resumer.resume(run, str(broken))
             if resumed is None:
                 return self._break_off(run, str(broken))
             assert self._context.run is not None
