--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -119,9 +119,9 @@
         self._at = max(self._at, upstream.revision)
         if not event.from_peer:
             self._store_read_to = max(self._store_read_to, upstream.revision)
-        if not event.gone and event.from_peer:
+        if not event.removed and event.from_peer:
             self._apply_late_peer_entry(upstream, now)
-        elif not event.gone:
+        elif not event.removed:
             self._apply_entry(upstream, now, since)
         elif 0 < upstream.born < self._latest_start(upstream.name):
             # The end of an earlier start doesn't concern the current one.
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -33,7 +33,7 @@
     """One entry of the platform's list was changed or removed."""
 
     upstream: Upstream
-    gone: bool
+    removed: bool
     from_peer: bool = False
     """Whether the change was sent by a peer that has been in contact with the platform."""
     store_silence_s: float = 0.0
