--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -29,7 +29,7 @@
     ZoneSummary,
 )
 
-REPORT_EVERY_S: Final = 1.0
+REPORT_INTERVAL_S: Final = 1.0
 REPORT_PAUSE_S: Final = 0.03
 """Changes within this time travel together."""
 LARGE_PAUSE_S: Final = 0.2
@@ -286,7 +286,7 @@
     def _run_reports(self) -> None:
         """Report when something changed, and at least once a period."""
         while True:
-            left = self._reported_at + REPORT_EVERY_S - self._state.now()
+            left = self._reported_at + REPORT_INTERVAL_S - self._state.now()
             self._state.loads_changed.wait(max(0.0, left))
             gevent.sleep(LARGE_PAUSE_S if self._roles().is_large else REPORT_PAUSE_S)
             self._state.loads_changed.clear()
