--- a/driftstall/decisions/yielding.py
+++ b/driftstall/decisions/yielding.py
@@ -28,7 +28,7 @@
     remaining: float
     """Expected tokens still to come."""
     yields: int
-    rested_s: float
+    running_s: float
 
 
 def choose_victim(candidates: Iterable[Candidate], worse_than: int) -> Candidate | None:
@@ -44,7 +44,7 @@
     return (
         candidate.may_yield
         and candidate.yields < MAX_YIELDS
-        and candidate.rested_s >= MIN_REST_S
+        and candidate.running_s >= MIN_REST_S
         and candidate.remaining > NEARLY_DONE_TOKENS
     )
 
