--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -25,7 +25,7 @@
 """Attempts while the platform is unavailable, half a minute in all; peers know the evidence too."""
 
 
-class StoredCrashes(Protocol):
+class CrashStore(Protocol):
     """Access to the stored evidence; each call may raise PlatformUnavailable."""
 
     def read(self) -> tuple[BlameTold, ...]:
@@ -42,7 +42,7 @@
     """Writes and reads the evidence stored in the platform."""
 
     def __init__(
-        self, state: GatewayState, kept: StoredCrashes, roles: Callable[[], FleetRoles]
+        self, state: GatewayState, kept: CrashStore, roles: Callable[[], FleetRoles]
     ) -> None:
         """Initialize with the shared state, the access to the store and a reader of the roles."""
         self._state = state
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon
 from driftstall.gateway.crash_detector import CrashDetector
-from driftstall.gateway.crash_persistence import CrashPersistence, StoredCrashes
+from driftstall.gateway.crash_persistence import CrashPersistence, CrashStore
 from driftstall.gateway.dialect import Dialect
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
@@ -79,7 +79,7 @@
     routing: Feed[RoutingText]
     policies: Feed[PolicyText]
     instances: InstanceEntries
-    crashes: StoredCrashes
+    crashes: CrashStore
     policy: StoredPolicy
     subscribe_store_eras: Callable[[Callable[[int], None]], None]
     """Registers a callback for each new era of the platform's store."""
