--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -315,7 +315,7 @@
 
     @_handle.register
     def _(self, message: PermitAsked) -> None:
-        self._permits.answer(message)
+        self._permits.handle_request(message)
 
     @_handle.register
     def _(self, message: PermitGiven) -> None:
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -95,7 +95,7 @@
         mine = {one for one in limited if self._giver(one) == self._own_id}
         self._allowances.sync(mine, self._now())
 
-    def answer(self, asked: PermitAsked) -> None:
+    def handle_request(self, asked: PermitAsked) -> None:
         """Answer another instance."""
         self._limits.heard((asked.limit,))
         need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
