--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -58,7 +58,7 @@
         self._admitted = admitted
         self._context = StreamContext(state, mover, call, admitted)
         self._resumer = StreamResumer(self._context)
-        self._opening = StreamOpener(self._context, self._resumer)
+        self._opener = StreamOpener(self._context, self._resumer)
         self._order = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
@@ -71,7 +71,7 @@
     def serve(self) -> bool:
         """Serve the stream; return whether the caller's connection can be kept."""
         try:
-            opened = self._opening.open()
+            opened = self._opener.open()
             if isinstance(opened, Problem):
                 return self._answer_problem(opened)
             return self._relay(opened)
