--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -140,7 +140,7 @@
         entry.suspected_until = now + SUSPICION_S
         if entry.leaving_since is None:
             entry.leaving_since = now
-            self._actions.append(UpstreamLeaving(entry.upstream, doubted=True))
+            self._actions.append(UpstreamLeaving(entry.upstream, is_suspected=True))
 
     @_on.register
     def _(self, event: SignalledLeaving, now: float) -> None:
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -111,7 +111,7 @@
     """An upstream will end soon and gets no new requests."""
 
     upstream: Upstream
-    doubted: bool = False
+    is_suspected: bool = False
     """Whether only a probe reports it, and not the platform."""
     signalled: bool = False
     """Whether the upstream has signalled it in a response."""
