--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -262,7 +262,7 @@
             large=roles.is_large,
             collectors=[collector.instance_id for collector in roles.own_collectors],
         )
-        self._reporting.forget()
+        self._reporting.discard_reports()
         self._state.set_load_pooling(roles.is_large)
         self._state.loads_changed.set()
 
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -191,7 +191,7 @@
             budget = self._state.budget(count.service)
             budget.record_peer(FLEET_KEY, count, now, instances=others)
 
-    def forget(self) -> None:
+    def discard_reports(self) -> None:
         """Forget the sums: after a change of roles they come from others."""
         self._heard.clear()
         self._zones.clear()
