--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -58,7 +58,7 @@
 
     def ask(self, limit: RateLimit, need: SendNeed) -> Verdict:
         """Return whether one request may be sent; wait for the answer of who decides."""
-        giver = self._giver(limit.upstream_id)
+        giver = self._owner_id(limit.upstream_id)
         if giver == self._own_id:
             return self._give(limit.upstream_id, need)
         number = next(self._numbers)
@@ -83,7 +83,7 @@
 
     def charge(self, limit: RateLimit) -> None:
         """Count a call to an upstream that is not held back."""
-        giver = self._giver(limit.upstream_id)
+        giver = self._owner_id(limit.upstream_id)
         if giver == self._own_id:
             self._charge(limit.upstream_id)
         else:
@@ -92,7 +92,7 @@
     def update_ownership(self) -> None:
         """Find out for which upstreams this instance gives permits; to be called often."""
         limited = self._limits.keep_only(self._upstreams)
-        mine = {one for one in limited if self._giver(one) == self._own_id}
+        mine = {one for one in limited if self._owner_id(one) == self._own_id}
         self._allowances.sync(mine, self._now())
 
     def handle_request(self, asked: PermitAsked) -> None:
@@ -116,7 +116,7 @@
         self._limits.heard((told.limit,))
         self._charge(told.limit.upstream_id)
 
-    def _giver(self, upstream_id: str) -> str:
+    def _owner_id(self, upstream_id: str) -> str:
         """Return which instance gives permits for an upstream."""
         owner = owner_of(upstream_id, self._live())
         return owner.instance_id if owner else self._own_id
