--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -29,10 +29,10 @@
 class StreamOpener:
     """Have one stream taken by an upstream."""
 
-    def __init__(self, context: StreamContext, resuming: StreamResumer) -> None:
+    def __init__(self, context: StreamContext, resumer: StreamResumer) -> None:
         """Take the stream, and who goes on with it where its upstream breaks."""
         self._context = context
-        self._resumer = resuming
+        self._resumer = resumer
 
     def open(self) -> OpenedResponse | Problem:
         """Send the request to an upstream that takes it, and read the answer's head."""
