--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -329,7 +329,7 @@
         entry.suspected_until = None
         if entry.leaving_since is None:
             entry.leaving_since = since
-            self._actions.append(UpstreamLeaving(entry.upstream, signalled=True))
+            self._actions.append(UpstreamLeaving(entry.upstream, has_signalled=True))
 
     def _rejoin(self, entry: RegistryEntry) -> None:
         """Let an upstream accept requests again, unless it has signalled that it is leaving."""
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -113,7 +113,7 @@
     upstream: Upstream
     is_suspected: bool = False
     """Whether only a probe reports it, and not the platform."""
-    signalled: bool = False
+    has_signalled: bool = False
     """Whether the upstream has signalled it in a response."""
 
 
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -129,7 +129,7 @@
         """
         roles = self._roles()
         leaving = isinstance(action, UpstreamLeaving)
-        if isinstance(action, UpstreamLeaving) and (action.is_suspected or action.signalled):
+        if isinstance(action, UpstreamLeaving) and (action.is_suspected or action.has_signalled):
             # No word of the platform: whoever had it from the upstream tells all by itself.
             return
         if (
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -375,7 +375,7 @@
 
 def _source_of(action: UpstreamLeaving, *, from_peer: bool) -> str:
     """Return the source that reported an upstream as leaving."""
-    if action.is_suspected or action.signalled:
+    if action.is_suspected or action.has_signalled:
         return UPSTREAM
     return PEER if from_peer else PLATFORM
 
