--- a/driftstall/decisions/leaving_signals.py
+++ b/driftstall/decisions/leaving_signals.py
@@ -1,10 +1,10 @@
-"""Remember which upstreams have signalled in a response that they leave.
+"""Track which upstreams have signalled in a response that they are leaving.
 
-Pattern: the notice of an upstream stands in the store, which may be silent or behind, while the
-upstream itself states with each response that it leaves. Such a signal is final for one start of
-an upstream: no entry, no list, no peer and no response without the signal ends it. Each instance
-hears it from the upstream or from a peer, with its age, so that the time to drain runs from the
-first response wherever it was received.
+The notice of an upstream stands in the store, which may be silent or behind, while the upstream
+itself states with each response that it is leaving. Such a signal is final for one start of an
+upstream: no entry, list, peer or response without the signal revokes it. Each instance gets it
+from the upstream or from a peer, with its age, so that the time to drain runs from the first
+response regardless of which instance received it.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from typing import Final
 
 SIGNAL_RETENTION_S: Final = 60.0
-"""How long the signal of an upstream without an entry is kept: peers may tell of it before the
+"""How long the signal of an upstream without an entry is kept: peers may report it before the
 store does, and an entry may come back after its removal."""
-MS: Final = 1000
-LONGEST_AGE_MS: Final = 3_600_000
+MS_PER_S: Final = 1000
+MAX_AGE_MS: Final = 3_600_000
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingRecord:
-    """Tell a peer that an upstream has signalled that it leaves."""
+    """Report to a peer that an upstream has signalled that it is leaving."""
 
     upstream_id: str
     ago_ms: int
-    """Age of the first such response that the sender knows of."""
+    """Age of the first such response known to the sender."""
 
 
 class LeavingRegistry:
-    """Hold the first signal of each upstream, by its id."""
+    """Hold the first leaving signal of each upstream, by its id."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without signals."""
         self._since: dict[str, float] = {}
 
     @property
@@ -46,21 +46,21 @@
         return self._since.get(upstream_id)
 
     def add(self, upstream_id: str, since: float) -> bool:
-        """Add a signal; return whether it is the first of its upstream."""
+        """Add a signal; return True if it is the first of its upstream."""
         if upstream_id in self._since:
             return False
         self._since[upstream_id] = since
         return True
 
     def records(self, now: float) -> tuple[LeavingRecord, ...]:
-        """Return all signals for peers."""
+        """Return all signals, to be published to peers."""
         return tuple(
-            LeavingRecord(upstream_id, min(LONGEST_AGE_MS, int(max(0.0, now - since) * MS)))
+            LeavingRecord(upstream_id, min(MAX_AGE_MS, int(max(0.0, now - since) * MS_PER_S)))
             for upstream_id, since in self._since.items()
         )
 
     def forget_old(self, known_ids: Iterable[str], now: float) -> None:
-        """Forget old signals of upstreams that are not known."""
+        """Forget expired signals of upstreams that are not known."""
         known = frozenset(known_ids)
         for upstream_id, since in list(self._since.items()):
             if upstream_id not in known and now - since > SIGNAL_RETENTION_S:
--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -1,13 +1,15 @@
-"""Remember the limits that upstreams name: requests a second, from all instances together.
-
-Pattern: an upstream in need names its limit with each answer, for as long as it needs one. One
-answer tells one instance, but the limit is the fleet's: so each change is told to all, in an order
-that all agree on. Answers pass each other on their ways. A limit that is stricter counts at once.
-One that is looser, or its end, counts only from an answer to a request that was sent after the
-limit was known: an answer that was under way when the limit was named says nothing of it.
-
-Silence is no end: an upstream that is sent nothing says nothing. A limit is forgotten with its
-upstream; a later start, and who gets the address, are other upstreams.
+"""Track the rate limits that upstreams state: requests a second, from all instances together.
+
+An overloaded upstream states its limit with each response, for as long as it needs one. One
+response reaches one instance, but the limit is the fleet's: so each change is published to all
+instances, in an order on which all agree. Responses may overtake each other. A stricter limit
+takes effect at once. A looser one, or its end, takes effect only with a response to a request that
+was sent after the limit was known: a response that was under way when the limit was stated carries
+no newer information.
+
+Silence does not end a limit, as an upstream that is sent nothing states nothing. A limit is
+forgotten with its upstream; a later start, and a process that takes over the address, are other
+upstreams.
 """
 
 from __future__ import annotations
@@ -17,22 +19,22 @@
 from typing import Final
 
 UNKNOWN_KEPT_S: Final = 10.0
-"""How long a limit is kept of an upstream that is not known here: a fresh instance may hear of
-limits before it hears of upstreams, which takes it two seconds at the most."""
+"""How long the limit of an upstream that is not known here is kept: a new instance may learn of
+limits before it learns of upstreams, which takes two seconds at most."""
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """Hold what one upstream last named."""
+    """Describe the limit that one upstream stated last."""
 
     upstream_id: str
     number: int
-    """Grows with each change; the higher one counts, and of equal ones the stricter."""
+    """Rises with each change; the higher one takes precedence, and of equal ones the stricter."""
     per_s: float | None
-    """Requests a second; None where it names no limit any more."""
+    """Requests a second; None where it no longer states a limit."""
 
     def supersedes(self, other: RateLimit) -> bool:
-        """Tell whether this is to be kept in place of another one of the same upstream."""
+        """Return True if this replaces another limit of the same upstream."""
         if self.number != other.number:
             return self.number > other.number
         return _is_stricter(self.per_s, other.per_s)
@@ -40,44 +42,44 @@
 
 @dataclass(frozen=True, slots=True)
 class _Known:
-    """Hold a limit and when it was learned here."""
+    """Hold a limit and when it became known here."""
 
     limit: RateLimit
     at: float
 
 
 class RateLimitTracker:
-    """Hold what upstreams have named, by their answers here and by peers."""
+    """Hold the limits that upstreams state, from responses and from peers."""
 
     def __init__(self) -> None:
-        """Start with no limit known."""
+        """Initialize without limits."""
         self._known: dict[str, _Known] = {}
 
     @property
     def limited(self) -> dict[str, float]:
         """Return the limits in force, in requests a second, by upstream."""
-        limits = (one.limit for one in self._known.values())
-        return {one.upstream_id: one.per_s for one in limits if one.per_s is not None}
+        limits = (limit.limit for limit in self._known.values())
+        return {limit.upstream_id: limit.per_s for limit in limits if limit.per_s is not None}
 
     @property
     def reports(self) -> tuple[RateLimit, ...]:
-        """Return all that is known, ended limits as well, for peers."""
-        return tuple(one.limit for one in self._known.values())
+        """Return all known limits, including ended ones, to be published to peers."""
+        return tuple(known.limit for known in self._known.values())
 
     def find(self, upstream_id: str) -> RateLimit | None:
-        """Return what an upstream has last named, if it ever has."""
+        """Return the limit that an upstream stated last; None if it never stated one."""
         known = self._known.get(upstream_id)
         return known.limit if known else None
 
     def per_s(self, upstream_id: str) -> float | None:
-        """Return the requests a second that an upstream takes; None if it names no limit."""
+        """Return the requests a second that an upstream accepts; None without a limit."""
         known = self._known.get(upstream_id)
         return known.limit.per_s if known else None
 
     def record_response(
         self, upstream_id: str, per_s: float | None, sent_at: float, now: float
     ) -> bool:
-        """Take in what an answer names to a request sent then; return whether it is new."""
+        """Record the limit stated in a response to a request; return True if it is new."""
         known = self._known.get(upstream_id)
         before = known.limit.per_s if known else None
         if before == per_s:
@@ -88,25 +90,25 @@
         self._known[upstream_id] = _Known(RateLimit(upstream_id, number, per_s), now)
         return True
 
-    def merge(self, told: Iterable[RateLimit], now: float) -> tuple[RateLimit, ...]:
-        """Take in what a peer knows; return what was new."""
-        news = []
-        for one in told:
-            known = self._known.get(one.upstream_id)
-            if known is None or one.supersedes(known.limit):
-                self._known[one.upstream_id] = _Known(one, now)
-                news.append(one)
-        return tuple(news)
+    def merge(self, reports: Iterable[RateLimit], now: float) -> tuple[RateLimit, ...]:
+        """Merge the limits reported by a peer; return those that are new."""
+        changes = []
+        for report in reports:
+            known = self._known.get(report.upstream_id)
+            if known is None or report.supersedes(known.limit):
+                self._known[report.upstream_id] = _Known(report, now)
+                changes.append(report)
+        return tuple(changes)
 
     def keep_only(self, upstream_ids: set[str], now: float) -> None:
-        """Forget upstreams that are gone."""
+        """Forget the limits of removed upstreams."""
         for upstream_id, known in list(self._known.items()):
             if upstream_id not in upstream_ids and now - known.at > UNKNOWN_KEPT_S:
                 del self._known[upstream_id]
 
 
 def _is_stricter(per_s: float | None, other: float | None) -> bool:
-    """Tell whether a limit is lower than another one; none at all is the highest."""
+    """Return True if a limit is lower than another one; no limit is the highest."""
     if per_s is None:
         return False
     return other is None or per_s < other
--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -1,11 +1,13 @@
-"""Order what the platform's store has told, also after it has come back from an older copy.
+"""Order the versions of the platform's store, also after it was restored from an older copy.
 
-Pattern: in a drill the store is away for a moment and comes back from what it held some seconds
-before. Revisions go back then and are given out again, so a revision alone orders nothing. The
-store names its era with each answer; it rises each time. A version is both, compared together.
+In a drill the store is away for a moment and comes back with the content that it held some seconds
+before. Revisions then fall and are given out again, so a revision alone orders nothing. The store
+states its era, which rises with each restore, in every response. A version combines both, and they
+are compared together.
 
-For a moment after its return the store says less than is true. Operators and upstreams write
-theirs again; until then what is missing has not gone, and what the copy still holds may have.
+For a moment after its return the store lacks some entries. Operators and upstreams write theirs
+again; until then a missing entry does not mean that its object was removed, and a listed one may
+have been.
 """
 
 from __future__ import annotations
@@ -13,19 +15,19 @@
 from typing import Final
 
 REVISION_BITS: Final = 48
-"""A store that is changed a thousand times a second gives out so many revisions in 8,900 years."""
+"""A store that changes a thousand times a second uses up this range in 8,900 years."""
 INCOMPLETE_S: Final = 2.5
-"""How long after its return the store may say less than is true: what operators and upstreams had
-written is there again within about two seconds."""
+"""How long after its return the store may be incomplete: operators and upstreams have written
+their entries again within about two seconds."""
 
 REMOVED_RETENTION_S: Final = 8.0
-"""How long an upstream that had left is not used again though the copy lists it. The entry of one
-that has ended goes after three heartbeats of silence, 3.6 s at the users; one that is still listed
-then lives."""
+"""How long an upstream that had left is not used again though the restored copy lists it. The
+entry of an ended upstream is removed after three heartbeats of silence, 3.6 s at the users' site;
+an upstream that is still listed then is live."""
 
 
 class StoreVersion(int):
-    """Hold an era and a revision as one number; a version of a later era is the higher one."""
+    """Hold an era and a revision as one number; a later era makes the higher version."""
 
     __slots__ = ()
 
@@ -36,7 +38,7 @@
 
     @classmethod
     def parse(cls, text: str) -> StoreVersion:
-        """Return the version that a text shows as this class does; raise ValueError for others."""
+        """Return the version of a text in the format of str(); raise ValueError for others."""
         era, point, revision = text.rpartition(".")
         return cls.of(int(era) if point else 0, int(revision))
 
@@ -51,7 +53,7 @@
         return self & ((1 << REVISION_BITS) - 1)
 
     def __str__(self) -> str:
-        """Return it as it is logged: the revision, and the era before it where there is one."""
+        """Return the revision, preceded by the era where there is one."""
         return f"{self.era}.{self.revision}" if self.era else str(self.revision)
 
 
@@ -59,21 +61,21 @@
 
 
 class StoreEras:
-    """Notice that the store has come back from an older copy."""
+    """Detect that the store has come back from an older copy."""
 
     def __init__(self) -> None:
-        """Start without any era known."""
+        """Initialize without a known era."""
         self._era: int | None = None
         self._returned_at = float("-inf")
         self.returns = 0
 
     @property
     def era(self) -> int:
-        """Return the newest era that is known; zero where none is."""
+        """Return the newest known era; zero where none is known."""
         return self._era or 0
 
     def record_era(self, era: int, now: float) -> bool:
-        """Take in an era that the store or a peer has named; return whether the store came back."""
+        """Record an era stated by the store or a peer; return True if the store was restored."""
         before, self._era = self._era, max(era, self.era)
         if before is None or era <= before:
             return False
@@ -82,5 +84,5 @@
         return True
 
     def is_incomplete(self, now: float) -> bool:
-        """Tell whether the store may still say less than is true."""
+        """Return True while entries may still be missing from the restored store."""
         return now - self._returned_at < INCOMPLETE_S
--- a/driftstall/decisions/upstream_signals.py
+++ b/driftstall/decisions/upstream_signals.py
@@ -1,7 +1,7 @@
-"""Define what an upstream signals about itself with a response.
+"""Define the signals that an upstream sends about itself with a response.
 
-A signal is about the upstream, not about the request that was answered. Each kind is a type of
-its own; whoever handles signals dispatches on it.
+A signal concerns the upstream, not the request that was answered. Each kind is a type of its own,
+and signal handlers dispatch on it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingSignal:
-    """Signal that the upstream leaves: it serves on for a short while, then ends."""
+    """Signal that the upstream is leaving: it serves on for a short while, then ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitSignal:
-    """Signal how many requests a second the upstream takes from all instances together."""
+    """Signal how many requests a second the upstream accepts from all instances together."""
 
     per_s: float | None
-    """None where the response names no limit: one named earlier has ended."""
+    """None where the response states no limit: an earlier one has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableSignal:
-    """Hold a signal whose value can't be decoded; nothing follows from it but a log line."""
+    """Hold a signal whose value can't be decoded; it is only logged."""
 
     name: str
     value: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownSignal:
-    """Hold a header that looks like a signal, of a name that is not known."""
+    """Hold the name of a header that looks like a signal but is not known."""
 
     name: str
 
@@ -49,9 +49,9 @@
 
 
 def parse_seconds(value: str) -> float | None:
-    """Return a time in seconds; None unless it is a finite number that is not negative."""
+    """Return a time in seconds; None unless it is finite and not negative."""
     try:
-        found = float(value)
+        seconds = float(value)
     except ValueError:
         return None
-    return found if math.isfinite(found) and found >= 0 else None
+    return seconds if math.isfinite(seconds) and seconds >= 0 else None
