--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -46,7 +46,7 @@
     ) -> None:
         """Initialize with the shared state, the access to the store and a reader of the roles."""
         self._state = state
-        self._kept = kept
+        self._store = kept
         self._roles = roles
 
     def start(self) -> None:
@@ -59,7 +59,7 @@
 
     def handle_cleared(self, fingerprint: str) -> None:
         """Remove the stored evidence on a request that has succeeded."""
-        gevent.spawn(self._run_with_retries, lambda: self._kept.remove(fingerprint))
+        gevent.spawn(self._run_with_retries, lambda: self._store.remove(fingerprint))
 
     def rewrite_all(self) -> None:
         """Store the evidence on all quarantined requests again: the store may have lost it."""
@@ -74,7 +74,7 @@
 
     def _load(self) -> None:
         """Merge the evidence stored in the platform, and publish it to peers if it is new."""
-        reports = self._kept.read()
+        reports = self._store.read()
         if self._state.poison_tracker.merge(reports, self._state.now()):
             log_event(
                 PREFIX_ROUTING, f"The platform lists {len(reports)} requests that crash upstreams"
@@ -85,7 +85,7 @@
         """Store the current evidence on a request."""
         report = self._state.poison_tracker.report_for(fingerprint, self._state.now())
         if report is not None:
-            self._kept.write(report)
+            self._store.write(report)
 
     @staticmethod
     def _run_with_retries(work: Callable[[], None]) -> None:
