--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -60,7 +60,7 @@
         """Return whether one request may be sent; wait for the answer of who decides."""
         giver = self._owner_id(limit.upstream_id)
         if giver == self._own_id:
-            return self._give(limit.upstream_id, need)
+            return self._decide(limit.upstream_id, need)
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
         self._waiting[number] = answer
@@ -99,7 +99,7 @@
         """Answer another instance."""
         self._limits.heard((asked.limit,))
         need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
-        verdict = self._give(asked.limit.upstream_id, need)
+        verdict = self._decide(asked.limit.upstream_id, need)
         allowed = isinstance(verdict, Permit)
         wait_s = verdict.wait_s if isinstance(verdict, Permit) else verdict.retry_in_s
         given = PermitGiven(self._own_id, asked.number, allowed, int(wait_s * MS))
@@ -121,7 +121,7 @@
         owner = owner_of(upstream_id, self._live())
         return owner.instance_id if owner else self._own_id
 
-    def _give(self, upstream_id: str, need: SendNeed) -> Verdict:
+    def _decide(self, upstream_id: str, need: SendNeed) -> Verdict:
         """Give or refuse a permit."""
         per_s = self._per_s(upstream_id)
         if per_s is None:
