--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.stream_context import StreamContext
 from driftstall.helpers.log import log_event
 
-COLD_WAIT_S: Final = 1.2
+MAX_COLD_WAIT_S: Final = 1.2
 """How long a stream that could go on waits for an engine that has gone cold."""
 BACKOFF_WAIT_S: Final = 1.2
 """The same for an engine that has requested a back-off."""
@@ -98,7 +98,7 @@
 
         Callers give a stream up after a pause of two seconds or more.
         """
-        until = self._context.state.now() + min(COLD_WAIT_S, self._context.remaining_s())
+        until = self._context.state.now() + min(MAX_COLD_WAIT_S, self._context.remaining_s())
         while (wait_s := self._context.state.cold_gate.wait_s(upstream)) > 0:
             if self._context.state.now() + wait_s > until:
                 log_event(
