--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -132,7 +132,7 @@
         self._reports.append((self._number, uses, repeats))
         return self._number
 
-    def others(
+    def subtract_own(
         self, number: int, uses: tuple[Use, ...], repeats: tuple[RepeatCount, ...]
     ) -> tuple[tuple[Use, ...], tuple[RepeatCount, ...]]:
         """Return a summary's sums without the own report that it includes, given by number."""
--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -102,7 +102,7 @@
 def summary(context: Any) -> None:
     """Read a summary."""
     counts = sum_by_service([RepeatCount("s", 10, 1), RepeatCount("s", 5, 2)])
-    context.others = context.reports.others(context.number, (Use("u1", 3, 1500),), counts)
+    context.others = context.reports.subtract_own(context.number, (Use("u1", 3, 1500),), counts)
 
 
 @then("the others have 800 tokens there")
