--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -22,7 +22,7 @@
     PermitMessage,
 )
 
-PATIENCE_S: Final = 0.05
+ANSWER_TIMEOUT_S: Final = 0.05
 """How long an answer is waited for: a hop between zones takes a few milliseconds."""
 SILENT_S: Final = 0.5
 """How long one that gave no answer is not asked for the same upstream."""
@@ -68,7 +68,7 @@
         asked = PermitAsked(self._own_id, number, limit, most_wait_ms, need.rank, need.under_way)
         try:
             self._send(giver, asked)
-            given: PermitGiven | None = answer.wait(timeout=PATIENCE_S)
+            given: PermitGiven | None = answer.wait(timeout=ANSWER_TIMEOUT_S)
         finally:
             del self._waiting[number]
         if given is None:
