--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -16,7 +16,7 @@
 
 MAX_COLD_WAIT_S: Final = 1.2
 """How long a stream that could go on waits for an engine that has gone cold."""
-BACKOFF_WAIT_S: Final = 1.2
+MAX_BACKOFF_WAIT_S: Final = 1.2
 """The same for an engine that has requested a back-off."""
 TURN_WAIT_S: Final = 1.2
 """The same for its turn at an engine that signals a limit."""
@@ -88,7 +88,7 @@
         if first is None:
             return None
         wait_s = state.backoff_s(first.upstream)
-        if wait_s > min(BACKOFF_WAIT_S, self._context.remaining_s()):
+        if wait_s > min(MAX_BACKOFF_WAIT_S, self._context.remaining_s()):
             return None
         gevent.sleep(wait_s)
         return first
