--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -36,7 +36,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
-EARLIER_KEPT: Final = 8
+MAX_SUPERSEDED_POLICIES: Final = 8
 """Superseded policies that are remembered: a restored copy of the store is some seconds old and may
 hold one of them."""
 PLATFORM: Final = "platform"
@@ -136,7 +136,7 @@
         self._state = state
         self._revision = NO_VERSION
         self._submitted: PolicyText | None = None
-        self._superseded: deque[PolicyText] = deque(maxlen=EARLIER_KEPT)
+        self._superseded: deque[PolicyText] = deque(maxlen=MAX_SUPERSEDED_POLICIES)
         """Policies that were in force before; a restored store may hold one of them."""
 
     @property
