--- a/driftstall/decisions/instance_count.py
+++ b/driftstall/decisions/instance_count.py
@@ -1,28 +1,28 @@
-"""Remember how many instances there were lately, for what is shared by all of them."""
+"""Track the recent number of instances, to divide shared budgets by."""
 
 from __future__ import annotations
 
 from typing import Final
 
-FALL_S: Final = 30.0
+PEAK_RETENTION_S: Final = 30.0
 """How long the highest number of instances seen counts; longer than any restart."""
 
 
 class InstanceCount:
-    """Hold the highest number of instances seen lately."""
+    """Hold the highest recent number of instances."""
 
     def __init__(self) -> None:
-        """Start with oneself."""
+        """Initialize with this instance alone."""
         self._peak = 1
         self._peak_at = 0.0
 
     def record(self, count: int, now: float) -> None:
-        """Take in how many instances are known now."""
-        if count >= self._peak or now - self._peak_at > FALL_S:
+        """Record the number of instances that are known now."""
+        if count >= self._peak or now - self._peak_at > PEAK_RETENTION_S:
             self._peak = max(1, count)
             self._peak_at = now
 
     @property
     def value(self) -> int:
-        """Return the number to divide by."""
+        """Return the number by which to divide."""
         return self._peak
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -1,4 +1,4 @@
-"""Answer how much memory a generation may hold some tokens ahead."""
+"""Forecast how much memory a generation will hold some tokens ahead."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 HORIZONS: Final = (0, 64, 256, 768, 1536)
 """Tokens ahead at which memory is forecast; at 15 ms a token up to 23 s."""
 MAX_CLASSES: Final = 20_000
-"""Classes kept at once; a newcomer beyond it uses its kind's history."""
+"""Maximum number of classes; a new class beyond it uses the history of its kind."""
 
 
 class LengthModel(Protocol):
-    """Forecast lengths; ours, the baselines and the oracle differ only here."""
+    """Forecast output lengths; the learned model, the baselines and the oracle implement it."""
 
     grows: bool
     """Whether the memory held grows with each token."""
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
-        """Return the chance that the output outlives ahead more tokens."""
+        """Return the probability that the output outlives ahead more tokens."""
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
-        """Return the chance that the output still runs at each horizon."""
+        """Return the probability that the output still runs at each horizon."""
 
     def expected(self, request: Request) -> float:
         """Return the expected output in tokens."""
 
     def memory_tokens_now(self, request: Request, produced: int) -> int:
-        """Return the memory in tokens held now, or reserved."""
+        """Return the memory in tokens that is held or reserved now."""
 
     def record_progress(self, request: Request, before: int, after: int) -> None:
-        """Learn that a running output grew."""
+        """Record that a running output grew."""
 
     def finished(self, request: Request, tokens: int) -> None:
-        """Learn that an output ended by itself."""
+        """Record that an output ended by itself."""
 
 
 class LearnedLengths:
-    """Forecast from what earlier outputs of the same class did."""
+    """Forecast from earlier outputs of the same class."""
 
     grows = True
 
     def __init__(self) -> None:
-        """Start with no history."""
+        """Initialize without history."""
         self._all = Survival()
         self._kinds: dict[tuple[str, str], Survival] = {}
         self._classes: dict[tuple[str, str, str], Survival] = {}
@@ -66,28 +66,28 @@
         return found
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
-        """Return the chance that the output outlives ahead more tokens."""
+        """Return the probability that the output outlives ahead more tokens."""
         return self._class_of(request).survival_probability(produced, ahead, request.max_tokens)
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
-        """Return the chance that the output still runs at each horizon."""
+        """Return the probability that the output still runs at each horizon."""
         row = self._class_of(request).survival_probabilities(produced, HORIZONS)
-        left = request.max_tokens - produced
-        if left > HORIZONS[-1]:
+        remaining = request.max_tokens - produced
+        if remaining > HORIZONS[-1]:
             return row
         pairs = zip(HORIZONS, row, strict=True)
-        return tuple([chance if ahead < left else 0.0 for ahead, chance in pairs])
+        return tuple([chance if ahead < remaining else 0.0 for ahead, chance in pairs])
 
     def expected(self, request: Request) -> float:
         """Return the expected output in tokens."""
         return self._class_of(request).mean(request.max_tokens)
 
     def memory_tokens_now(self, request: Request, produced: int) -> int:
-        """Return the memory in tokens held now."""
+        """Return the memory in tokens that is held now."""
         return request.input_tokens + produced
 
     def record_progress(self, request: Request, before: int, after: int) -> None:
-        """Count the output as exposed in the buckets it has newly entered."""
+        """Count the output as exposed in the buckets that it has newly entered."""
         first = bucket_of(before) + 1 if before else 0
         last = bucket_of(after)
         if last >= first:
@@ -108,7 +108,7 @@
         return 1.0
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
-        """Return the chance that the output still runs at each horizon."""
+        """Return a probability of one for each horizon."""
         return (1.0,) * len(HORIZONS)
 
     def expected(self, request: Request) -> float:
@@ -120,19 +120,19 @@
         return request.input_tokens + request.max_tokens
 
     def record_progress(self, request: Request, before: int, after: int) -> None:
-        """Learn nothing."""
+        """Ignore the growth."""
 
     def finished(self, request: Request, tokens: int) -> None:
-        """Learn nothing."""
+        """Ignore the end."""
 
 
 class KnownLengths:
-    """Know every length beforehand: the limit that a forecast can reach."""
+    """Use the true lengths: the upper bound for the quality of a forecast."""
 
     grows = True
 
     def __init__(self, lengths: Mapping[str, int]) -> None:
-        """Take the true output length of each request id."""
+        """Initialize with the true output length of each request id."""
         self._lengths = lengths
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
@@ -140,20 +140,20 @@
         return 1.0 if produced + ahead < self._lengths[request.request_id] else 0.0
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
-        """Return the chance that the output still runs at each horizon."""
-        left = self._lengths[request.request_id] - produced
-        return tuple([1.0 if ahead < left else 0.0 for ahead in HORIZONS])
+        """Return one for each horizon before the true end, zero after it."""
+        remaining = self._lengths[request.request_id] - produced
+        return tuple([1.0 if ahead < remaining else 0.0 for ahead in HORIZONS])
 
     def expected(self, request: Request) -> float:
         """Return the true length."""
         return float(self._lengths[request.request_id])
 
     def memory_tokens_now(self, request: Request, produced: int) -> int:
-        """Return the memory in tokens held now."""
+        """Return the memory in tokens that is held now."""
         return request.input_tokens + produced
 
     def record_progress(self, request: Request, before: int, after: int) -> None:
-        """Learn nothing."""
+        """Ignore the growth."""
 
     def finished(self, request: Request, tokens: int) -> None:
-        """Learn nothing."""
+        """Ignore the end."""
--- a/driftstall/decisions/locate.py
+++ b/driftstall/decisions/locate.py
@@ -1,4 +1,4 @@
-"""Rank instances by rendezvous hashing, zone first."""
+"""Rank instances by rendezvous hashing, those of the zone first."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from driftstall.core import Instance, Runner
 
-GROUP_RUNNERS: Final = 8
-"""Runners that one owner places at most; one queue serves them all."""
+MAX_GROUP_RUNNERS: Final = 8
+"""Maximum number of runners of one owner; one queue serves them all."""
 
 
 def weight(key: str, member: str) -> int:
@@ -19,11 +19,13 @@
 
 
 def owner_of(key: str, instances: Iterable[Instance], zone: str = "") -> Instance | None:
-    """Return the instance that ranks first for a key, of the zone if it has one."""
-    live = [one for one in instances if not one.leaving]
+    """Return the instance that ranks first for a key, from the zone if it has one."""
+    live = [instance for instance in instances if not instance.leaving]
     if not live:
         return None
-    return max(live, key=lambda one: (one.zone == zone, weight(key, one.instance_id)))
+    return max(
+        live, key=lambda instance: (instance.zone == zone, weight(key, instance.instance_id))
+    )
 
 
 def locate(
@@ -31,31 +33,31 @@
 ) -> tuple[Instance, ...]:
     """Return the instances for a caller, best first.
 
-    Owners of a group that serves the workspace come first, since their grants
-    are local calls; then the caller's zone; then the rendezvous order.
+    Owners of a group that serves the workspace come first, since their grants are local calls;
+    then the caller's zone; then the rendezvous order.
     """
-    live = [one for one in instances if not one.leaving]
+    live = [instance for instance in instances if not instance.leaving]
     return tuple(
         sorted(
             live,
-            key=lambda one: (
-                one.instance_id not in owners,
-                one.zone != zone,
-                -weight(workspace, one.instance_id),
+            key=lambda instance: (
+                instance.instance_id not in owners,
+                instance.zone != zone,
+                -weight(workspace, instance.instance_id),
             ),
         )
     )
 
 
 def group_runners(runners: Iterable[Runner]) -> dict[str, tuple[Runner, ...]]:
-    """Split each model's runners into groups; each group has one owner."""
+    """Split each model's runners into groups with one owner each."""
     by_model: dict[str, list[Runner]] = {}
-    for runner in sorted(runners, key=lambda one: one.runner_id):
+    for runner in sorted(runners, key=lambda runner: runner.runner_id):
         if runner.model:
             by_model.setdefault(runner.model, []).append(runner)
     groups: dict[str, tuple[Runner, ...]] = {}
     for model, members in by_model.items():
-        count = -(-len(members) // GROUP_RUNNERS)
+        count = -(-len(members) // MAX_GROUP_RUNNERS)
         for index in range(count):
             groups[f"{model}/{index}"] = tuple(members[index::count])
     return groups
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -1,9 +1,8 @@
 """Forecast an engine's memory as a sum over its open generations.
 
-For each horizon, counted in tokens ahead, a generation either still holds its
-memory or has ended and freed it. The sum of these has a mean and a variance;
-admission asks that mean + z standard deviations stays within the memory at
-every horizon.
+For each horizon, counted in tokens ahead, a generation either still holds its memory or has ended
+and freed it. The sum of these has a mean and a variance; admission requires that mean + z standard
+deviations stays within the memory at every horizon.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 def quantile(overflow: float) -> float:
-    """Return the standard deviations that match a chance of overflow."""
+    """Return the number of standard deviations for a probability of overflow."""
     return NormalDist().inv_cdf(1.0 - overflow)
 
 
@@ -31,7 +30,7 @@
     variances: tuple[float, ...]
 
     def plus(self, other: MemoryForecast) -> MemoryForecast:
-        """Return the forecast of both together."""
+        """Return the sum of both forecasts."""
         means = tuple([a + b for a, b in zip(self.means, other.means, strict=True)])
         variances = tuple([a + b for a, b in zip(self.variances, other.variances, strict=True)])
         return MemoryForecast(means, variances)
@@ -43,7 +42,7 @@
         return MemoryForecast(means, tuple([max(0.0, a - b) for a, b in pairs]))
 
     def fits(self, other: MemoryForecast, deviations: float, limit: float) -> bool:
-        """Tell whether both together stay within a limit at every horizon."""
+        """Return True if both together stay within a limit at every horizon."""
         for index in range(len(HORIZONS)):
             mean = self.means[index] + other.means[index]
             if mean > limit:
@@ -54,7 +53,7 @@
         return True
 
     def peak(self, deviations: float) -> float:
-        """Return the highest mean plus so many standard deviations."""
+        """Return the highest mean plus this number of standard deviations."""
         pairs = zip(self.means, self.variances, strict=True)
         return max([mean + deviations * math.sqrt(var) for mean, var in pairs])
 
@@ -65,7 +64,7 @@
 
 
 def forecast_request(lengths: LengthModel, request: Request, produced: int) -> MemoryForecast:
-    """Forecast the memory that one generation holds."""
+    """Forecast the memory of one generation."""
     return total(lengths, ((request, produced),))
 
 
--- a/driftstall/decisions/prefixes.py
+++ b/driftstall/decisions/prefixes.py
@@ -1,9 +1,9 @@
-"""Model what an engine's prefix cache holds, from our own grants.
+"""Model the content of an engine's prefix cache from the grants given.
 
-Prefixes form a tree: a conversation's turn extends the turn before, and all
-conversations of a workspace share its instructions. A segment is held as long as
-something longer needs it; the least recently used leaf goes first. The engine's
-cache events arrive late and with gaps, so they only correct this model.
+Prefixes form a tree: a turn of a conversation extends the previous turn, and all conversations of
+a workspace share its instructions. A segment is held as long as a longer prefix needs it; the
+least recently used leaf is evicted first. The engine's cache events arrive late and with gaps, so
+they only correct this model.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class PrefixModel:
-    """Keep prefixes in the order of use, within a budget of tokens."""
+    """Hold prefixes in LRU order, within a budget of tokens."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize an empty model."""
         self._segments: OrderedDict[int, _Segment] = OrderedDict()
         self._tokens = 0
         self._pinned = 0
@@ -59,12 +59,12 @@
         for mark in reversed(prefix):
             if mark.digest in self._segments:
                 used = max(used, mark.tokens)
-                # Parents are moved last, so the oldest segment is always a leaf.
+                # Parents are moved last, so the least recently used segment is always a leaf.
                 self._segments.move_to_end(mark.digest)
         return used
 
     def store(self, prefix: tuple[PrefixMark, ...]) -> None:
-        """Hold a whole prefix, as an extension of what is held of it."""
+        """Add a whole prefix, extending the part of it that is held."""
         parent, tokens = _ROOT, 0
         for mark in prefix:
             if mark.digest not in self._segments:
@@ -76,25 +76,25 @@
         self.touch(prefix)
 
     def evict(self, digest: int) -> None:
-        """Drop one prefix, if it is held and nothing longer needs it."""
+        """Remove one prefix, if it is held and no longer prefix needs it."""
         segment = self._segments.get(digest)
         if segment is not None and not segment.children and not segment.pins:
-            self._drop(digest)
+            self._remove(digest)
 
     def pin(self, prefix: tuple[PrefixMark, ...]) -> int:
         """Keep the longest prefix held while a generation uses it; return its digest."""
         for mark in reversed(prefix):
             if mark.digest in self._segments:
-                self._count_pin(mark.digest, 1)
+                self._add_pins(mark.digest, 1)
                 return mark.digest
         return _ROOT
 
     def unpin(self, digest: int) -> None:
-        """Let a pinned prefix go again."""
-        self._count_pin(digest, -1)
+        """Unpin a prefix."""
+        self._add_pins(digest, -1)
 
-    def _count_pin(self, digest: int, change: int) -> None:
-        """Count a pin on a segment and on all that it extends."""
+    def _add_pins(self, digest: int, change: int) -> None:
+        """Change the pin count of a segment and of all that it extends."""
         while digest in self._segments:
             segment = self._segments[digest]
             before = segment.pins
@@ -104,23 +104,23 @@
             digest = segment.parent
 
     def shrink(self, budget: float) -> list[int]:
-        """Drop the longest unused leaves down to a budget; return them."""
-        dropped = []
-        kept = 0
-        while self._tokens > budget and kept < len(self._segments):
+        """Evict the least recently used leaves down to a budget; return them."""
+        evicted = []
+        skipped = 0
+        while self._tokens > budget and skipped < len(self._segments):
             digest = next(iter(self._segments))
             segment = self._segments[digest]
             if segment.children or segment.pins:
                 self._segments.move_to_end(digest)
-                kept += 1
+                skipped += 1
                 continue
-            self._drop(digest)
-            dropped.append(digest)
-            kept = 0
-        return dropped
+            self._remove(digest)
+            evicted.append(digest)
+            skipped = 0
+        return evicted
 
-    def _drop(self, digest: int) -> None:
-        """Take a leaf out."""
+    def _remove(self, digest: int) -> None:
+        """Remove a leaf."""
         segment = self._segments.pop(digest)
         self._tokens -= segment.own_tokens
         parent = self._segments.get(segment.parent)
--- a/driftstall/decisions/retry.py
+++ b/driftstall/decisions/retry.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of recent requests, so that an outage makes no storm."""
+"""Limit retries to a share of recent requests, so that an outage causes no retry storm."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     """Earn a share of a retry with each request; spend one for each retry."""
 
     def __init__(self) -> None:
-        """Start with a few retries, for a quiet instance."""
-        self._left = MIN_RETRIES
+        """Initialize with a few retries, for an instance with little traffic."""
+        self._remaining = MIN_RETRIES
 
     @property
     def left(self) -> float:
-        """Return the retries that are left."""
-        return self._left
+        """Return the remaining retries."""
+        return self._remaining
 
     def earn(self) -> None:
-        """Count a first try."""
-        self._left = min(MAX_RETRIES, self._left + RETRY_SHARE)
+        """Count a first attempt."""
+        self._remaining = min(MAX_RETRIES, self._remaining + RETRY_SHARE)
 
     def spend(self) -> bool:
-        """Take one retry, if there is one left."""
-        if self._left < 1.0:
+        """Take one retry; return True if one was available."""
+        if self._remaining < 1.0:
             return False
-        self._left -= 1.0
+        self._remaining -= 1.0
         return True
--- a/driftstall/decisions/routing.py
+++ b/driftstall/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Choose the runner for a request among those with room."""
+"""Choose the runner with the lowest weighted cost among those with room."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from driftstall.core import Weights
 
 PREFILL_TOKENS_PER_S: Final = 11_000.0
-"""Measured on the engine stand-in: 512 tokens in about 45 ms."""
+"""512 tokens take about 45 ms on the engine stand-in."""
 FILL_WEIGHT: Final = 0.3
-"""Seconds that a full engine is worth, against an empty one."""
-BESIDE_LONG_S: Final = 0.006
-"""Seconds that a token takes longer beside long prefills: one step in five has a chunk."""
+"""Cost in seconds of a full engine, compared with an empty one."""
+LONG_PREFILL_TOKEN_DELAY_S: Final = 0.006
+"""Seconds that a token takes longer while long prefills run: one step in five has a chunk."""
 REMOTE_ZONE_S: Final = 0.003
-"""Round trip to another availability zone, in seconds (brief)."""
+"""Round trip to another availability zone, in seconds."""
 
 
 class RunnerView(NamedTuple):
-    """Describe a runner that has room, as one request sees it."""
+    """Describe a runner that has room, from the perspective of one request."""
 
     runner_id: str
     uncached: int
@@ -30,11 +30,11 @@
     """Forecast share of memory in use, from 0 to 1."""
     remote: bool
     long_prefills: bool
-    """Whether it takes long prefills, which pause its other streams."""
+    """Whether it accepts long prefills, which pause its other streams."""
 
 
 class Choice(NamedTuple):
-    """Tell which runner was chosen, and its costs in weighted seconds."""
+    """Describe the chosen runner and its costs in weighted seconds."""
 
     runner_id: str
     cost: float
@@ -45,9 +45,9 @@
 def choose(
     views: list[RunnerView], weights: Weights, *, first_rank: bool, output: float
 ) -> Choice | None:
-    """Return the runner that costs the policy's measures least.
+    """Return the runner with the lowest cost under the policy's weights.
 
-    output: the expected tokens of the answer, for which it shares its engine.
+    output: the expected tokens of the response, for which it shares its engine.
     """
     best: Choice | None = None
     for view in views:
@@ -58,12 +58,12 @@
 
 
 def _cost(view: RunnerView, weights: Weights, *, first_rank: bool, output: float) -> Choice:
-    """Weigh the wait for prefill against the pauses it makes for others."""
+    """Weigh the wait for prefill against the pauses that it causes for other streams."""
     stall_s = (view.pending_prefill + view.uncached) / PREFILL_TOKENS_PER_S
     gap_s = view.uncached * view.first_rank_streams / PREFILL_TOKENS_PER_S
     if first_rank:
         gap_s += view.pending_prefill / PREFILL_TOKENS_PER_S
-        gap_s += BESIDE_LONG_S * output * view.long_prefills
+        gap_s += LONG_PREFILL_TOKEN_DELAY_S * output * view.long_prefills
     if view.remote:
         stall_s += REMOTE_ZONE_S
     cost = weights.stall * stall_s + weights.token_gap * gap_s + FILL_WEIGHT * view.fill
--- a/driftstall/decisions/survival.py
+++ b/driftstall/decisions/survival.py
@@ -1,9 +1,9 @@
 """Forecast how long an output will still grow, from censored observations.
 
-Each class of requests keeps a decayed hazard per logarithmic length bucket. A
-running generation counts as exposed in every bucket it has entered, so it is a
-censored observation and long outputs that have not ended yet are not forgotten.
-A class with little history leans on its parent: workspace, then kind, then all.
+Each class of requests keeps a decayed hazard per logarithmic length bucket. A running generation
+counts as exposed in every bucket it has entered, so it is a censored observation and long outputs
+that have not ended yet are taken into account. The hazards of a class with little history are
+smoothed towards those of its parent: workspace, then kind, then all.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 GROWTH: Final = 1.3
 """Ratio between the edges of neighbouring buckets."""
 BUCKETS: Final = 44
-"""Enough to reach about 100,000 tokens."""
+"""The buckets reach to about 100,000 tokens."""
 PRIOR_HAZARD: Final = 0.06
-"""Chance to end within a bucket where nothing is known."""
+"""Probability of an end within a bucket without any observation."""
 PARENT_WEIGHT: Final = 12.0
-"""How many observations the parent's hazard is worth."""
+"""Weight of the parent's hazard, in observations."""
 DECAY: Final = 0.998
-"""Weight lost per finished output; the memory is about 500 outputs."""
-ROUNDING: Final = 4
-"""Places for which chances are kept, in each bucket."""
+"""Weight lost per finished output; the effective history is about 500 outputs."""
+POSITIONS_PER_BUCKET: Final = 4
+"""Positions in each bucket for which survival probabilities are cached."""
 RENORMALIZE_AT: Final = 1e6
-REBUILD_AFTER: Final = 16
-"""Changes after which the survival table is built anew."""
+REBUILD_AFTER_CHANGES: Final = 16
+"""Finished outputs after which the survival table is rebuilt."""
 _LOG_GROWTH: Final = math.log(GROWTH)
 EDGES: Final = tuple(GROWTH**index for index in range(BUCKETS + 1))
 
@@ -38,15 +38,15 @@
 
 
 class Survival:
-    """Estimate the chance that an output outlives a length."""
+    """Estimate the probability that an output outlives a length."""
 
     def __init__(self, parent: Survival | None = None) -> None:
-        """Start with no observation; the parent fills the gaps."""
+        """Initialize without observations; the parent's hazards are used instead."""
         self._parent = parent
         self._ended = [0.0] * BUCKETS
         self._exposed = [0.0] * BUCKETS
         self._weight = 1.0
-        self._changes = REBUILD_AFTER
+        self._changes = REBUILD_AFTER_CHANGES
         self._table = [1.0] * (BUCKETS + 1)
         self._hazards = [PRIOR_HAZARD] * BUCKETS
         self._means: dict[int, float] = {}
@@ -77,30 +77,30 @@
         self._weight = 1.0
 
     def _refresh(self) -> None:
-        """Build the survival table anew after enough changes."""
-        if self._changes < REBUILD_AFTER:
+        """Rebuild the survival table after enough changes."""
+        if self._changes < REBUILD_AFTER_CHANGES:
             return
         self._changes = 0
         self._means.clear()
         self._rows.clear()
         parent = self._parent.hazards() if self._parent else [PRIOR_HAZARD] * BUCKETS
-        lean = PARENT_WEIGHT * self._weight
+        parent_weight = PARENT_WEIGHT * self._weight
         alive = 1.0
         for bucket in range(BUCKETS):
-            ended = self._ended[bucket] + lean * parent[bucket]
-            hazard = min(1.0, ended / (self._exposed[bucket] + lean))
+            ended = self._ended[bucket] + parent_weight * parent[bucket]
+            hazard = min(1.0, ended / (self._exposed[bucket] + parent_weight))
             self._hazards[bucket] = hazard
             self._table[bucket] = alive
             alive *= 1.0 - hazard
         self._table[BUCKETS] = alive
 
     def hazards(self) -> list[float]:
-        """Return the chance to end within each bucket, once it is entered."""
+        """Return the probability of an end within each bucket, once it is entered."""
         self._refresh()
         return self._hazards
 
     def survival_beyond(self, tokens: float) -> float:
-        """Return the chance that an output is longer than a length."""
+        """Return the probability that an output is longer than a length."""
         self._refresh()
         if tokens <= 1:
             return 1.0
@@ -112,7 +112,7 @@
         return self._table[bucket] * (1 - share) + self._table[bucket + 1] * share
 
     def survival_probability(self, produced: int, ahead: int, cap: int) -> float:
-        """Return the chance to still run after ahead more tokens."""
+        """Return the probability of still running after ahead more tokens."""
         if produced + ahead >= cap:
             return 0.0
         alive = self.survival_beyond(produced)
@@ -129,19 +129,19 @@
         return known
 
     def survival_probabilities(self, produced: int, horizons: tuple[int, ...]) -> tuple[float, ...]:
-        """Return the chance to still run at each horizon; lengths are rounded a little."""
+        """Return the probability of still running at each horizon; lengths are rounded slightly."""
         self._refresh()
-        place = int(math.log(produced) / _LOG_GROWTH * ROUNDING) if produced > 1 else 0
+        place = int(math.log(produced) / _LOG_GROWTH * POSITIONS_PER_BUCKET) if produced > 1 else 0
         row = self._rows.get(place)
         if row is None:
-            rounded = GROWTH ** (place / ROUNDING)
+            rounded = GROWTH ** (place / POSITIONS_PER_BUCKET)
             alive = max(1e-9, self.survival_beyond(rounded))
             row = tuple([self.survival_beyond(rounded + ahead) / alive for ahead in horizons])
             self._rows[place] = row
         return row
 
     def _mean(self, cap: int) -> float:
-        """Work out the mean length under a cap."""
+        """Compute the mean length under a cap."""
         total = 0.0
         for bucket in range(BUCKETS):
             low, high = EDGES[bucket], EDGES[bucket + 1]
--- a/driftstall/decisions/yielding.py
+++ b/driftstall/decisions/yielding.py
@@ -1,4 +1,4 @@
-"""Choose which running generation yields its memory."""
+"""Choose the running generation that yields its memory."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-MIN_REST_S: Final = 5.0
-"""Seconds a resumed generation runs before it may yield again."""
+MIN_RUN_S: Final = 5.0
+"""Seconds for which a resumed generation runs before it may yield again."""
 MAX_YIELDS: Final = 2
-"""A generation yields at most so often."""
+"""Maximum number of times that a generation yields."""
 NEARLY_DONE_TOKENS: Final = 64
-"""A generation that is expected to end this soon is left alone."""
+"""A generation with at most this many expected tokens left does not yield."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     held: int
     """Memory that yielding frees, in tokens."""
     lost: int
-    """Tokens that must be prefilled again."""
+    """Tokens that must be prefilled once more."""
     remaining: float
     """Expected tokens still to come."""
     yields: int
@@ -32,24 +32,28 @@
 
 
 def choose_victim(candidates: Iterable[Candidate], worse_than: int) -> Candidate | None:
-    """Return the lowest rank's generation that loses least per token freed."""
-    allowed = [one for one in candidates if one.rank > worse_than and _may(one)]
+    """Return the generation of the lowest rank that loses least per token freed."""
+    allowed = [
+        candidate
+        for candidate in candidates
+        if candidate.rank > worse_than and _can_yield(candidate)
+    ]
     if not allowed:
         return None
-    return min(allowed, key=_order)
+    return min(allowed, key=_sort_key)
 
 
-def _may(candidate: Candidate) -> bool:
-    """Tell whether a generation may yield now."""
+def _can_yield(candidate: Candidate) -> bool:
+    """Return True if a generation may yield now."""
     return (
         candidate.may_yield
         and candidate.yields < MAX_YIELDS
-        and candidate.running_s >= MIN_REST_S
+        and candidate.running_s >= MIN_RUN_S
         and candidate.remaining > NEARLY_DONE_TOKENS
     )
 
 
-def _order(candidate: Candidate) -> tuple[int, int, float, float]:
-    """Sort by rank, fairness among victims, then work lost for what it frees."""
+def _sort_key(candidate: Candidate) -> tuple[int, int, float, float]:
+    """Return the sort key: rank, yields so far, then tokens lost per token freed."""
     freed = max(1.0, candidate.held + candidate.remaining)
     return (-candidate.rank, candidate.yields, candidate.lost / freed, -candidate.remaining)
