--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -18,7 +18,7 @@
 """How long a stream that could go on waits for an engine that has gone cold."""
 MAX_BACKOFF_WAIT_S: Final = 1.2
 """The same for an engine that has requested a back-off."""
-TURN_WAIT_S: Final = 1.2
+MAX_TURN_WAIT_S: Final = 1.2
 """The same for its turn at an engine that signals a limit."""
 MAX_RESUMES: Final = 8
 """Upstreams that one stream may go on at; each leaves with a notice of its own."""
@@ -48,7 +48,7 @@
             if not self._await_cold(copy.upstream):
                 continue
             need = self._context.send_need(
-                min(TURN_WAIT_S, self._context.remaining_s()), under_way=True
+                min(MAX_TURN_WAIT_S, self._context.remaining_s()), under_way=True
             )
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
             if not limits.take_turn(engine_id, need, self._context.request_id):
