--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -24,7 +24,7 @@
 
 ANSWER_TIMEOUT_S: Final = 0.05
 """How long an answer is waited for: a hop between zones takes a few milliseconds."""
-SILENT_S: Final = 0.5
+NO_ANSWER_BACKOFF_S: Final = 0.5
 """How long one that gave no answer is not asked for the same upstream."""
 MS: Final = 1000
 
@@ -78,7 +78,7 @@
                 upstream=limit.upstream_id,
                 asked=number,
             )
-            return Denial(SILENT_S)
+            return Denial(NO_ANSWER_BACKOFF_S)
         return Permit(given.wait_ms / MS) if given.allowed else Denial(given.wait_ms / MS)
 
     def charge(self, limit: RateLimit) -> None:
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -28,7 +28,7 @@
     Verdict,
     scaled_limit,
 )
-from driftstall.helpers.permits import SILENT_S
+from driftstall.helpers.permits import NO_ANSWER_BACKOFF_S
 
 UPSTREAM: Final = "u1"
 HOP_S: Final = (0.0007, 0.004)
@@ -214,7 +214,7 @@
         if owner is member:
             self._take(member, self._verdict(owner, need), rank)
         elif not self._reaches(member, owner):
-            self._take(member, Denial(SILENT_S), rank)
+            self._take(member, Denial(NO_ANSWER_BACKOFF_S), rank)
         else:
             self._later(HOP_S, lambda: self._answer(member, owner, need, rank))
 
