--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -1,4 +1,9 @@
-"""Copy the memory of a run from its engine to another one, one step at a time."""
+"""Live migration of runs: copy a run's KV cache to another engine, step by step.
+
+A step copies the memory while the run continues (pre-copy); each further step to the same engine
+brings that replica up to date. The final copy stops the run, copies what is left, and hands the
+run over to the target (stop-and-copy).
+"""
 
 from __future__ import annotations
 
@@ -16,22 +21,22 @@
 from driftstall.helpers.log import log_event
 
 MAX_REPLICA_AGE_S: Final = 4.0
-"""A copy is not relied on after this time; engines drop it somewhat later (handleS is 5 s)."""
+"""Age from which a replica is no longer used; engines drop it a little later (handleS is 5 s)."""
 
 
 class Mover:
-    """Take single steps of moves; a run has one step at a time."""
+    """Perform single migration steps; a run has at most one step in progress."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Take the shared state."""
+        """Initialize with the shared state."""
         self._state = state
 
     def choose_target(
         self, run: StreamRun, avoid: frozenset[str], *, max_memory_share: float
     ) -> Upstream | None:
-        """Choose where a run's memory is copied; where it already is, if that stays.
+        """Choose the engine to copy a run to: the holder of its replica if that one is usable.
 
-        An engine whose memory would be fuller than most_memory, from 0 to 1, is not chosen.
+        Other engines are excluded whose memory share, from 0 to 1, would exceed max_memory_share.
         """
         replica = self.find_replica(run)
         holder = replica.ref.upstream if replica is not None else None
@@ -53,97 +58,102 @@
         return chosen.upstream if chosen else None
 
     def find_replica(self, run: StreamRun) -> Replica | None:
-        """Return the run's copy if it is young enough and its engine stays."""
+        """Return the run's replica if it is recent enough and its engine takes requests."""
         replica = run.replica
         if replica is None or self._is_old(replica):
             return None
-        return replica if self._takes_on(replica) else None
+        return replica if self._can_resume_at(replica) else None
 
-    def _takes_on(self, replica: Replica) -> bool:
-        """Tell whether a copy's engine takes requests, and the one that named it has not ended.
+    def _can_resume_at(self, replica: Replica) -> bool:
+        """Return True if a replica's engine takes requests and its name is still valid.
 
-        A later start of that one counts its names anew: the same name may be another run's copy.
+        A restarted engine numbers its names from the start, so a name given before the restart
+        may now refer to the replica of another run.
         """
         fleet = self._state.fleet
-        is_named = not fleet.is_replaced(replica.ref.named_by)
-        return is_named and fleet.accepts_requests(replica.ref.upstream.upstream_id)
+        is_name_valid = not fleet.is_replaced(replica.ref.named_by)
+        return is_name_valid and fleet.accepts_requests(replica.ref.upstream.upstream_id)
 
-    def is_usable(self, moved: Replica) -> bool:
-        """Tell whether a stopped run can go on at its copy: nowhere else can it.
+    def is_usable(self, replica: Replica) -> bool:
+        """Return True if a stopped run can resume at its final copy.
 
-        So an engine that is leaving serves as well, for as long as it is to be sent anything.
+        The run can resume nowhere else, so an engine that is leaving is accepted too, for as long
+        as requests may be sent to it.
         """
-        engine_id, now = moved.ref.upstream.upstream_id, self._state.now()
+        engine_id, now = replica.ref.upstream.upstream_id, self._state.now()
         drain_s = self._state.settings.bounds.drain_s
-        if self._is_old(moved) or self._state.fleet.is_replaced(moved.ref.named_by):
+        if self._is_old(replica) or self._state.fleet.is_replaced(replica.ref.named_by):
             return False
         return self._state.fleet.can_still_serve(engine_id, now, drain_s)
 
     def _is_old(self, replica: Replica) -> bool:
-        """Tell whether an engine may have dropped a copy."""
+        """Return True if the engine may have dropped the replica by now."""
         return self._state.now() - replica.copied_at > MAX_REPLICA_AGE_S
 
     def copy(self, run: StreamRun, target: Upstream) -> MoveResult:
-        """Copy a run's memory while it goes on."""
+        """Copy a run's memory to the target while the run continues."""
         tokens = run.held_tokens
-        self._hold(run, target)
+        self._set_replica_target(run, target)
         run.is_copying = True
         try:
             result = self._step(run, target, last=False)
         finally:
             run.is_copying = False
         if isinstance(result, MoveFailed):
-            self._hold(run, None)
+            self._set_replica_target(run, None)
             return result
-        copy = ReplicaRef(target, result.copy_of, named_by=run.upstream.upstream_id)
-        run.replica = Replica(copy, self._state.now(), tokens)
-        # A further step brings the same copy up to date: where the stream goes on elsewhere, it
-        # may be just there, or need it yet. What is not needed, engines drop by themselves.
+        ref = ReplicaRef(target, result.copy_of, named_by=run.upstream.upstream_id)
+        run.replica = Replica(ref, self._state.now(), tokens)
+        # A stream that is resumed elsewhere may already run at this replica, since a further step
+        # only updates the same one, or may still need it. Engines drop unused replicas themselves.
         if run.ended and not run.is_resumed_elsewhere:
             self.drop_replica(run)
         return result
 
-    def _hold(self, run: StreamRun, target: Upstream | None) -> None:
-        """Tell the books which engine holds a copy, before others choose the same one."""
+    def _set_replica_target(self, run: StreamRun, target: Upstream | None) -> None:
+        """Account for a replica on its engine at once, before other runs choose the same engine."""
         if run.replica_target is not target and not run.ended:
             run.replica_target = target
             self._state.record_run_load(run)
 
     def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
-        """Stop the run and copy what is left; its relay goes on with the result."""
-        moving = run.pending_final_copy = AsyncResult()
+        """Stop the run and copy what is left; return True if the run moved to the target.
+
+        The stream's relay waits for the result in run.pending_final_copy and resumes from it.
+        """
+        pending = run.pending_final_copy = AsyncResult()
         result = self._step(run, target, last=True)
         if isinstance(result, MoveDone):
             self._state.stats.streams_moved += 1
             run.replica = None
-            moving.set(FinalCopy(self._stopped(target, result.copy_of, run), True))
+            pending.set(FinalCopy(self._stopped_run(target, result.copy_of, run), True))
             return True
-        # The source keeps what it has made: the run goes on there if it still can.
-        replica = self._stopped(run.upstream, result.copy_of, run) if result.copy_of else None
-        moving.set(FinalCopy(replica, result.may_have_stopped))
+        # The source keeps the memory of the stopped run, so the run may still resume there.
+        replica = self._stopped_run(run.upstream, result.copy_of, run) if result.copy_of else None
+        pending.set(FinalCopy(replica, result.may_have_stopped))
         return False
 
-    def _stopped(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
-        """Return the copy of a run that has stopped."""
-        copy = ReplicaRef(holder, copy_of, named_by=run.upstream.upstream_id)
-        return Replica(copy, self._state.now(), run.held_tokens)
+    def _stopped_run(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
+        """Return the replica that the holder has of a stopped run."""
+        ref = ReplicaRef(holder, copy_of, named_by=run.upstream.upstream_id)
+        return Replica(ref, self._state.now(), run.held_tokens)
 
     def drop_replica(self, run: StreamRun) -> None:
-        """Free the memory of a copy that is not needed any more."""
+        """Free the memory of a replica that is no longer needed."""
         replica, run.replica = run.replica, None
         if replica is None:
             return
-        self._hold(run, None)
+        self._set_replica_target(run, None)
         source_stays = self._state.fleet.is_staying(run.upstream.upstream_id)
         holder = run.upstream if source_stays else replica.ref.upstream
         if self._state.backoff_s(holder):
-            # Engines drop an unused copy by themselves after a while.
+            # Engines drop an unused replica themselves after a few seconds.
             return
         self._state.rate_limiting.charge(holder.upstream_id)
         gevent.spawn(self._state.dialect.drop_replica, holder, replica.ref.copy_of)
 
     def _step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
-        """Take one step and log it."""
+        """Perform one step and log its result."""
         if self._state.backoff_s(run.upstream):
             detail = "its engine has requested a back-off"
             return MoveFailed(no_such_run=False, may_have_stopped=False, copy_of="", detail=detail)
@@ -159,7 +169,7 @@
         step = "moved" if last else "copied"
         log_event(
             PREFIX_RELAY,
-            f"A stream is {step} to {target.upstream_id}: {outcome}",
+            f"Stream {step} to {target.upstream_id}: {outcome}",
             request=run.request_id,
             source=run.upstream.upstream_id,
             held_tokens=run.held_tokens,
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -79,15 +79,18 @@
         """Return the engine of the service, or NO_ENGINE for a service without one."""
         return self._admitted.service.engine or NO_ENGINE
 
-    def place(self, avoid: frozenset[str], gone: Callable[[], bool]) -> StreamRun | None:
-        """Choose the upstream and where its copy is kept; wait a little for one."""
-        place = self._wait_for_room(self._need(), avoid, gone)
-        if place is None:
+    def place(self, avoid: frozenset[str], is_canceled: Callable[[], bool]) -> StreamRun | None:
+        """Choose the upstream and the backup; wait a short time for one that has room.
+
+        Return None if no upstream takes the stream or the caller disconnects.
+        """
+        placement = self._wait_for_room(self._requirement(), avoid, is_canceled)
+        if placement is None:
             return None
-        run = StreamRun(self._call, self._admitted, self._request, place.upstream)
-        run.backup = place.backup
+        run = StreamRun(self._call, self._admitted, self._request, placement.upstream)
+        run.backup = placement.backup
         self._state.record_run_load(run)
-        self._log_placed(run, place)
+        self._log_placed(run, placement)
         return run
 
     def create_resumed_run(
@@ -159,10 +162,10 @@
         """Return True if all upstreams are in cordoned zones or in back-off."""
         fleet, service = self._state.fleet, self._admitted.service.name
         ready = fleet.ready(service)
-        backs_off = bool(ready) and all(self._state.backoff_s(one) for one in ready)
-        return backs_off or fleet.is_fully_cordoned(service)
+        is_backing_off = bool(ready) and all(self._state.backoff_s(upstream) for upstream in ready)
+        return is_backing_off or fleet.is_fully_cordoned(service)
 
-    def _choose_here(
+    def _choose_locally(
         self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Placement | None:
         """Choose by this instance's own view of the fleet."""
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -1,8 +1,8 @@
-"""Keep a copy of every long stream, so that a short notice or none is enough.
+"""Keep a replica of every long stream, so that it survives a short notice or a crash.
 
-An engine keeps up the copy that it was asked for with the request. Where that copy is
-lost, because its engine left, or was never asked for, this copies the run's memory now
-and then; what is left to copy at a notice is then little.
+An engine keeps the backup that was requested with the stream up to date itself. If a run has no
+backup, because its backup engine left or none was requested, its memory is copied periodically.
+Little is then left to copy when the engine gives notice that it leaves.
 """
 
 from __future__ import annotations
@@ -22,37 +22,38 @@
 
 PERIOD_S: Final = 0.2
 REFRESH_S: Final = 2.0
-"""A copy older than this is brought up to date; engines drop one after about five seconds."""
+"""Age from which a replica is refreshed; engines drop an unused one after about five seconds."""
 FAILED_PAUSE_S: Final = 1.0
-"""Pause after a copy that failed for want of room."""
+"""Pause after a copy that failed, for example for lack of room."""
 DROP_MEMORY: Final = 0.85
-"""Memory share from which copies are dropped again."""
+"""Memory share of an engine above which replicas on it are dropped."""
 NOTICE_S: Final = 2.0
-"""Time after a notice in which no copies are made here: the links are for what must leave."""
+"""Time after a leaving notice in which no replicas are made, to keep the links free for the runs
+that must leave."""
 MIN_EVENTS: Final = 6
-"""Events after which a run is worth a copy; many end before."""
+"""Events from which a run gets a replica; many runs end earlier."""
 
 
 class RunProtection:
-    """Keep copies of this instance's streams."""
+    """Keep replicas of this instance's streams."""
 
     def __init__(self, state: GatewayState, mover: Mover) -> None:
-        """Take the shared state and who takes the steps."""
+        """Initialize with the shared state and the mover that performs the copies."""
         self._state = state
         self._mover = mover
         self._busy: set[str] = set()
         self._not_before: dict[str, float] = {}
 
     def start(self) -> None:
-        """Start to keep copies."""
+        """Start the periodic copies."""
         keep_running(PREFIX_RELAY, self._run)
 
     def _run(self) -> None:
-        """Copy what needs it, one run at a time on each engine."""
+        """Copy the runs that need it, one at a time per engine, runs without a replica first."""
         while True:
             gevent.sleep(PERIOD_S)
-            wanting = sorted(self.find_runs_to_copy(), key=lambda run: run.replica is not None)
-            for run in wanting:
+            runs = sorted(self.find_runs_to_copy(), key=lambda run: run.replica is not None)
+            for run in runs:
                 if run.upstream.upstream_id not in self._busy:
                     self._busy.add(run.upstream.upstream_id)
                     gevent.spawn(self._copy, run)
@@ -60,7 +61,7 @@
             self._forget_ended()
 
     def find_runs_to_copy(self) -> list[StreamRun]:
-        """Return the runs that need a copy now: they have none, or an old one."""
+        """Return the runs that need a copy now: without a backup, and with no recent replica."""
         now = self._state.now()
         if now - self._state.notice_at < NOTICE_S:
             return []
@@ -88,7 +89,7 @@
         return found
 
     def drop_replicas_under_pressure(self) -> None:
-        """Drop copies on engines whose memory is nearly full; runs go first."""
+        """Drop replicas on engines whose memory is nearly full, since runs take precedence."""
         for run in self._state.runs.all:
             replica, engine = run.replica, run.admitted.service.engine
             if (
@@ -99,7 +100,7 @@
             ):
                 continue
             if not self._state.fleet.is_staying(run.upstream.upstream_id):
-                # Its engine is leaving: the copy is where the run goes on soon.
+                # The run's engine is leaving, so the run resumes at this replica soon.
                 continue
             use = self._state.loads.use(replica.ref.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
@@ -107,18 +108,20 @@
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
 
     def _copy(self, run: StreamRun) -> None:
-        """Copy one run."""
+        """Copy one run; pause its copies after a failure."""
         upstream_id = run.upstream.upstream_id
         try:
-            target = self._mover.choose_target(run, frozenset(), max_memory_share=self._line(run))
+            target = self._mover.choose_target(
+                run, frozenset(), max_memory_share=self._max_memory_share(run)
+            )
             result = self._mover.copy(run, target) if target else None
             if result is None or isinstance(result, MoveFailed):
                 self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
         finally:
             self._busy.discard(upstream_id)
 
-    def _line(self, run: StreamRun) -> float:
-        """Return the share of memory up to which an engine takes a copy made ahead."""
+    def _max_memory_share(self, run: StreamRun) -> float:
+        """Return the memory share up to which an engine may be filled with a periodic replica."""
         engine = run.admitted.service.engine
         if engine is None:
             return 0.0
@@ -127,7 +130,7 @@
         )
 
     def _forget_ended(self) -> None:
-        """Forget pauses that are over."""
+        """Remove pauses that have expired."""
         now = self._state.now()
-        for request_id in [one for one, until in self._not_before.items() if until < now]:
+        for request_id in [key for key, until in self._not_before.items() if until < now]:
             del self._not_before[request_id]
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -1,4 +1,4 @@
-"""Find the copy of a run's memory that its stream can go on at."""
+"""Find the replica at which a stream whose run has ended can resume."""
 
 from __future__ import annotations
 
@@ -14,51 +14,58 @@
 from driftstall.helpers.log import log_event
 
 FINAL_COPY_TIMEOUT_S: Final = 2.0
-"""How long a stopped run waits for the answer of its last move."""
+"""How long the stream of a stopped run waits for the result of the final copy."""
 
 
 class ReplicaFinder:
-    """Find copies of one stream's runs, such as engines have named or must have made by now."""
+    """Find replicas of one stream's runs: named by engines, or kept by a backup engine.
+
+    The send history decides which of them may be used.
+    """
 
     def __init__(self, state: GatewayState, mover: Mover, history: SendHistory) -> None:
-        """Take the shared state, who makes copies, and what became of the request so far."""
+        """Initialize with the shared state, the mover, and the request's send history."""
         self._state = state
         self._mover = mover
         self._history = history
 
     def take_replica(self, run: StreamRun, left_s: float) -> ReplicaRef | None:
-        """Return the copy to go on at, and hold it no longer: a copy serves once.
+        """Remove and return the newest replica to resume at; a replica can be used only once.
 
-        The newest comes first: that of a move, then the one that the run's engine keeps
-        up, then the last one made beforehand.
+        The order is: the final copy of a migration, the backup that the run's engine keeps up to
+        date, the last periodic replica.
         """
         if run.pending_final_copy is not None:
-            step = self._await_last_step(run, run.pending_final_copy, left_s)
-            moved = step.replica if step is not None else None
+            final_copy = self._await_final_copy(run, run.pending_final_copy, left_s)
+            moved = final_copy.replica if final_copy is not None else None
             run.pending_final_copy = None
-            if moved is not None and self._mover.is_usable(moved) and self._allows(moved.ref, run):
+            if (
+                moved is not None
+                and self._mover.is_usable(moved)
+                and self._is_allowed(moved.ref, run)
+            ):
                 return moved.ref
-        kept_up = self._kept_up(run)
+        backup_ref = self._find_backup(run)
         run.backup = None
-        if kept_up is not None:
-            return kept_up
+        if backup_ref is not None:
+            return backup_ref
         replica = self._mover.find_replica(run)
         run.replica = None
-        return replica.ref if replica is not None and self._allows(replica.ref, run) else None
+        return replica.ref if replica is not None and self._is_allowed(replica.ref, run) else None
 
     def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
-        """Tell whether a run may have ended because it was stopped for a move."""
+        """Return True if a run may have ended because the final copy of a migration stopped it."""
         if run.pending_final_copy is None:
             return False
-        step = self._await_last_step(run, run.pending_final_copy, left_s)
-        return step is None or step.may_have_stopped
+        final_copy = self._await_final_copy(run, run.pending_final_copy, left_s)
+        return final_copy is None or final_copy.may_have_stopped
 
     def has_current_backup(self, run: StreamRun) -> bool:
-        """Tell whether the copy that the run's engine keeps up must be there by now."""
-        return self._kept_up(run) is not None
+        """Return True if the run has a backup that must be complete by now."""
+        return self._find_backup(run) is not None
 
-    def _kept_up(self, run: StreamRun) -> ReplicaRef | None:
-        """Return the copy that the run's engine keeps up, if it must be there by now."""
+    def _find_backup(self, run: StreamRun) -> ReplicaRef | None:
+        """Return the backup of a run if it must be complete by now."""
         backup = run.backup
         if backup is None or not self._state.fleet.accepts_requests(backup.upstream_id):
             return None
@@ -69,28 +76,31 @@
     def _allows(self, copy: ReplicaRef, run: StreamRun) -> bool:
         """Ask whether the request may be sent to go on at a copy, after all that was sent."""
         engine_id = copy.upstream.upstream_id
-        return self._history.can_resume(copy.kind, engine_id, copy.copy_of, run.generating_s)
+        return self._history.can_resume(ref.kind, engine_id, ref.copy_of, run.generating_s)
 
-    def _await_last_step(
-        self, run: StreamRun, moving: AsyncResult, left_s: float
+    def _await_final_copy(
+        self, run: StreamRun, pending: AsyncResult, left_s: float
     ) -> FinalCopy | None:
-        """Wait for the end of the last step, once for each run; None where it is late."""
+        """Wait for the result of the final copy; return None if it is late.
+
+        All waits of a run share one deadline.
+        """
         now = self._state.now()
         if run.final_copy_deadline is None:
             run.final_copy_deadline = now + min(FINAL_COPY_TIMEOUT_S, left_s)
-        step: FinalCopy | None = moving.wait(timeout=max(0.0, run.final_copy_deadline - now))
-        return step
+        final_copy: FinalCopy | None = pending.wait(timeout=max(0.0, run.final_copy_deadline - now))
+        return final_copy
 
     def log_no_replica(self, run: StreamRun, cause: str) -> None:
-        """Log why a stream does not go on elsewhere, with what decided it."""
-        making_s = run.generating_s
+        """Log that a stream has no replica to resume at, with the facts behind it."""
+        generating_s = run.generating_s
         log_event(
             PREFIX_RELAY,
-            "No copy of a stream is known to be there",
+            "No replica found to resume the stream",
             request=run.request_id,
             left=run.upstream.upstream_id,
             cause=cause,
-            making_ms=None if making_s is None else int(making_s * 1000),
+            making_ms=None if generating_s is None else int(generating_s * 1000),
             sends=self._history.sends,
             has_run_at=sorted(self._history.has_run_at),
         )
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -1,4 +1,4 @@
-"""Hold the open streams of this instance, by the upstream that each runs on."""
+"""Open streams of this instance: their runs on upstreams, and the replicas of these runs."""
 
 from __future__ import annotations
 
@@ -16,97 +16,98 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRef:
-    """Name a copy of a run's memory, and the engine to go on at."""
+    """Identify a replica of a run's memory and the engine where the stream can resume."""
 
     upstream: Upstream
     copy_of: str
     kind: ReplicaKind = ReplicaKind.NAMED
     named_by: str = ""
-    """The engine that has named it, where its name does not follow from the request."""
+    """The engine that assigned the name; empty if the name is derived from the request id."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """Hold a copy of a running run: where it is and how old."""
+    """Describe a replica of a run: its location, time and size."""
 
     ref: ReplicaRef
     copied_at: float
     tokens: int
-    """Tokens of the run that were copied."""
+    """Tokens of the run that the replica contains."""
 
 
 @dataclass(frozen=True, slots=True)
 class FinalCopy:
-    """Tell how the last step of a move ended."""
+    """Hold the result of the final copy (stop-and-copy) of a migration."""
 
     replica: Replica | None
-    """Where the run goes on, if its engine has told."""
+    """The replica at which the run resumes, if its engine has reported one."""
     may_have_stopped: bool
-    """Whether the run may have been stopped by it; it was not if the engine refused the step."""
+    """Whether the step may have stopped the run; False if the engine refused the step."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenRun:
-    """Hold a run that broke off, not by its caller or on our word."""
+    """Describe a run that broke off without a disconnect of its caller or a stop by this side."""
 
     request_id: str
     fingerprint: str
     under_way: bool
-    """Whether it had made events at this upstream for a while."""
+    """Whether it had produced events at this upstream for some time."""
 
 
 @dataclass(slots=True)
 class StreamRun:
-    """Hold one open stream, wherever it runs now."""
+    """Hold the state of one open stream on its current upstream."""
 
     call: CallerRequest
     admitted: Admitted
     request: Request
-    """The request as the forecasts see it."""
+    """The request in the form that forecasts use."""
     upstream: Upstream
     backup: Upstream | None = None
     exchange: UpstreamExchange | None = None
     last_event_id: str = ""
     events: int = 0
     tokens: int = 0
-    """Tokens delivered so far."""
+    """Tokens delivered to the caller so far."""
     pending_final_copy: AsyncResult | None = None
-    """Set from the run's last step to another engine on; gives a LastStep."""
+    """Set once the final copy to another engine has begun; resolves to a FinalCopy."""
     final_copy_deadline: float | None = None
-    """Until when the answer of the last step is waited for, once it is."""
+    """Deadline of the wait for the final copy's result; None until the wait begins."""
     resumed_from: ReplicaRef | None = None
-    """The copy that this run has gone on from."""
+    """The replica from which this run was resumed."""
     is_copying: bool = False
-    """Set while a step of a copy is taken; an engine takes one at a time of a run."""
+    """Whether a copy is in progress; an engine accepts one at a time per run."""
     replica_target: Upstream | None = None
-    """The engine that a copy is made on, from the first step on."""
+    """The engine on which a replica is made, set from the first step on."""
     replica: Replica | None = None
-    """The copy made of the run while it goes on."""
+    """The replica made of the run while it continues."""
     ended: bool = False
     is_resumed_elsewhere: bool = False
-    """Whether the stream goes on at another engine; else it has ended with this run."""
+    """Whether the stream was resumed at another engine; otherwise it ended with this run."""
     moves: int = 0
     waited_s: float = 0.0
-    """Time for which its relay has waited for the engine since the first event there."""
+    """Time for which the relay has waited for the engine since the first event there."""
     generating_s: float | None = None
-    """The part of that up to the last event; None before the first one. Time that a slow
-    caller takes does not count: all its events may have been made in a moment before."""
+    """The part of waited_s up to the last event; None before the first event. Time spent on a
+    slow caller is not counted, because all its events may have been produced within a moment
+    before."""
     last_event_at: float = 0.0
 
     @property
     def request_id(self) -> str:
-        """Return the caller's id of the request."""
+        """Return the request id given by the caller."""
         return self.admitted.marks.request_id
 
     @property
     def held_tokens(self) -> int:
-        """Return the engine memory that the run holds now, in tokens."""
+        """Return the engine memory that the run uses now, in tokens."""
         return self.admitted.marks.input_tokens + self.tokens
 
 
 @dataclass(slots=True)
 class RunRegistry:
-    """Hold all open streams."""
+    """Registry of all open streams by request id."""
 
     _runs: dict[str, StreamRun] = field(default_factory=dict)
 
@@ -116,11 +117,11 @@
         return tuple(self._runs.values())
 
     def add(self, run: StreamRun) -> None:
-        """Add a stream that was sent."""
+        """Add a stream that is sent to an upstream; replaces its earlier run."""
         self._runs[run.request_id] = run
 
     def remove(self, run: StreamRun) -> None:
-        """Drop a stream that has ended."""
+        """Remove a run that has ended, unless a later run of the stream has replaced it."""
         if self._runs.get(run.request_id) is run:
             del self._runs[run.request_id]
 
@@ -129,5 +130,5 @@
         return tuple(run for run in self._runs.values() if run.upstream.upstream_id == upstream_id)
 
     def __len__(self) -> int:
-        """Return how many streams are open."""
+        """Return the number of open streams."""
         return len(self._runs)
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -46,7 +46,7 @@
         roles: Callable[[], FleetRoles],
         send: Callable[[str, GatewayMessage], None],
     ) -> None:
-        """Initialize with the shared state, a reader of the current roles, and the send function."""
+        """Initialize with the shared state, a reader of the roles, and the send function."""
         self._state = state
         self._own_id = state.settings.instance_id
         self._roles = roles
