--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -13,7 +13,7 @@
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.permits import scaled_limit
 from driftstall.helpers.permits import PermitCoordinator
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 from driftstall.peers.permit_messages import (
     PermitAsked,
     PermitCharged,
@@ -35,7 +35,7 @@
         self._hub = hub
         self._members = members
         self._count = InstanceCount()
-        self.limits = RateLimiting(
+        self.limits = RateLimiter(
             hub.stats, instances=lambda: self._count.value, now=hub.now, pause=gevent.sleep
         )
         self._permits = PermitCoordinator(
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -28,7 +28,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.filters.context import RequestContext
 from driftstall.helpers.log import log_event
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 from driftstall.runners.service import CALL_TIMEOUT_S, ServiceResponse, call_service
 
 FORWARDED: Final = ("content-type", "accept", "x-call-id")
@@ -63,7 +63,7 @@
         fleet: FleetService,
         claims: ClaimsService,
         blame: BlameService,
-        limits: RateLimiting,
+        limits: RateLimiter,
         signals: SignalService,
     ) -> None:
         """Start with a fresh retry budget."""
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -22,13 +22,13 @@
     UnreadableSignal,
 )
 from driftstall.helpers.log import log_event
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 
 
 class SignalService:
     """Dispatch signals to the parts that decide by them, and hold back-offs."""
 
-    def __init__(self, hub: Hub, fleet: FleetService, limits: RateLimiting) -> None:
+    def __init__(self, hub: Hub, fleet: FleetService, limits: RateLimiter) -> None:
         """Start with no back-off."""
         self._hub = hub
         self._fleet = fleet
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -34,7 +34,7 @@
 from driftstall.gateway.stats import GatewayStats
 from driftstall.gateway.upstream_signals import UpstreamSignals
 from driftstall.helpers.log import log_event
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 from driftstall.peers.gateway_messages import PlacementAsked, PlacementGiven
 from driftstall.policy.model import Policy
 from driftstall.util import clock
@@ -73,7 +73,7 @@
         self.stats = GatewayStats()
         self.rng = random.Random()
         self.instances = InstanceCount()
-        self.rate_limiting = RateLimiting(
+        self.rate_limiting = RateLimiter(
             self.stats,
             instances=lambda: self.instances.value,
             now=lambda: self.now(),
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -20,7 +20,7 @@
 from driftstall.gateway.stats import GatewayStats
 from driftstall.gateway.upstream_registry import UpstreamRegistry
 from driftstall.helpers.log import log_event
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 
 MAX_UNKNOWN_NAMES: Final = 32
 """Unknown signals logged by name; an upstream may make names up."""
@@ -32,7 +32,7 @@
     def __init__(
         self,
         stats: GatewayStats,
-        rate_limiting: RateLimiting,
+        rate_limiting: RateLimiter,
         fleet: UpstreamRegistry,
         backoff: UpstreamBackoff,
         now: Callable[[], float],
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -14,7 +14,7 @@
 from driftstall.decisions.permits import Allowances, Denial, Permit, SendNeed, Verdict, scaled_limit
 from driftstall.decisions.rate_limits import RateLimit
 from driftstall.helpers.log import log_event
-from driftstall.helpers.rate_limiting import RateLimiting
+from driftstall.helpers.rate_limiting import RateLimiter
 from driftstall.peers.permit_messages import (
     PermitAsked,
     PermitCharged,
@@ -35,7 +35,7 @@
     def __init__(
         self,
         own_id: str,
-        limits: RateLimiting,
+        limits: RateLimiter,
         *,
         now: Callable[[], float],
         live: Callable[[], tuple[Instance, ...]],
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -30,7 +30,7 @@
     limited_refused: int
 
 
-class RateLimiting:
+class RateLimiter:
     """Hold what is known of limits, and ask before a request goes to who names one."""
 
     def __init__(
