--- a/driftstall/const.py
+++ b/driftstall/const.py
@@ -1,4 +1,4 @@
-"""Define the constants shared by more than one part."""
+"""Define the constants that several packages share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 HEADER_LAST_EVENT_ID: Final = "Last-Event-ID"
 HEADER_REPEATABLE: Final = "Driftstall-Repeatable"
 
-# Stable problem codes, given to callers in the problem details.
+# Stable codes of the problem details that callers receive.
 CODE_BAD_REQUEST: Final = "bad_request"
 CODE_UNAUTHENTICATED: Final = "unauthenticated"
 CODE_NOT_FOUND: Final = "not_found"
@@ -32,7 +32,7 @@
 CODE_CRASHES_RUNNERS: Final = "crashes_runners"
 CODE_INTERNAL: Final = "internal_error"
 
-# Log prefixes, one for each part.
+# Log prefixes, one for each component.
 PREFIX_ADMISSION: Final = "admission:"
 PREFIX_CLAIMS: Final = "claims:"
 PREFIX_CONFIGURATION: Final = "configuration:"
@@ -44,7 +44,7 @@
 PREFIX_ROUTING: Final = "routing:"
 PREFIX_YIELDING: Final = "yielding:"
 
-# Keys of the objects kept in the platform's service.
+# Keys of the objects stored in the platform's service.
 KEY_CONFIG: Final = "driftstall/config"
 KEY_CLAIMS: Final = "driftstall/claims"
 KEY_LEASE: Final = "driftstall/lease"
--- a/driftstall/core.py
+++ b/driftstall/core.py
@@ -1,4 +1,4 @@
-"""Define the central objects that all parts share."""
+"""Define the central data types that all packages share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Ran(StrEnum):
-    """Tell whether a request was run by an upstream."""
+    """State whether an upstream ran a request."""
 
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixMark:
-    """Name a prompt prefix by its hash and its length in tokens."""
+    """Identify a prefix of a prompt by its hash and its length in tokens."""
 
     digest: int
     tokens: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Describe a generation request as the decisions see it."""
+    """Describe a generation request as the input of decisions."""
 
     request_id: str
     workspace: str
@@ -35,30 +35,30 @@
     prefix: tuple[PrefixMark, ...] = ()
     """Prefixes from short to long; the last covers the whole prompt."""
     asked_at: float = 0.0
-    """When the request was first asked, in seconds; a ticket keeps it on a return."""
+    """When the caller first sent the request, in seconds; a ticket preserves it on a retry."""
     deadline: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Carry what the policy says of one request."""
+    """Hold the decision of the policy on one request."""
 
     rule: str
     line: int
     rank: int
     """Zero comes first."""
     wait_s: float
-    """The longest a request may wait for a grant, in seconds."""
+    """Maximum wait of a request for a grant, in seconds."""
     may_yield: bool
     may_refuse: bool
     share: float
     limit_tokens_per_s: float
-    """Tokens a second for the workspace; zero stands for no limit."""
+    """Tokens a second for the workspace; zero means no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """Weigh the three measures against one another."""
+    """Hold the relative weights of the three measures."""
 
     token_gap: float = 1.0
     stall: float = 1.0
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Describe why a request gets no whole answer (RFC 9457 problem details)."""
+    """Describe why a request gets no complete response (RFC 9457 problem details)."""
 
     code: str
     status: int
@@ -95,13 +95,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """Describe one entry instance."""
+    """Describe one instance that callers can connect to."""
 
     instance_id: str
     address: str
-    """The callers' address, as IP and port."""
+    """The address for callers, as IP and port."""
     peer_address: str
     zone: str
     leaving: bool = False
     link_mbps: int = 0
-    """Bandwidth of its machine's link; zero if it is not known."""
+    """Bandwidth of its machine's link; zero if it is unknown."""
--- a/driftstall/filters/apply_policy.py
+++ b/driftstall/filters/apply_policy.py
@@ -1,4 +1,4 @@
-"""Evaluate the policy in force on a generation."""
+"""Evaluate the policy in force for a generation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def facts_of(request: Request, load: float, wall: float) -> Facts:
-    """Return the facts that a policy may ask about."""
+    """Return the facts that the conditions of a policy may use."""
     hour = datetime.fromtimestamp(wall, UTC).hour
     return Facts(
         request.kind,
@@ -27,10 +27,10 @@
 
 
 class ApplyPolicy:
-    """Set the verdict of the first rule that holds."""
+    """Set the verdict of the first matching rule."""
 
     def __init__(self, policy: Policy, load: Callable[[], float]) -> None:
-        """Take the policy in force and a reader of the load, from 0 to 1."""
+        """Initialize with the policy in force and a getter of the load, from 0 to 1."""
         self._policy = policy
         self._load = load
 
--- a/driftstall/filters/authenticate.py
+++ b/driftstall/filters/authenticate.py
@@ -1,4 +1,4 @@
-"""Find out for which workspace a caller speaks."""
+"""Authenticate the workspace of a caller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which a workspace key is configured."""
+    """Return the SHA-256 hash under which a workspace key is configured."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -20,11 +20,11 @@
     """Check the bearer key against the configured hashes."""
 
     def __init__(self, workspaces: Mapping[str, str]) -> None:
-        """Take workspace names by the hash of their key."""
+        """Initialize with the workspace names by the hash of their key."""
         self._workspaces = workspaces
 
     def __call__(self, context: RequestContext) -> FilterResult:
-        """Set the workspace, or answer 401."""
+        """Set the workspace, or return a 401 problem."""
         header = context.headers.get(HEADER_WORKSPACE_KEY.lower(), "")
         scheme, _, key = header.partition(" ")
         workspace = self._workspaces.get(hash_key(key)) if scheme.lower() == "bearer" else None
--- a/driftstall/filters/chain.py
+++ b/driftstall/filters/chain.py
@@ -1,4 +1,4 @@
-"""Run a request through filters, in order, until one answers."""
+"""Run a request through the filters, in order, until one returns a problem."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     filters: Sequence[Callable[[Context], Context | Problem]], context: Context
 ) -> Context | Problem:
     """Return the context after all filters, or the first problem."""
-    for step in filters:
-        result = step(context)
+    for apply_filter in filters:
+        result = apply_filter(context)
         if isinstance(result, Problem):
             return result
         context = result
--- a/driftstall/filters/classify.py
+++ b/driftstall/filters/classify.py
@@ -1,4 +1,4 @@
-"""Read a request: what kind it is, how long its prompt, by when it is wanted."""
+"""Classify a request and parse its kind, prompt length and deadline."""
 
 from __future__ import annotations
 
@@ -47,56 +47,56 @@
 )
 
 
-def _bad(detail: str) -> Problem:
-    """Answer 400."""
+def _bad_request(detail: str) -> Problem:
+    """Return a 400 problem."""
     return Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN)
 
 
 class Classify:
-    """Tell generations from plain service calls and read either."""
+    """Distinguish generations from plain service calls and parse either."""
 
     def __init__(self, default_deadline_s: float) -> None:
-        """Take the deadline of a request that names none, in seconds."""
+        """Initialize with the deadline of a request that states none, in seconds."""
         self._default_deadline_s = default_deadline_s
 
     def __call__(self, context: RequestContext) -> FilterResult:
-        """Read the request, or answer with what is wrong with it."""
-        deadline = self._deadline(context)
+        """Parse the request, or return the problem with it."""
+        deadline = self._parse_deadline(context)
         if isinstance(deadline, Problem):
             return deadline
         context = replace(context, deadline=deadline)
         if context.path == PATH_CHAT:
-            return self._generation(context)
+            return self._parse_generation(context)
         if context.path.startswith(PATH_SERVICES):
-            return self._service(context)
+            return self._parse_service(context)
         detail = f"there is no {context.path}; try {PATH_CHAT} or {PATH_SERVICES}NAME/..."
         return Problem(CODE_NOT_FOUND, 404, detail, Ran.NOT_RUN)
 
-    def _deadline(self, context: RequestContext) -> float | Problem:
-        """Read the deadline header, in seconds from now."""
+    def _parse_deadline(self, context: RequestContext) -> float | Problem:
+        """Return the deadline by the request's header, as wall-clock time in seconds."""
         text = context.headers.get(HEADER_DEADLINE.lower())
         if text is None:
             return context.now + self._default_deadline_s
         try:
             seconds = float(text)
         except ValueError:
-            return _bad(f"{HEADER_DEADLINE} is not a number of seconds")
+            return _bad_request(f"{HEADER_DEADLINE} is not a number of seconds")
         if not 0 < seconds <= 86_400:
-            return _bad(f"{HEADER_DEADLINE} must be above 0 and at most 86400 seconds")
+            return _bad_request(f"{HEADER_DEADLINE} must be above 0 and at most 86400 seconds")
         return context.now + seconds
 
-    def _generation(self, context: RequestContext) -> FilterResult:
-        """Read a request in the chat-completions shape."""
+    def _parse_generation(self, context: RequestContext) -> FilterResult:
+        """Parse a request in the chat-completions format."""
         if context.method != "POST":
             return Problem(CODE_BAD_REQUEST, 405, f"use POST on {PATH_CHAT}", Ran.NOT_RUN)
-        payload = _payload(context.body)
+        payload = _parse_payload(context.body)
         if isinstance(payload, Problem):
             return payload
         kind = context.headers.get(HEADER_KIND.lower(), DEFAULT_KIND)
         if len(kind) > 64 or not kind.replace("_", "").replace("-", "").isalnum():
-            return _bad(f"{HEADER_KIND} must be up to 64 letters, digits, - or _")
-        messages = [(one["role"], one["content"]) for one in payload["messages"]]
-        marks = _marks(payload["model"], messages)
+            return _bad_request(f"{HEADER_KIND} must be up to 64 letters, digits, - or _")
+        messages = [(message["role"], message["content"]) for message in payload["messages"]]
+        marks = _mark_prefixes(payload["model"], messages)
         request = Request(
             context.request_id,
             context.workspace,
@@ -110,40 +110,42 @@
         )
         return replace(context, payload=payload, request=request)
 
-    def _service(self, context: RequestContext) -> FilterResult:
-        """Read a call to a plain service."""
-        service, _, rest = context.path.removeprefix(PATH_SERVICES).partition("/")
+    def _parse_service(self, context: RequestContext) -> FilterResult:
+        """Parse a call to a plain service."""
+        service, _, service_path = context.path.removeprefix(PATH_SERVICES).partition("/")
         key = context.headers.get(HEADER_IDEMPOTENCY_KEY.lower(), "")
         if len(key) > MAX_KEY_CHARS:
-            return _bad(f"{HEADER_IDEMPOTENCY_KEY} must be at most {MAX_KEY_CHARS} characters")
-        word = context.headers.get(HEADER_REPEATABLE.lower(), "").lower()
-        if word not in ("", "true", "false"):
-            return _bad(f"{HEADER_REPEATABLE} must be true or false")
-        repeatable = word == "true" or (word == "" and context.method in SAFE_METHODS)
+            return _bad_request(
+                f"{HEADER_IDEMPOTENCY_KEY} must be at most {MAX_KEY_CHARS} characters"
+            )
+        value = context.headers.get(HEADER_REPEATABLE.lower(), "").lower()
+        if value not in ("", "true", "false"):
+            return _bad_request(f"{HEADER_REPEATABLE} must be true or false")
+        repeatable = value == "true" or (value == "" and context.method in SAFE_METHODS)
         return replace(
             context,
             service=service,
-            service_path="/" + rest,
+            service_path="/" + service_path,
             repeatable=repeatable and not key,
             idempotency_key=key,
         )
 
 
-def _payload(body: bytes) -> dict[str, Any] | Problem:
-    """Parse and check a generation's body."""
+def _parse_payload(body: bytes) -> dict[str, Any] | Problem:
+    """Parse and validate the body of a generation."""
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError:
-        return _bad("the body is not JSON")
+        return _bad_request("the body is not JSON")
     try:
         checked: dict[str, Any] = BODY(raw)
     except vol.MultipleInvalid as invalid:
-        return _bad("; ".join(str(fault) for fault in invalid.errors[:5]))
+        return _bad_request("; ".join(str(fault) for fault in invalid.errors[:5]))
     except RecursionError:
-        return _bad("the body is nested too deeply")
+        return _bad_request("the body is nested too deeply")
     return checked
 
 
-def _marks(model: str, messages: Sequence[tuple[str, str]]) -> tuple[PrefixMark, ...]:
-    """Name the prompt's prefixes."""
+def _mark_prefixes(model: str, messages: Sequence[tuple[str, str]]) -> tuple[PrefixMark, ...]:
+    """Return the marks of the prompt's prefixes."""
     return tuple([PrefixMark(*mark) for mark in prefix_marks(model, messages)])
--- a/driftstall/filters/context.py
+++ b/driftstall/filters/context.py
@@ -1,4 +1,4 @@
-"""Define what travels along the filter chain."""
+"""Define the context that is passed along the filter chain."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """Hold one caller's request and what the filters have found out."""
+    """Hold a caller's request and the results of the filters so far."""
 
     request_id: str
     method: str
--- a/driftstall/policy/__init__.py
+++ b/driftstall/policy/__init__.py
@@ -1,3 +1,3 @@
-"""Parse, check, evaluate and explain operators' policies."""
+"""Parse, validate, evaluate and explain the policies of operators."""
 
 from __future__ import annotations
--- a/driftstall/policy/default.py
+++ b/driftstall/policy/default.py
@@ -1,7 +1,7 @@
-"""Hold the default policy ready built, so that a start need not load the parser.
+"""Define the default policy as objects, so that a start need not load the parser.
 
-It says the same as default.policy, which operators read; a test holds the two together.
-The parser and its grammar take about a quarter of the processor time of a start.
+It is equal to default.policy, the text for operators; a test compares the two. The parser and its
+grammar take about a quarter of the processor time of a start.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from driftstall.core import Verdict, Weights
 from driftstall.policy.model import DEFAULT_OVERFLOW, DEFAULT_VERDICT, Condition, Policy, Rule
 
-LONG_TOKENS: Final = 200
-"""Outputs that may grow longer than this never yield."""
+LONG_OUTPUT_TOKENS: Final = 200
+"""Outputs that may become longer than this never yield."""
 STEPS: Final = 45
-"""Steps of the checked text; one evaluation takes no more."""
+"""Steps of the checked text, the maximum for one evaluation."""
 
 
 def default_policy() -> Policy:
@@ -25,7 +25,7 @@
             "first_long",
             9,
             "route_rank == 0 and max_tokens > 200",
-            lambda facts: facts.route_rank == 0 and facts.max_tokens > LONG_TOKENS,
+            lambda facts: facts.route_rank == 0 and facts.max_tokens > LONG_OUTPUT_TOKENS,
             replace(DEFAULT_VERDICT, rank=0, wait_s=10.0, may_yield=False),
         ),
         _rule(
@@ -39,7 +39,7 @@
             "soon_long",
             23,
             "route_rank == 1 and max_tokens > 200",
-            lambda facts: facts.route_rank == 1 and facts.max_tokens > LONG_TOKENS,
+            lambda facts: facts.route_rank == 1 and facts.max_tokens > LONG_OUTPUT_TOKENS,
             replace(DEFAULT_VERDICT, rank=1, wait_s=10.0, may_yield=False),
         ),
         _rule(
@@ -56,5 +56,5 @@
 
 
 def _rule(name: str, line: int, text: str, condition: Condition | None, verdict: Verdict) -> Rule:
-    """Return one rule, at its line of the text."""
+    """Return one rule, with its line in the text."""
     return Rule(name, line, condition, text, replace(verdict, rule=name, line=line))
--- a/driftstall/policy/evaluate.py
+++ b/driftstall/policy/evaluate.py
@@ -1,4 +1,4 @@
-"""Evaluate a policy on one request, and explain the outcome."""
+"""Evaluate a policy for one request, and explain the result."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleCheck:
-    """Tell whether one rule held."""
+    """Describe whether one rule matched."""
 
     rule: str
     line: int
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Tell which rules were checked and which decided."""
+    """List the rules that were checked, and the verdict of the one that decided."""
 
     checks: tuple[RuleCheck, ...]
     verdict: Verdict
 
 
 def evaluate(policy: Policy, facts: Facts) -> Verdict:
-    """Return the verdict of the first rule that holds."""
+    """Return the verdict of the first matching rule."""
     for rule in policy.rules:
         if rule.condition is None or rule.condition(facts):
             return rule.verdict
@@ -36,7 +36,7 @@
 
 
 def explain(policy: Policy, facts: Facts) -> Explanation:
-    """Return each rule checked, up to the one that decided."""
+    """Return each checked rule, up to the one that decided."""
     checks: list[RuleCheck] = []
     for rule in policy.rules:
         held = rule.condition is None or rule.condition(facts)
--- a/driftstall/policy/model.py
+++ b/driftstall/policy/model.py
@@ -1,4 +1,4 @@
-"""Define a checked policy and the facts it is evaluated on."""
+"""Define a checked policy and the facts that it is evaluated on."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     share=1.0,
     limit_tokens_per_s=0.0,
 )
-"""What a rule decides where it says nothing."""
+"""Verdict of a rule without clauses."""
 
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """Hold what a condition may ask about."""
+    """Hold the facts that a condition may use."""
 
     kind: str
     workspace: str
@@ -32,11 +32,11 @@
     input_tokens: int
     max_tokens: int
     load: float
-    """The share of engine memory in use, from 0 to 1."""
+    """Share of engine memory in use, from 0 to 1."""
     hour: int
-    """The hour of the day, from 0 to 23."""
+    """Hour of the day, from 0 to 23."""
     route_rank: int = 5
-    """The rank that the route or the workspace is configured with; zero comes first."""
+    """Rank configured for the route or the workspace; zero comes first."""
 
 
 Condition = Callable[[Facts], bool]
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Pair a condition with the verdict it leads to."""
+    """Pair a condition with the verdict that it results in."""
 
     name: str
     line: int
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Hold a checked policy; the first rule that holds decides."""
+    """Hold a checked policy; the first matching rule decides."""
 
     name: str
     weights: Weights
     overflow: float
-    """The chance of a full engine that admission may accept."""
+    """Probability of a full engine that admission may accept."""
     rules: tuple[Rule, ...]
     steps: int
-    """The most steps that one evaluation takes."""
+    """Maximum number of steps of one evaluation."""
--- a/driftstall/policy/parse.py
+++ b/driftstall/policy/parse.py
@@ -1,4 +1,4 @@
-"""Parse and check a policy's text; faults name line, column, cause and fix."""
+"""Parse and check the text of a policy; errors name line, column, cause and fix."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @cache
 def _parser() -> Lark:
-    """Build the parser once."""
+    """Build and cache the parser."""
     grammar = Path(__file__).with_name("policy.lark").read_text()
     return Lark(grammar, parser="lalr", propagate_positions=True, maybe_placeholders=True)
 
@@ -53,7 +53,7 @@
 
 
 def parse_policy(text: str) -> Policy:
-    """Return the checked policy, or raise PolicyError."""
+    """Return the checked policy; raise PolicyError for a faulty text."""
     if len(text) > MAX_TEXT_CHARS:
         raise PolicyError(
             1, 1, "the text is too long", f"keep it under {MAX_TEXT_CHARS} characters"
@@ -64,7 +64,7 @@
 
 
 def _check_nesting(text: str) -> None:
-    """Refuse nesting that would exhaust the stack, before parsing."""
+    """Reject nesting that would exhaust the stack, before parsing."""
     depth = 0
     for number, line in enumerate(text.splitlines(), start=1):
         for char in line:
@@ -75,28 +75,28 @@
 
 
 def _parse_tree(text: str) -> Tree[Token]:
-    """Parse the text into a tree, turning faults into PolicyError."""
+    """Parse the text into a tree, converting parser errors to PolicyError."""
     try:
         return _parser().parse(text)
     except UnexpectedEOF as fault:
         line = text.count("\n") + 1
         raise PolicyError(line, 1, "the text ends too early", "close each { with a }") from fault
     except UnexpectedToken as fault:
-        expected = ", ".join(sorted(_plain(name) for name in fault.expected)[:8])
+        expected = ", ".join(sorted(_describe_terminal(name) for name in fault.expected)[:8])
         cause = f"{str(fault.token)!r} is not expected here"
         if fault.token.type == "$END":
             cause = "the text ends too early"
         line, column = max(1, fault.line), max(1, fault.column)
         raise PolicyError(line, column, cause, f"write one of: {expected}") from fault
     except UnexpectedCharacters as fault:
-        expected = ", ".join(sorted(_plain(name) for name in fault.allowed or ())[:8])
+        expected = ", ".join(sorted(_describe_terminal(name) for name in fault.allowed or ())[:8])
         char = fault.char
         cause = f"{char!r} is not expected here"
         raise PolicyError(fault.line, fault.column, cause, f"write one of: {expected}") from fault
 
 
-def _plain(name: str) -> str:
-    """Turn a terminal's name into what an operator would write."""
+def _describe_terminal(name: str) -> str:
+    """Return what an operator would write for a terminal."""
     known = {"LBRACE": "{", "RBRACE": "}", "SEMICOLON": ";", "COMMA": ",", "$END": "end of text"}
     known |= {"LSQB": "[", "RSQB": "]", "LPAR": "(", "RPAR": ")"}
     return known.get(name, name.lower())
@@ -112,7 +112,7 @@
     for item in items:
         assert isinstance(item, Tree)
         if item.data == "weigh":
-            weights = _weights(item, weights)
+            weights = _parse_weights(item, weights)
         elif item.data == "overflow":
             overflow = float(_token(item)[:-1]) / 100
             if not 0 < overflow < 0.5:
@@ -120,7 +120,7 @@
         else:
             if rules and rules[-1].condition is None:
                 _fail(item, "this rule can never be reached", "put the rule without 'when' last")
-            rules.append(_rule(item, text, {rule.name for rule in rules}))
+            rules.append(_parse_rule(item, text, {rule.name for rule in rules}))
             steps += sum(1 for _ in item.iter_subtrees())
     if not rules or rules[-1].condition is not None:
         line = text.count("\n") + 1
@@ -131,7 +131,7 @@
 
 
 def _fail(tree: Tree[Token], cause: str, fix: str) -> None:
-    """Raise a PolicyError at the tree's place."""
+    """Raise a PolicyError at the position of the tree."""
     raise PolicyError(tree.meta.line, tree.meta.column, cause, fix)
 
 
@@ -140,8 +140,8 @@
     return str(tree.children[0])
 
 
-def _weights(tree: Tree[Token], weights: Weights) -> Weights:
-    """Read the weights of the measures."""
+def _parse_weights(tree: Tree[Token], weights: Weights) -> Weights:
+    """Parse the weights of the measures."""
     for weight in tree.children:
         assert isinstance(weight, Tree)
         measure, number = weight.children
@@ -149,10 +149,10 @@
     return weights
 
 
-def _rule(tree: Tree[Token], text: str, taken: set[str]) -> Rule:
-    """Read one rule."""
+def _parse_rule(tree: Tree[Token], text: str, known_names: set[str]) -> Rule:
+    """Parse one rule."""
     name, condition, *clauses = tree.children
-    if str(name) in taken:
+    if str(name) in known_names:
         _fail(tree, f"rule {name} stands twice", "give each rule a name of its own")
     line = tree.meta.line
     verdict = replace(DEFAULT_VERDICT, rule=str(name), line=line)
@@ -162,49 +162,49 @@
         if clause.data in seen:
             _fail(clause, f"{clause.data} stands twice in rule {name}", "keep one of them")
         seen.add(str(clause.data))
-        verdict = replace(verdict, **_clause(clause))
+        verdict = replace(verdict, **_parse_clause(clause))
     if condition is None:
         return Rule(str(name), line, None, "always", verdict)
-    compiled, kind = _expression(condition)
+    compiled, kind = _compile_expression(condition)
     if kind != "truth":
         _fail(tree, "the condition is not true or false", "compare it with a value")
     meta = condition.meta if isinstance(condition, Tree) else tree.meta
     return Rule(str(name), line, compiled, text[meta.start_pos : meta.end_pos], verdict)
 
 
-def _clause(clause: Tree[Token]) -> dict[str, Any]:
-    """Return the verdict's fields that one clause sets."""
-    word = _token(clause)
+def _parse_clause(clause: Tree[Token]) -> dict[str, Any]:
+    """Return the fields of the verdict that one clause sets."""
+    value = _token(clause)
     match str(clause.data):
         case "rank":
-            if "." in word or int(word) > MAX_RANK:
+            if "." in value or int(value) > MAX_RANK:
                 _fail(clause, "the rank is out of range", f"choose a whole number, 0 to {MAX_RANK}")
-            return {"rank": int(word)}
+            return {"rank": int(value)}
         case "wait":
-            return {"wait_s": _seconds(word)}
+            return {"wait_s": _parse_duration(value)}
         case "yielding":
-            return {"may_yield": word == "may"}
+            return {"may_yield": value == "may"}
         case "refusing":
-            return {"may_refuse": word == "may"}
+            return {"may_refuse": value == "may"}
         case "share":
-            if float(word) <= 0:
+            if float(value) <= 0:
                 _fail(clause, "the share is zero", "choose a number above 0")
-            return {"share": float(word)}
+            return {"share": float(value)}
         case _:
             unit = str(clause.children[1])
-            return {"limit_tokens_per_s": float(word) / UNIT_SECONDS[unit]}
+            return {"limit_tokens_per_s": float(value) / UNIT_SECONDS[unit]}
 
 
-def _seconds(word: str) -> float:
-    """Turn a duration such as 8s, 250ms or 2min into seconds."""
+def _parse_duration(value: str) -> float:
+    """Convert a duration such as 8s, 250ms or 2min to seconds."""
     for suffix in ("ms", "min", "s"):
-        if word.endswith(suffix):
-            return float(word.removesuffix(suffix)) * DURATION_SECONDS[suffix]
-    raise AssertionError(word)
+        if value.endswith(suffix):
+            return float(value.removesuffix(suffix)) * DURATION_SECONDS[suffix]
+    raise AssertionError(value)
 
 
-def _expression(node: Any) -> tuple[Callable[[Facts], Any], str]:
-    """Compile an expression; return it with its kind: truth, text or number."""
+def _compile_expression(node: Any) -> tuple[Callable[[Facts], Any], str]:
+    """Compile an expression; return it with its type: truth, text or number."""
     match str(node.data):
         case "fact":
             name = _token(node)
@@ -216,32 +216,32 @@
             number = float(_token(node))
             return lambda _: number, "number"
         case "compare":
-            return _comparison(node), "truth"
+            return _compile_comparison(node), "truth"
         case "member":
-            return _membership(node), "truth"
+            return _compile_membership(node), "truth"
         case "negate":
-            inner = _truth(node.children[0])
+            inner = _compile_condition(node.children[0])
             return lambda facts: not inner(facts), "truth"
         case "and_expr":
-            parts = [_truth(child) for child in node.children]
+            parts = [_compile_condition(child) for child in node.children]
             return lambda facts: all(part(facts) for part in parts), "truth"
         case _:
-            parts = [_truth(child) for child in node.children]
+            parts = [_compile_condition(child) for child in node.children]
             return lambda facts: any(part(facts) for part in parts), "truth"
 
 
-def _truth(node: Any) -> Condition:
+def _compile_condition(node: Any) -> Condition:
     """Compile an expression that must be true or false."""
-    compiled, kind = _expression(node)
+    compiled, kind = _compile_expression(node)
     if kind != "truth":
         _fail(node, "a value stands where a condition is needed", "compare it with a value")
     return compiled
 
 
-def _comparison(node: Any) -> Condition:
-    """Compile a comparison of two values of one kind."""
-    left, left_kind = _expression(node.children[0])
-    right, right_kind = _expression(node.children[2])
+def _compile_comparison(node: Any) -> Condition:
+    """Compile a comparison of two values of one type."""
+    left, left_kind = _compile_expression(node.children[0])
+    right, right_kind = _compile_expression(node.children[2])
     sign = str(node.children[1])
     if left_kind != right_kind:
         _fail(node, f"a {left_kind} is compared with a {right_kind}", "compare values of one kind")
@@ -251,9 +251,9 @@
     return lambda facts: compare(left(facts), right(facts))
 
 
-def _membership(node: Any) -> Condition:
+def _compile_membership(node: Any) -> Condition:
     """Compile a test whether a text is in a list."""
-    left, kind = _expression(node.children[0])
+    left, kind = _compile_expression(node.children[0])
     if kind != "text":
         _fail(node, f"a {kind} is looked up in a list of texts", "use == or <")
     members = frozenset(str(token)[1:-1] for token in node.children[1:])
--- a/driftstall/runners/__init__.py
+++ b/driftstall/runners/__init__.py
@@ -1,3 +1,3 @@
-"""Talk to model engines and plain services."""
+"""Communicate with model engines and plain services."""
 
 from __future__ import annotations
--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -1,4 +1,4 @@
-"""Talk to a model engine: stream, resume, pause, cancel, reports and orders."""
+"""Client of a model engine: streams, control of generations, reports and orders."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from driftstall.runners.signals import read_signals
 from driftstall.util.http import Exchange
 
-SILENCE_S: Final = 3.0
+STREAM_TIMEOUT_S: Final = 3.0
 """An engine sends at least a comment this often; a longer silence is a broken stream."""
 CONTROL_TIMEOUT_S: Final = 1.0
 HTTP_GONE: Final = (404, 410)
@@ -24,7 +24,7 @@
 
 
 class EngineToken(NamedTuple):
-    """Hold one token as the engine sent it; a tuple, since it is made for each token."""
+    """Hold one token as the engine sent it; a tuple, as one is created for each token."""
 
     generation: str
     position: int
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineIdle:
-    """Tell that the engine has nothing to send yet, but is there."""
+    """State that the engine is connected but has nothing to send yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSignals:
-    """Hold what the engine signals about itself with the head of its response."""
+    """Hold the signals of the engine in the head of its response."""
 
     signals: tuple[Signal, ...]
 
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """Hold an engine's own, lagging report."""
+    """Hold the load report of an engine, which lags behind."""
 
     used_tokens: int
     memory_tokens: int
@@ -67,24 +67,24 @@
 
 
 class RunnerRejected(UpstreamError):
-    """Report that the runner answered with something else than a stream."""
+    """Raised when the runner's response is not a stream."""
 
     def __init__(self, status: int, signals: tuple[Signal, ...] = ()) -> None:
-        """Keep whether the request may have run, and whether the generation is unknown there.
+        """Record whether the request may have run, and whether the generation is unknown.
 
-        A refusal says that it did not run; a failure of the runner's own says nothing.
+        A rejection means that it did not run; an error of the runner itself means nothing.
         """
         refused = status in CLIENT_ERRORS or status == HTTPStatus.SERVICE_UNAVAILABLE
         super().__init__(f"the runner answered {status}", sent=not refused)
         self.gone = status in HTTP_GONE
         self.signals = signals
-        """What the runner signals about itself."""
+        """The signals of the runner about itself."""
 
 
 def open_stream(
     runner: Runner, generation: str, body: dict[str, Any], priority: int
 ) -> Iterator[list[EngineEvent]]:
-    """Start a generation and yield its events; raise UpstreamError on a break."""
+    """Start a generation and yield its events; raise UpstreamError when the stream breaks."""
     payload = body | {"stream": True, "priority": priority}
     headers = {"Content-Type": "application/json", "X-Request-Id": generation}
     exchange = Exchange.open(
@@ -93,29 +93,29 @@
         "/v1/chat/completions",
         headers,
         orjson.dumps(payload),
-        SILENCE_S,
+        STREAM_TIMEOUT_S,
     )
-    return _events(exchange)
+    return _read_events(exchange)
 
 
 def resume_stream(runner: Runner, generation: str, next_index: int) -> Iterator[list[EngineEvent]]:
-    """Take a generation up again from an index."""
+    """Resume the stream of a generation from an index."""
     path = f"/v1/generations/{generation}/stream?from={next_index}"
-    exchange = Exchange.open(runner.address, "GET", path, {}, b"", SILENCE_S)
-    return _events(exchange)
+    exchange = Exchange.open(runner.address, "GET", path, {}, b"", STREAM_TIMEOUT_S)
+    return _read_events(exchange)
 
 
-def _events(exchange: Exchange) -> Iterator[list[EngineEvent]]:
-    """Yield a stream's events, all that have arrived at once."""
+def _read_events(exchange: Exchange) -> Iterator[list[EngineEvent]]:
+    """Yield the events of a stream, in lists of those that have arrived together."""
     if exchange.status != 200:
         exchange.close()
         raise RunnerRejected(exchange.status, read_signals(exchange))
     try:
         yield [EngineSignals(read_signals(exchange))]
         while True:
-            events = [_read(exchange)]
+            events = [_read_event(exchange)]
             while exchange.has_event():
-                events.append(_read(exchange))
+                events.append(_read_event(exchange))
             yield events
             if isinstance(events[-1], EngineEnd):
                 return
@@ -123,8 +123,8 @@
         exchange.close()
 
 
-def _read(exchange: Exchange) -> EngineEvent:
-    """Read one event: its id is generation:position, its data is passed on."""
+def _read_event(exchange: Exchange) -> EngineEvent:
+    """Parse one event: its id is generation:position, its data is passed on unchanged."""
     event = exchange.read_event()
     if not event:
         raise UpstreamError("the stream ended early", sent=True)
@@ -137,8 +137,8 @@
             name = event[4:colon].decode()
             return EngineToken(name, int(event[colon + 1 : line]), event[line + 7 : -2])
         head, _, data = event.partition(b"\ndata: ")
-        field, _, last = head.rpartition(b"id: ")
-        generation, _, total = last.decode().rpartition(":")
+        field, _, event_id = head.rpartition(b"id: ")
+        generation, _, total = event_id.decode().rpartition(":")
         if not field.startswith(b"event: end"):
             raise UpstreamError("the stream is malformed", sent=True)
         return EngineEnd(generation, int(total), data[:-2])
@@ -146,8 +146,8 @@
         raise UpstreamError("the stream is malformed", sent=True) from fault
 
 
-def control(runner: Runner, generation: str, verb: str) -> bool:
-    """Pause, resume or cancel a generation; return whether the engine did."""
+def control(runner: Runner, generation: str, action: str) -> bool:
+    """Pause, resume or cancel a generation; return True if the engine did."""
     path = f"/v1/generations/{generation}/{verb}"
     try:
         exchange = Exchange.open(runner.address, "POST", path, {}, b"", CONTROL_TIMEOUT_S)
@@ -159,7 +159,7 @@
 
 
 def fetch_report(runner: Runner) -> EngineReport:
-    """Return the engine's report, or raise UpstreamError."""
+    """Return the engine's report; raise UpstreamError without one."""
     raw = _get_json(runner, "/v1/load")
     try:
         return EngineReport(
@@ -189,7 +189,7 @@
 
 
 def order_load(runner: Runner, model: str, fence: int) -> bool:
-    """Order an engine to serve a model; return whether it took the order."""
+    """Order an engine to serve a model; return True if it accepted the order."""
     body = orjson.dumps({"model": model, "fence": fence})
     headers = {"Content-Type": "application/json"}
     try:
@@ -204,7 +204,7 @@
 
 
 def _get_json(runner: Runner, path: str) -> Any:
-    """Fetch a JSON document."""
+    """Return a JSON document of the runner."""
     exchange = Exchange.open(runner.address, "GET", path, {}, b"", CONTROL_TIMEOUT_S)
     body = exchange.read()
     try:
--- a/driftstall/runners/service.py
+++ b/driftstall/runners/service.py
@@ -1,4 +1,4 @@
-"""Call a plain service once."""
+"""Client of a plain service."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """Hold a plain service's whole answer."""
+    """Hold the whole response of a plain service."""
 
     status: int
     content_type: str
     body: bytes
     signals: tuple[Signal, ...] = ()
-    """What the runner signals about itself."""
+    """The signals of the runner about itself."""
 
 
 def call_service(
@@ -33,7 +33,7 @@
     body: bytes,
     timeout_s: float,
 ) -> ServiceResponse:
-    """Make the call once; raise UpstreamError if there is no whole answer."""
+    """Make one call; raise UpstreamError without a whole response."""
     exchange = Exchange.open(runner.address, method, path, headers, body, timeout_s)
     status, content_type = exchange.status, exchange.content_type
     signals = read_signals(exchange)
