--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -84,7 +84,7 @@
 
     @_handle.register
     def _(self, signal: RateLimitSignal, runner_id: str, sent_at: float) -> None:
-        self._limits.answered(runner_id, signal.per_s, sent_at)
+        self._limits.record_response(runner_id, signal.per_s, sent_at)
 
     @_handle.register
     def _(self, signal: LeavingSignal, runner_id: str, sent_at: float) -> None:
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -86,7 +86,7 @@
 
     @_handle.register
     def _(self, signal: RateLimitSignal, upstream: Upstream, sent_at: float) -> None:
-        self._rate_limiting.answered(upstream.upstream_id, signal.per_s, sent_at)
+        self._rate_limiting.record_response(upstream.upstream_id, signal.per_s, sent_at)
 
     @_handle.register
     def _(self, signal: LeavingSignal, upstream: Upstream, sent_at: float) -> None:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -86,7 +86,7 @@
 
     # What upstreams and peers say.
 
-    def answered(self, upstream_id: str, per_s: float | None, sent_at: float) -> None:
+    def record_response(self, upstream_id: str, per_s: float | None, sent_at: float) -> None:
         """Take in the limit that an answer names, to a request sent then; None for no limit."""
         if self._book.record_response(upstream_id, per_s, sent_at, self._now()):
             self._log_changed(upstream_id)
