--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -82,4 +82,4 @@
 
     def _told(self, _: str, message: RateLimitsTold) -> None:
         """Take in what a peer knows."""
-        self.limits.heard(message.rate_limits, message.sender)
+        self.limits.record_peer_limits(message.rate_limits, message.sender)
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -374,7 +374,7 @@
         self, limits: tuple[RateLimit, ...], leaving: tuple[LeavingRecord, ...]
     ) -> None:
         """Record the signals that peers report; a collector publishes new ones at once."""
-        has_new_signal = self._state.rate_limiting.heard(limits)
+        has_new_signal = self._state.rate_limiting.record_peer_limits(limits)
         for record in leaving:
             has_new_signal |= self._handlers.record_leaving(record)
         if has_new_signal and self._roles.is_collector:
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -97,7 +97,7 @@
 
     def handle_request(self, asked: PermitAsked) -> None:
         """Answer another instance."""
-        self._limits.heard((asked.limit,))
+        self._limits.record_peer_limits((asked.limit,))
         need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
         verdict = self._decide(asked.limit.upstream_id, need)
         allowed = isinstance(verdict, Permit)
@@ -113,7 +113,7 @@
 
     def handle_charge(self, told: PermitCharged) -> None:
         """Count a call of another instance."""
-        self._limits.heard((told.limit,))
+        self._limits.record_peer_limits((told.limit,))
         self._charge(told.limit.upstream_id)
 
     def _owner_id(self, upstream_id: str) -> str:
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -92,7 +92,7 @@
             self._log_changed(upstream_id)
             self.tell()
 
-    def heard(self, told: Iterable[RateLimit], peer: str = "") -> bool:
+    def record_peer_limits(self, told: Iterable[RateLimit], peer: str = "") -> bool:
         """Take in what a peer knows; return whether any of it was new."""
         news = self._book.merge(told, self._now())
         for one in news:
