--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -119,7 +119,7 @@
         self._is_relist_requested = False
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Return True if the feed was read and its calls are answered."""
         return self._at is not None and self._failures < MAX_FAILED_CALLS
 
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -49,7 +49,7 @@
     @property
     def is_followed(self) -> bool:
         """Return True if the feed is up to date, by its own watch or a collector's."""
-        return self.pacing.is_delegated or self.follower.current
+        return self.pacing.is_delegated or self.follower.is_current
 
 
 class StoreReachability:
@@ -85,7 +85,7 @@
         feeds = (self._routing, self._upstreams)
         if any(feed.follower.is_unanswered for feed in feeds):
             return False
-        return self._upstreams.follower.current
+        return self._upstreams.follower.is_current
 
     @property
     def is_silent(self) -> bool:
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -136,7 +136,7 @@
 @then("it is current again")
 def current_again(context: Any) -> None:
     """Ask it."""
-    assert context.follower.current
+    assert context.follower.is_current
 
 
 class AnsweringStore(Store):
