--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -57,7 +57,7 @@
         limits = context.state.rate_limiting
         ready = self._ready(attempts.avoid)
         waits_s = limits.patience_s(ready, self._patience_s())
-        closed = limits.closed(ready, waits_s)
+        closed = limits.denied_upstreams(ready, waits_s)
         if len(closed) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
             return limits.refusal(service, ready or attempts.denied, context.request_id)
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -105,7 +105,7 @@
         """Tell whether an upstream names a limit."""
         return self._book.per_s(upstream_id) is not None
 
-    def closed(self, upstream_ids: Iterable[str], most_wait_s: float) -> frozenset[str]:
+    def denied_upstreams(self, upstream_ids: Iterable[str], most_wait_s: float) -> frozenset[str]:
         """Return which upstreams are not to be asked for by a request that can wait so long."""
         now = self._now()
         return frozenset(
@@ -135,7 +135,7 @@
         left = list(options)
         while left:
             waits_s = self.patience_s(map(id_of, left), need.most_wait_s)
-            closed = self.closed(map(id_of, left), waits_s)
+            closed = self.denied_upstreams(map(id_of, left), waits_s)
             left = [one for one in left if id_of(one) not in closed]
             option = choose(left)
             if option is None:
