--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -19,7 +19,7 @@
     """Status of the calls of one feed."""
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Return True if the feed was read and its calls are answered."""
 
     @property
