--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -56,7 +56,7 @@
             return refusal
         limits = context.state.rate_limiting
         ready = self._ready(attempts.avoid)
-        waits_s = limits.patience_s(ready, self._patience_s())
+        waits_s = limits.permit_wait_s(ready, self._patience_s())
         closed = limits.denied_upstreams(ready, waits_s)
         if len(closed) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -114,7 +114,7 @@
             if self.is_limited(one) and self._denied.retry_in_s(one, now) > most_wait_s
         )
 
-    def patience_s(self, upstream_ids: Iterable[str], most_wait_s: float) -> float:
+    def permit_wait_s(self, upstream_ids: Iterable[str], most_wait_s: float) -> float:
         """Return how long a request waits for a turn: not at all where an upstream needs none."""
         if any(not self.is_limited(one) for one in upstream_ids):
             return 0.0
@@ -134,7 +134,7 @@
         """
         left = list(options)
         while left:
-            waits_s = self.patience_s(map(id_of, left), need.most_wait_s)
+            waits_s = self.permit_wait_s(map(id_of, left), need.most_wait_s)
             closed = self.denied_upstreams(map(id_of, left), waits_s)
             left = [one for one in left if id_of(one) not in closed]
             option = choose(left)
