--- a/driftstall/decisions/fairness.py
+++ b/driftstall/decisions/fairness.py
@@ -31,7 +31,7 @@
     since: float
     output: float
     """Expected output tokens."""
-    hold: MemoryForecast
+    forecast: MemoryForecast
     """Forecast memory once it is granted."""
     avoid: tuple[str, ...] = ()
 
