--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -205,7 +205,7 @@
 class Feed:
     """Stand for a feed's follower and its pace."""
 
-    current: bool = True
+    is_current: bool = True
     is_unanswered: bool = False
     is_delegated: bool = False
     age_s: float = 0.0
@@ -287,7 +287,7 @@
 @then("it asks engines by itself, though its list of upstreams is not lost yet")
 def asks_alone(context: Any) -> None:
     """Look who is to ask."""
-    assert context.list.current and context.routes.current
+    assert context.list.is_current and context.routes.is_current
     assert context.reach.is_silent
     assert context.reach.probers() == ()
 
