--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -350,6 +350,7 @@
         self._reporting.record_zone_summary(summary)
         self._delegation.record_collector_report(age_s, self._state.now())
         self._sharing.request_newer_routing(RoutingNotice(summary.sender, summary.routing_version))
+        # A follower watches the platform itself, so its list is newer than any collector's.
         if not self._roles.is_follower and age_s <= MAX_ANSWER_AGE_S:
             self._sharing.compare_fleet(summary)
 
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -1,8 +1,8 @@
-"""Tell the other instances what runs where from here, and sum up what they tell.
+"""Report this instance's load to its peers and aggregate their reports.
 
-In a small fleet each instance reports to all. In a large one it reports to the
-collectors of its availability zone; these exchange the sums of their zones and send the
-sum of all to the instances of their own.
+In a small fleet each instance reports to all others. In a large fleet reports are aggregated
+hierarchically: an instance reports to the collectors of its availability zone, collectors
+exchange the sums of their zones, and each sends the sum of the fleet to its own zone.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 REPORT_INTERVAL_S: Final = 1.0
 REPORT_PAUSE_S: Final = 0.03
-"""Changes within this time travel together."""
-LARGE_PAUSE_S: Final = 0.2
-"""The same in a large fleet, where sums are made several times a second anyway."""
-SUMMARY_EVERY_S: Final = 0.5
-"""How often a collector sends sums; with two collectors a zone hears four a second."""
+"""Changes within this time are sent in one report."""
+LARGE_FLEET_REPORT_PAUSE_S: Final = 0.2
+"""The same in a large fleet, where sums are sent only a few times a second anyway."""
+SUMMARY_INTERVAL_S: Final = 0.5
+"""Interval at which a collector sends sums; a zone with two collectors gets four a second."""
 REPORT_VALID_S: Final = 2.3
-"""A peer that has not reported for two periods is not located any more."""
+"""Callers aren't directed to a peer whose report is older, that is after two missed reports."""
 MAX_AGE_S: Final = 60.0
-"""Ages beyond this make no difference."""
+"""Reported ages are capped at this value; no decision depends on longer ones."""
 MS_PER_S: Final = 1000
 
 Broadcast = Callable[[Iterable[Instance], GatewayMessage], None]
@@ -47,33 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformStatus:
-    """Hold what this instance knows of the platform, for its reports."""
+    """Hold the versions of this instance's data from the platform and its reachability."""
 
     routing_version: int
     policy_revision: StoreVersion
     platform_ok: bool
     platform_age_s: float
-    """How long ago the platform last answered."""
+    """Time since the platform last answered, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
-    """Hold a peer's newest report."""
+class _ReceivedReport:
+    """Hold a peer's newest report and its time of arrival."""
 
     report: GatewayReport
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class _HeardZone:
-    """Hold the newest sum of another zone."""
+class _ReceivedZoneSummary:
+    """Hold the newest summary of another zone and its time of arrival."""
 
     summary: ZoneSummary
     at: float
 
 
 class Reporting:
-    """Report what runs from here, and add up what others report."""
+    """Send this instance's reports and aggregate those of its peers."""
 
     def __init__(
         self,
@@ -85,57 +85,61 @@
         platform_status: Callable[[], PlatformStatus],
         broadcast: Broadcast,
     ) -> None:
-        """Take the shared state, readers of the fleet and of the standing, and how to send."""
+        """Initialize with the shared state, getters of fleet and platform state, and a sender."""
         self._state = state
         self._own = own
         self._roles = roles
         self._live = live
         self._platform_status = platform_status
         self._broadcast = broadcast
-        self._heard: dict[str, _Heard] = {}
-        self._zones: dict[str, _HeardZone] = {}
+        self._peers: dict[str, _ReceivedReport] = {}
+        self._zones: dict[str, _ReceivedZoneSummary] = {}
         self._summary: FleetSummary | None = None
         self._summary_at = float("-inf")
         self._reported_at = float("-inf")
-        self._reports = OwnReportHistory()
+        self._own_reports = OwnReportHistory()
 
     def start(self) -> None:
-        """Start to report."""
+        """Start the tasks that send reports and summaries."""
         keep_running(PREFIX_MEMBERSHIP, self._run_reports)
         keep_running(PREFIX_MEMBERSHIP, self._run_summaries)
 
     @property
     def newest_version(self) -> int:
-        """Return the newest routing version that any peer has told of."""
-        versions = [one.report.routing_version for one in self._heard.values()]
-        versions += [one.summary.routing_version for one in self._zones.values()]
+        """Return the newest routing version that any peer has reported; zero if none has."""
+        versions = [received.report.routing_version for received in self._peers.values()]
+        versions += [received.summary.routing_version for received in self._zones.values()]
         if self._summary is not None:
             versions.append(self._summary.routing_version)
         return max(versions, default=0)
 
     @property
     def peers_without_platform(self) -> tuple[str, ...]:
-        """Return the peers that the platform does not answer, as they say."""
-        return tuple(peer for peer, one in self._heard.items() if not one.report.platform_ok)
+        """Return the peers that report that they can't reach the platform."""
+        return tuple(
+            peer for peer, received in self._peers.items() if not received.report.platform_ok
+        )
 
     def ready_peers(self) -> set[str] | None:
-        """Return the peers that say they are ready; None where nobody can tell."""
+        """Return the peers that report to be ready; None if no fresh summary is available."""
         now = self._state.now()
         roles = self._roles()
         if roles.is_large and not roles.is_collector:
             if self._summary is None or now - self._summary_at > REPORT_VALID_S:
                 return None
             return set(self._summary.ready) - {self._own.instance_id}
-        ready = {one.report.sender for one in self._fresh() if one.report.ready}
+        ready = {
+            received.report.sender for received in self._fresh_reports() if received.report.ready
+        }
         if roles.is_large:
             ready |= {name for zone in self._fresh_zones() for name in zone.ready}
         return ready
 
     def report_now(self) -> None:
-        """Report at once."""
+        """Send a report at once, to all instances or to the zone's collectors."""
         self._reported_at = self._state.now()
         uses, repeats = self._state.loads.own, self._state.repeat_counts()
-        number = self._reports.add(uses, repeats)
+        number = self._own_reports.add(uses, repeats)
         platform_status = self._platform_status()
         report = GatewayReport(
             self._own.instance_id,
@@ -154,37 +158,41 @@
         self._broadcast(roles.own_collectors if roles.is_large else self._live(), report)
 
     def publish_now(self) -> None:
-        """Tell at once what this instance knows, to all who hear it."""
+        """Send a report and, as a collector, the summaries at once."""
         self.report_now()
-        self._summarize()
+        self._send_summaries()
 
     def record_report(self, report: GatewayReport) -> bool:
-        """Take in a peer's report; return whether the platform has just been lost to it."""
+        """Record a peer's report; return True if the peer has just lost the platform."""
         now = self._state.now()
-        before = self._heard.get(report.sender)
-        self._heard[report.sender] = _Heard(report, now)
+        before = self._peers.get(report.sender)
+        self._peers[report.sender] = _ReceivedReport(report, now)
         self._state.loads.record_peer(report.sender, report.uses, now)
         for count in report.repeats:
             self._state.budget(count.service).record_peer(report.sender, count, now)
         return not report.platform_ok and (before is None or before.report.platform_ok)
 
     def record_zone_summary(self, summary: ZoneSummary) -> None:
-        """Take in the sum of another zone."""
+        """Record the summary of another zone."""
         now = self._state.now()
         name = f"{POOLED_PREFIX}{summary.zone}"
-        self._zones[summary.zone] = _HeardZone(summary, now)
+        self._zones[summary.zone] = _ReceivedZoneSummary(summary, now)
         self._state.loads.record_peer(name, summary.uses, now)
         for count in summary.repeats:
             budget = self._state.budget(count.service)
             budget.record_peer(name, count, now, instances=summary.instances)
 
     def record_fleet_summary(self, summary: FleetSummary) -> None:
-        """Take in the sum of all reports; what is ours in it is known better here."""
+        """Record the summary of the fleet, less this instance's own part in it.
+
+        The own current load is known here; the summary contains the load of an earlier report,
+        which the acknowledged report number identifies.
+        """
         now = self._state.now()
         self._summary, self._summary_at = summary, now
         own_id = self._own.instance_id
-        number = next((one.number for one in summary.acks if one.instance_id == own_id), 0)
-        uses, repeats = self._reports.subtract_own(number, summary.uses, summary.repeats)
+        number = next((ack.number for ack in summary.acks if ack.instance_id == own_id), 0)
+        uses, repeats = self._own_reports.others(number, summary.uses, summary.repeats)
         self._state.loads.record_peer(FLEET_KEY, uses, now)
         others = max(1, summary.instances - 1)
         for count in repeats:
@@ -192,13 +200,13 @@
             budget.record_peer(FLEET_KEY, count, now, instances=others)
 
     def discard_reports(self) -> None:
-        """Forget the sums: after a change of roles they come from others."""
-        self._heard.clear()
+        """Discard received reports: after a change of roles, sums come from other senders."""
+        self._peers.clear()
         self._zones.clear()
         self._state.forget_peers()
 
-    def _summarize(self) -> None:
-        """Send the zone's sum to other zones and the sum of all to this one."""
+    def _send_summaries(self) -> None:
+        """Send the zone's summary to other zones' collectors, and the fleet's to this zone."""
         roles = self._roles()
         if not roles.is_collector:
             return
@@ -206,8 +214,8 @@
         self._broadcast(roles.zone_members, self._fleet_summary())
 
     def _zone_summary(self) -> ZoneSummary:
-        """Sum up what the instances of this zone report, with the own part."""
-        fresh = self._fresh()
+        """Aggregate the reports of this zone's instances, including this one."""
+        fresh = self._fresh_reports()
         platform_status = self._platform_status()
         return ZoneSummary(
             self._own.instance_id,
@@ -216,7 +224,8 @@
             _milliseconds(platform_status.platform_age_s),
             self._state.fleet.digest,
             len(fresh) + 1,
-            self._own_ready() + tuple(one.report.sender for one in fresh if one.report.ready),
+            self._own_ready()
+            + tuple(received.report.sender for received in fresh if received.report.ready),
             self._state.loads.all_sums(self._state.now(), pooled=False),
             sum_by_service([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
             self._state.cordons.snapshot,
@@ -226,8 +235,8 @@
         )
 
     def _fleet_summary(self) -> FleetSummary:
-        """Sum up what all instances report, and what the platform says."""
-        fresh, zones = self._fresh(), self._fresh_zones()
+        """Aggregate the reports of all instances and the versions of the platform's data."""
+        fresh, zones = self._fresh_reports(), self._fresh_zones()
         counts = [*self._reported_repeats(fresh), *self._state.repeat_counts()]
         counts += [count for zone in zones for count in zone.repeats]
         ready = self.ready_peers() or set()
@@ -236,63 +245,66 @@
             self._own.instance_id,
             platform_status.routing_version,
             platform_status.policy_revision,
-            _milliseconds(self._least_age(platform_status)),
+            _milliseconds(self._min_platform_age_s(platform_status)),
             self._state.fleet.digest,
             len(fresh) + 1 + sum(zone.instances for zone in zones),
             tuple(sorted(ready.union(self._own_ready()))),
             self._state.loads.all_sums(self._state.now()),
             sum_by_service(counts),
-            tuple(ReportAck(one.report.sender, one.report.number) for one in fresh),
+            tuple(ReportAck(received.report.sender, received.report.number) for received in fresh),
             self._state.cordons.snapshot,
             self._state.rate_limiting.told,
             self._state.eras.era,
             self._state.fleet.leaving_records(self._state.now()),
         )
 
-    def _least_age(self, platform_status: PlatformStatus) -> float:
+    def _min_platform_age_s(self, platform_status: PlatformStatus) -> float:
         """Return how long ago the platform last answered any collector, in seconds."""
         now = self._state.now()
         ages = [
-            now - one.at + one.summary.platform_age_ms / MS_PER_S for one in self._zones.values()
+            now - received.at + received.summary.platform_age_ms / MS_PER_S
+            for received in self._zones.values()
         ]
         return min([platform_status.platform_age_s, *ages])
 
     def _own_ready(self) -> tuple[str, ...]:
-        """Return the own name if this instance takes requests."""
+        """Return this instance's id if it accepts requests, else an empty tuple."""
         return (self._own.instance_id,) if self._state.is_ready else ()
 
     @staticmethod
-    def _reported_repeats(fresh: Iterable[_Heard]) -> list[RepeatCount]:
-        """Return the repeats that peers have reported."""
-        return [count for one in fresh for count in one.report.repeats]
+    def _reported_repeats(fresh: Iterable[_ReceivedReport]) -> list[RepeatCount]:
+        """Return the retry counts in peers' reports."""
+        return [count for received in fresh for count in received.report.repeats]
 
-    def _fresh(self) -> list[_Heard]:
-        """Return the reports that still count."""
+    def _fresh_reports(self) -> list[_ReceivedReport]:
+        """Return the peers' reports that are still valid."""
         now = self._state.now()
-        return [one for one in self._heard.values() if now - one.at <= REPORT_VALID_S]
+        return [
+            received for received in self._peers.values() if now - received.at <= REPORT_VALID_S
+        ]
 
     def _fresh_zones(self) -> list[ZoneSummary]:
-        """Return the sums of other zones that still count."""
+        """Return the summaries of other zones that are still valid."""
         now = self._state.now()
-        heard = self._zones.values()
-        return [one.summary for one in heard if now - one.at <= REPORT_VALID_S]
+        zones = self._zones.values()
+        return [received.summary for received in zones if now - received.at <= REPORT_VALID_S]
 
     def _run_summaries(self) -> None:
-        """Sum up again and again."""
+        """Send summaries periodically."""
         while True:
-            gevent.sleep(SUMMARY_EVERY_S)
-            self._summarize()
+            gevent.sleep(SUMMARY_INTERVAL_S)
+            self._send_summaries()
 
     def _run_reports(self) -> None:
-        """Report when something changed, and at least once a period."""
+        """Send a report after each change, and at least once per interval."""
         while True:
-            left = self._reported_at + REPORT_INTERVAL_S - self._state.now()
-            self._state.loads_changed.wait(max(0.0, left))
-            gevent.sleep(LARGE_PAUSE_S if self._roles().is_large else REPORT_PAUSE_S)
+            remaining_s = self._reported_at + REPORT_INTERVAL_S - self._state.now()
+            self._state.loads_changed.wait(max(0.0, remaining_s))
+            gevent.sleep(LARGE_FLEET_REPORT_PAUSE_S if self._roles().is_large else REPORT_PAUSE_S)
             self._state.loads_changed.clear()
             self.report_now()
 
 
 def _milliseconds(age_s: float) -> int:
-    """Return an age as it travels."""
+    """Return an age in milliseconds, capped, as messages carry it."""
     return int(min(age_s, MAX_AGE_S) * MS_PER_S)
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -1,9 +1,9 @@
-"""Pass on to other instances what the platform has told this one.
+"""Distribute data from the platform among the instances.
 
-In a small fleet each instance follows the platform; peers only fill in for one that the
-platform does not answer. In a large fleet the collectors pass everything on: each new
-routing document, and which upstreams take requests. A collector's word carries a hash of
-these upstreams; who holds others asks for the whole list.
+In a small fleet each instance watches the platform, and peers only forward changes to those
+that can't reach it. In a large fleet the collectors publish each new routing document and each
+change of the upstreams that accept requests. As anti-entropy, a collector's summaries carry a
+hash of these upstreams; an instance whose hash differs requests the full list.
 """
 
 from __future__ import annotations
@@ -43,16 +43,25 @@
 )
 
 RECENT_S: Final = 6.0
-"""Changes are told again for so long; a cut is noticed within about four seconds."""
-ASK_AFTER_S: Final = 0.25
-"""The platform's own watch, or a collector, brings a newer document sooner, if it works."""
-DIFFERENT_BEFORE_ASKED: Final = 2
-"""Summaries in a row that tell of another fleet before it is asked for: news overtake them."""
+"""Changes are kept for resending for so long.
+
+A peer notices within about four seconds that it is cut off from the platform.
+"""
+ROUTING_REQUEST_DELAY_S: Final = 0.25
+"""Delay before a newer routing document is requested from a peer.
+
+If the platform's watch or a collector works, it delivers the document sooner.
+"""
+MISMATCHES_BEFORE_REQUEST: Final = 2
+"""Consecutive summaries with another hash before the full list is requested.
+
+A single mismatch is expected, as updates overtake summaries.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingNotice:
-    """Hold that a peer has a newer routing document."""
+    """Hold the routing version that a peer reports."""
 
     peer: str
     version: int
@@ -60,182 +69,194 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerUpdateHandlers:
-    """Hold how this instance reads and takes in what is shared."""
+    """Hold the functions that read shared data here and apply updates from peers."""
 
     read_routing: Callable[[], tuple[int, str]]
-    """Return the version in force and its text."""
+    """Returns the routing version in force and its text."""
     apply_routing: Callable[[str], None]
     apply_upstream_change: Callable[[ItemChange[Upstream]], None]
     mark_suspected: Callable[[str], None]
     apply_fleet: Callable[[tuple[Upstream, ...], StoreVersion], None]
-    """Take in all upstreams that take requests, as of a revision."""
+    """Applies a full list of the upstreams that accept requests, as of a store revision."""
     apply_cordons: Callable[[Cordons], None]
     record_leaving: Callable[[LeavingRecord], bool]
-    """Take in that an upstream has signalled that it leaves; return whether it was new."""
+    """Records that an upstream has signalled to leave; returns whether it was new."""
 
 
 class PlatformDataSharing:
-    """Share routing documents and upstreams with peers."""
+    """Exchange routing documents, upstreams and cordons with peers."""
 
     def __init__(
         self,
         state: GatewayState,
-        intake: PeerUpdateHandlers,
+        handlers: PeerUpdateHandlers,
         *,
         roles: Callable[[], FleetRoles],
         live: Callable[[], tuple[Instance, ...]],
         send: Callable[[str, GatewayMessage], None],
         broadcast: Callable[[Iterable[Instance], GatewayMessage], None],
     ) -> None:
-        """Take the shared state, how things are taken in, the fleet, and how to send."""
+        """Initialize with the shared state, the update handlers, the fleet and the senders."""
         self._state = state
-        self._intake = intake
+        self._handlers = handlers
         self._roles = roles
         self._live = live
         self._send = send
         self._broadcast = broadcast
         self._own_id = state.settings.instance_id
-        self._asked_at: dict[str, float] = {}
-        self._recent: list[tuple[float, ItemChange[Upstream]]] = []
+        self._requested_at: dict[str, float] = {}
+        self._recent_changes: list[tuple[float, ItemChange[Upstream]]] = []
         """Changes that a peer may have missed before it noticed that it is cut off."""
-        self._taking = 0
-        """The version that is being decoded; several collectors offer the same."""
-        self._different = 0
-        """Summaries in a row whose upstreams are not those known here."""
+        self._decoding_version = 0
+        """The routing version being decoded; several collectors may offer the same one."""
+        self._mismatches = 0
+        """Consecutive summaries whose hash of upstreams differs from the local one."""
 
-    # What this instance passes on.
+    # Outgoing updates
 
     def publish_change(self, change: ItemChange[Upstream], peers: Iterable[str]) -> None:
-        """Tell a change from the platform to peers that the platform does not answer."""
+        """Send a change from the platform to peers that can't reach it.
+
+        In a large fleet nothing is sent: there collectors publish changes.
+        """
         if self._roles().is_large:
             return
         now = self._state.now()
-        self._recent = [(at, one) for at, one in self._recent if now - at <= RECENT_S]
-        self._recent.append((now, change))
+        self._recent_changes = [
+            (at, recent) for at, recent in self._recent_changes if now - at <= RECENT_S
+        ]
+        self._recent_changes.append((now, change))
         for peer in peers:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
     def resend_changes(self, peer: str) -> None:
-        """Tell a peer that has just lost the platform what it may have missed."""
-        for _, change in self._recent:
+        """Send recent changes to a peer that has just lost the platform and may miss them."""
+        for _, change in self._recent_changes:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
     def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
-        """Tell who joined or leaves.
+        """Publish that an upstream joined or leaves.
 
-        In a large fleet a collector tells its zone, and other zones if the platform told it.
-        In a small one everyone tells all who leaves, once: a peer whose path to the platform
-        has fallen silent does not know so itself for some seconds.
+        In a large fleet a collector publishes to its zone, and to other zones' collectors if the
+        change came from the platform. In a small fleet each instance publishes each leaving
+        upstream once to all: a peer whose connection to the platform has gone silent does not
+        notice it for some seconds.
         """
         roles = self._roles()
-        leaving = isinstance(action, UpstreamLeaving)
+        is_leaving = isinstance(action, UpstreamLeaving)
         if isinstance(action, UpstreamLeaving) and (action.is_suspected or action.has_signalled):
-            # No word of the platform: whoever had it from the upstream tells all by itself.
+            # Not from the platform: the instance that got it from the upstream publishes it.
             return
         if (
             isinstance(action, UpstreamReplaced)
             or isinstance(action, UpstreamCold)
             and (action.is_assumed)
         ):
-            # Follows from what is passed on besides: the later start, or a cordon's end.
+            # Peers derive it from other updates: the upstream's later start, or a cordon's end.
             return
-        if not roles.is_large and leaving and not from_peer:
-            # Peers follow the platform too, which tells them of its removal later.
-            gone = action.upstream.state is UpstreamState.READY
-            self._broadcast(self._live(), UpstreamNews(self._own_id, action.upstream, gone))
+        if not roles.is_large and is_leaving and not from_peer:
+            # Peers watch the platform too, and learn of the upstream's removal there later.
+            is_removed = action.upstream.state is UpstreamState.READY
+            self._broadcast(self._live(), UpstreamNews(self._own_id, action.upstream, is_removed))
         if not roles.is_collector:
             return
-        news = UpstreamNews(self._own_id, action.upstream, leaving)
-        self._broadcast((*roles.zone_members, *roles.own_collectors), news)
+        update = UpstreamNews(self._own_id, action.upstream, is_leaving)
+        self._broadcast((*roles.zone_members, *roles.own_collectors), update)
         if not from_peer:
-            self._broadcast(roles.remote_collectors, news)
+            self._broadcast(roles.remote_collectors, update)
 
     def publish_routing(self, *, from_peer: bool) -> None:
-        """Send the routing document in force to the zone, and to other collectors if it is new."""
+        """As a collector, send the routing document in force to the zone.
+
+        Unless it came from a peer, it is also sent to all other collectors.
+        """
         roles = self._roles()
         if not roles.is_collector:
             return
-        version, text = self._intake.read_routing()
+        version, text = self._handlers.read_routing()
         others = () if from_peer else (*roles.own_collectors, *roles.remote_collectors)
         offered = RoutingOffered(self._own_id, version, text)
         self._broadcast((*roles.zone_members, *others), offered)
 
-    # What others tell this instance.
+    # Incoming updates and requests
 
     def request_newer_routing(self, notice: RoutingNotice) -> None:
-        """Ask for a newer document that a peer has, unless it comes by itself."""
-        if notice.version > self._intake.read_routing()[0]:
-            pause_s = ASK_AFTER_S * (1 + self._state.rng.random())
-            gevent.spawn_later(pause_s, self._ask_routing, notice)
+        """Request a peer's newer routing document after a delay, unless it arrives meanwhile."""
+        if notice.version > self._handlers.read_routing()[0]:
+            delay_s = ROUTING_REQUEST_DELAY_S * (1 + self._state.rng.random())
+            gevent.spawn_later(delay_s, self._send_routing_request, notice)
 
     def compare_fleet(self, summary: FleetSummary | ZoneSummary) -> None:
-        """Ask for a collector's upstreams if they are not those known here."""
+        """Request a collector's list of upstreams if its hash differs repeatedly."""
         if summary.fleet_digest == self._state.fleet.digest:
-            self._different = 0
+            self._mismatches = 0
             return
-        self._different += 1
-        if self._different >= DIFFERENT_BEFORE_ASKED:
-            self._different = 0
+        self._mismatches += 1
+        if self._mismatches >= MISMATCHES_BEFORE_REQUEST:
+            self._mismatches = 0
             self._send(summary.sender, FleetAsked(self._own_id))
 
     def request_fleet_if_unknown(self, peer: str) -> None:
-        """Ask a peer for the upstreams if the platform has never told this instance any."""
+        """Request a peer's list of upstreams if none has been loaded since the start."""
         if not self._state.fleet.is_loaded:
             self._send(peer, FleetAsked(self._own_id))
 
-    def handle_routing_request(self, asked: RoutingAsked) -> None:
-        """Give a peer the routing document, if it is newer than the peer's."""
-        version, text = self._intake.read_routing()
-        if version > asked.version:
-            self._send(asked.sender, RoutingOffered(self._own_id, version, text))
+    def handle_routing_request(self, request: RoutingAsked) -> None:
+        """Send the routing document to a peer that has an older one."""
+        version, text = self._handlers.read_routing()
+        if version > request.version:
+            self._send(request.sender, RoutingOffered(self._own_id, version, text))
 
-    def handle_routing_offer(self, offered: RoutingOffered) -> None:
-        """Take in a peer's routing document if it is newer."""
-        if offered.version <= max(self._intake.read_routing()[0], self._taking):
+    def handle_routing_offer(self, offer: RoutingOffered) -> None:
+        """Apply a peer's routing document if it is newer."""
+        if offer.version <= max(self._handlers.read_routing()[0], self._decoding_version):
             return
         log_event(
             PREFIX_CONFIGURATION,
-            f"A peer passes routing version {offered.version} on",
-            peer=offered.sender,
+            f"Received routing version {offer.version} from a peer",
+            peer=offer.sender,
         )
-        self._taking = offered.version
+        self._decoding_version = offer.version
         try:
-            self._intake.apply_routing(offered.text)
+            self._handlers.apply_routing(offer.text)
         finally:
-            self._taking = 0
+            self._decoding_version = 0
 
-    def handle_fleet_request(self, asked: FleetAsked) -> None:
-        """Give a peer all upstreams that take requests."""
+    def handle_fleet_request(self, request: FleetAsked) -> None:
+        """Send all upstreams that accept requests to a peer."""
         fleet = self._state.fleet
-        self._send(asked.sender, FleetOffered(self._own_id, fleet.at, fleet.accepting))
+        self._send(request.sender, FleetOffered(self._own_id, fleet.at, fleet.accepting))
 
-    def handle_fleet_offer(self, offered: FleetOffered) -> None:
-        """Take in a collector's upstreams."""
+    def handle_fleet_offer(self, offer: FleetOffered) -> None:
+        """Apply a peer's full list of upstreams."""
         log_event(
             PREFIX_ROUTING,
-            f"A peer passes {len(offered.upstreams)} upstreams on",
-            peer=offered.sender,
-            revision=offered.at,
+            f"Received a list of {len(offer.upstreams)} upstreams from a peer",
+            peer=offer.sender,
+            revision=offer.at,
         )
-        self._intake.apply_fleet(offered.upstreams, offered.at)
+        self._handlers.apply_fleet(offer.upstreams, offer.at)
 
-    def handle_cordons(self, told: Cordons) -> None:
-        """Take in which zones a peer knows to be cordoned."""
-        self._intake.apply_cordons(told)
+    def handle_cordons(self, cordons: Cordons) -> None:
+        """Apply the cordons that a peer reports."""
+        self._handlers.apply_cordons(cordons)
 
-    def handle_upstream_update(self, news: UpstreamNews) -> None:
-        """Take in one change of an upstream."""
-        self._intake.apply_upstream_change(ItemChange(news.upstream, news.gone))
+    def handle_upstream_update(self, update: UpstreamNews) -> None:
+        """Apply one change of an upstream."""
+        self._handlers.apply_upstream_change(ItemChange(update.upstream, update.gone))
 
-    def handle_suspicion(self, told: UpstreamDoubted) -> None:
-        """Take in that a peer has asked an upstream, which leaves or is gone."""
-        self._intake.mark_suspected(told.upstream_id)
+    def handle_suspicion(self, message: UpstreamDoubted) -> None:
+        """Mark an upstream that a peer has probed and found leaving or terminated."""
+        self._handlers.mark_suspected(message.upstream_id)
 
-    def _ask_routing(self, notice: RoutingNotice) -> None:
-        """Ask for a newer routing document that has not come meanwhile."""
+    def _send_routing_request(self, notice: RoutingNotice) -> None:
+        """Request a newer routing document unless it has arrived or was just requested."""
         now = self._state.now()
-        version = self._intake.read_routing()[0]
-        if version >= notice.version or now - self._asked_at.get(notice.peer, 0.0) < ASK_AFTER_S:
+        version = self._handlers.read_routing()[0]
+        if (
+            version >= notice.version
+            or now - self._requested_at.get(notice.peer, 0.0) < ROUTING_REQUEST_DELAY_S
+        ):
             return
-        self._asked_at[notice.peer] = now
+        self._requested_at[notice.peer] = now
         self._send(notice.peer, RoutingAsked(self._own_id, version))
