--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -171,7 +171,7 @@
         if not runners:
             return self._signals.refusal(context.service, live, context.request_id)
         need = SendNeed(WAIT_FOR_TURN_S, CALL_RANK)
-        chosen = self._limits.take_one(
+        chosen = self._limits.choose_permitted(
             runners, lambda one: one.runner_id, self._least_busy, need, context.request_id
         )
         if chosen is None:
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -151,7 +151,7 @@
 
     def _choose_open(self, options: list[Option]) -> Option | None:
         """Return an upstream that may be sent the call now, if there is one."""
-        return self._state.rate_limiting.take_one(
+        return self._state.rate_limiting.choose_permitted(
             self._state.cold_gate.select_open(options),
             lambda one: one.upstream.upstream_id,
             lambda left: choose_call(left, self._state.sampler),
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -120,7 +120,7 @@
             return 0.0
         return max(0.0, most_wait_s)
 
-    def take_one(
+    def choose_permitted(
         self,
         options: Iterable[Option],
         id_of: Callable[[Option], str],
