--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -16,7 +16,7 @@
 from driftstall.decisions.cold_starts import UNTOLD_S
 from driftstall.decisions.leaving_signals import SIGNAL_RETENTION_S
 from driftstall.decisions.store_versions import (
-    DOUBT_S,
+    INCOMPLETE_S,
     NO_VERSION,
     REMOVED_RETENTION_S,
     StoreVersion,
@@ -289,7 +289,7 @@
 
     def _may_store_lack_entries(self, now: float) -> bool:
         """Return True if the restored store may still lack entries or hold removed ones."""
-        return now - self._restored_at < DOUBT_S
+        return now - self._restored_at < INCOMPLETE_S
 
     def _is_from_restored_copy(self, upstream: Upstream, now: float) -> bool:
         """Return True if an entry may stem from the older copy that the store was restored from.
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -14,7 +14,7 @@
 from driftstall.const import PREFIX_CONFIGURATION
 from driftstall.core import Instance
 from driftstall.decisions.locate import weight
-from driftstall.decisions.store_versions import DOUBT_S, REMOVED_RETENTION_S
+from driftstall.decisions.store_versions import INCOMPLETE_S, REMOVED_RETENTION_S
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -81,7 +81,7 @@
             writes_again=["instance", *self._shared_writes],
         )
         self._on_restored()
-        for after_s in (DOUBT_S, REMOVED_RETENTION_S):
+        for after_s in (INCOMPLETE_S, REMOVED_RETENTION_S):
             gevent.spawn_later(after_s, self._on_settled)
         spread_s = max(MIN_SPREAD_S, instances / WRITES_PER_S)
         for write in self._own_writes:
@@ -91,7 +91,7 @@
         for what, write in self._shared_writes.items():
             position = self._writer_position(what)
             if position < MAX_WRITERS:
-                self._schedule(DOUBT_S + SUBSTITUTE_AFTER_S * position, what, write)
+                self._schedule(INCOMPLETE_S + SUBSTITUTE_AFTER_S * position, what, write)
 
     def _writer_position(self, what: str) -> int:
         """Return how many instances come before this one as the writer of a shared object."""
