--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -93,7 +93,7 @@
     def max_backoff_s(self) -> float:
         """Return the longest pause after failed calls, in seconds."""
 
-    def answered(self, *, after_failure: bool) -> None:
+    def record_answer(self, *, after_failure: bool) -> None:
         """Record that a call was answered, and whether the call before it had failed."""
 
 
@@ -184,7 +184,7 @@
         """Record an answered call."""
         if self._failures >= MAX_FAILED_CALLS:
             self._listener.platform_reachable()
-        self._pacing.answered(after_failure=self._failures > 0)
+        self._pacing.record_answer(after_failure=self._failures > 0)
         self._failures = 0
 
     def _handle_failure(self, cause: str) -> None:
