--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -74,7 +74,7 @@
         if context.history.has_arrived and not context.try_take_repeat(run.upstream):
             return self._unserved(attempts)
         engine_id = run.upstream.upstream_id
-        if not limits.take_turn(engine_id, context.send_need(waits_s), context.request_id):
+        if not limits.acquire_permit(engine_id, context.send_need(waits_s), context.request_id):
             context.remove_run(run)
             attempts.avoid.add(engine_id)
             attempts.denied.append(engine_id)
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -51,7 +51,7 @@
                 min(MAX_TURN_WAIT_S, self._context.remaining_s()), under_way=True
             )
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
-            if not limits.take_turn(engine_id, need, self._context.request_id):
+            if not limits.acquire_permit(engine_id, need, self._context.request_id):
                 continue
             if self._context.refusal() is not None or not self._context.try_take_repeat(
                 copy.upstream
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -140,12 +140,12 @@
             option = choose(left)
             if option is None:
                 return None
-            if self.take_turn(id_of(option), replace(need, most_wait_s=waits_s), request_id):
+            if self.acquire_permit(id_of(option), replace(need, most_wait_s=waits_s), request_id):
                 return option
             left.remove(option)
         return None
 
-    def take_turn(self, upstream_id: str, need: SendNeed, request_id: str) -> bool:
+    def acquire_permit(self, upstream_id: str, need: SendNeed, request_id: str) -> bool:
         """Get leave for one send, and wait for its turn; return whether it may be sent now."""
         limit = self._book.find(upstream_id)
         if limit is None or limit.per_s is None:
