--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -157,7 +157,7 @@
         """Return the longest pause after failed calls, in seconds."""
         return FOLLOWER_MAX_BACKOFF_S if self._is_follower else MAX_BACKOFF_S
 
-    def answered(self, *, after_failure: bool) -> None:
+    def record_answer(self, *, after_failure: bool) -> None:
         """Record an answer of the platform, and whether the call before it had failed."""
         now = self._now()
         answered_before = self._answered_at > float("-inf")
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -177,7 +177,7 @@
 @when("the platform answers its own call")
 def answers(context: Any) -> None:
     """Note an answer."""
-    context.follows.pace.answered(after_failure=False)
+    context.follows.pace.record_answer(after_failure=False)
 
 
 @then("its next call follows at once")
