--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -73,7 +73,7 @@
 
     def _tell(self) -> None:
         """Tell all peers what is known, if anything is."""
-        told = RateLimitsTold(self._hub.own.instance_id, self.limits.told)
+        told = RateLimitsTold(self._hub.own.instance_id, self.limits.reports)
         if not told.rate_limits:
             return
         for one in self._members.live:
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -150,7 +150,7 @@
             repeats,
             number,
             self._state.cordons.snapshot,
-            self._state.rate_limiting.told,
+            self._state.rate_limiting.reports,
             self._state.eras.era,
             self._state.fleet.leaving_records(self._state.now()),
         )
@@ -229,7 +229,7 @@
             self._state.loads.all_sums(self._state.now(), pooled=False),
             sum_by_service([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
             self._state.cordons.snapshot,
-            self._state.rate_limiting.told,
+            self._state.rate_limiting.reports,
             self._state.eras.era,
             self._state.fleet.leaving_records(self._state.now()),
         )
@@ -253,7 +253,7 @@
             sum_by_service(counts),
             tuple(ReportAck(received.report.sender, received.report.number) for received in fresh),
             self._state.cordons.snapshot,
-            self._state.rate_limiting.told,
+            self._state.rate_limiting.reports,
             self._state.eras.era,
             self._state.fleet.leaving_records(self._state.now()),
         )
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -67,7 +67,7 @@
         return self._instances()
 
     @property
-    def told(self) -> tuple[RateLimit, ...]:
+    def reports(self) -> tuple[RateLimit, ...]:
         """Return all that is known, for peers."""
         return self._book.reports
 
