--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -191,5 +191,5 @@
         """Return the longest pause after failed calls, in seconds."""
         return MAX_BACKOFF_S
 
-    def answered(self, *, after_failure: bool) -> None:
+    def record_answer(self, *, after_failure: bool) -> None:
         """Ignore answers: this pacing doesn't depend on them."""
