--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -90,11 +90,11 @@
         self._call = call
         self._admitted = admitted
         self._exchange: UpstreamExchange | None = None
-        self._caller_gone = False
+        self._is_caller_disconnected = False
 
     def handle_disconnect(self) -> None:
         """Give the request up: its upstream stops when the connection closes."""
-        self._caller_gone = True
+        self._is_caller_disconnected = True
         if self._exchange is not None:
             self._exchange.close()
 
@@ -166,7 +166,7 @@
 
     def _stop_reason(self, attempts: _Attempts) -> Problem | None:
         """Return why no further upstream is tried, if so."""
-        if self._caller_gone or self._left() <= 0:
+        if self._is_caller_disconnected or self._left() <= 0:
             detail = "the time for this request is over"
             return Problem(CODE_DEADLINE, 504, detail, attempts.history.ran)
         if not attempts.history.can_restart or attempts.history.sends >= MAX_SENDS:
@@ -187,12 +187,12 @@
         result = self._exchange_with(upstream, attempts, first=first)
         seconds = self._state.now() - started
         outcome = result.outcome if isinstance(result, SendFailure) else _outcome_of(result)
-        if not self._caller_gone:
+        if not self._is_caller_disconnected:
             self._state.record_outcome(upstream.upstream_id, upstream.service, outcome, seconds)
         self._log_send(upstream, outcome, seconds, attempts)
         if isinstance(result, SendFailure):
             attempts.history.end(result.fate)
-            if result.broke and not self._caller_gone:
+            if result.broke and not self._is_caller_disconnected:
                 run = BrokenRun(
                     self._admitted.marks.request_id, self._admitted.fingerprint, under_way=False
                 )
@@ -222,7 +222,7 @@
             return SendFailure(Outcome.UNREACHABLE, SendOutcome.UNSENT, str(fault))
         self._exchange = exchange
         try:
-            if self._caller_gone:
+            if self._is_caller_disconnected:
                 return SendFailure(Outcome.GOOD, SendOutcome.UNSENT, "the caller has left")
             if not self._state.can_start_on(upstream, attempts.history.sent_to):
                 detail = "the upstream takes no more requests"
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -40,7 +40,7 @@
         self._call = call
         self._admitted = admitted
         self._history = history
-        self._caller_gone = is_caller_disconnected
+        self._is_caller_disconnected = is_caller_disconnected
 
     def send(self, run: StreamRun) -> OpenedResponse | UpstreamError:
         """Send the request to the run's upstream, read the answer's head and keep its fate."""
@@ -70,7 +70,7 @@
         try:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._left()))
             run.exchange = self._state.connect(run.upstream, timeout_s)
-            if self._caller_gone():
+            if self._is_caller_disconnected():
                 return UpstreamError("the caller has left", sent=False)
             if not self._may_send(run.upstream, copy_of):
                 return UpstreamError("the upstream takes no more requests", sent=False)
