--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -106,7 +106,7 @@
         return True
 
     def _shrink(self, loads: list[RunnerLoad], now: float) -> None:
-        """Remove the runner with the fewest long prompts, once one fewer has sufficed for a while."""
+        """Remove the runner with the fewest long prompts once one fewer has long sufficed."""
         inside = [load for load in loads if load.runner_id in self._members]
         if len(inside) < 2:
             return
--- a/driftstall/exceptions.py
+++ b/driftstall/exceptions.py
@@ -40,7 +40,7 @@
     """Raised when an exchange with an external system failed."""
 
     def __init__(self, detail: str, *, sent: bool, refused: bool = False) -> None:
-        """Record whether any byte may have been received, and whether the connection was refused."""
+        """Record whether any byte may have been received, and whether the peer refused it."""
         super().__init__(detail)
         self.sent = sent
         self.refused = refused
--- a/driftstall/filters/classify.py
+++ b/driftstall/filters/classify.py
@@ -121,12 +121,12 @@
         value = context.headers.get(HEADER_REPEATABLE.lower(), "").lower()
         if value not in ("", "true", "false"):
             return _bad_request(f"{HEADER_REPEATABLE} must be true or false")
-        repeatable = value == "true" or (value == "" and context.method in SAFE_METHODS)
+        is_repeatable = value == "true" or (value == "" and context.method in SAFE_METHODS)
         return replace(
             context,
             service=service,
             service_path="/" + service_path,
-            repeatable=repeatable and not key,
+            is_repeatable=is_repeatable and not key,
             idempotency_key=key,
         )
 
--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -148,7 +148,7 @@
 
 def control(runner: Runner, generation: str, action: str) -> bool:
     """Pause, resume or cancel a generation; return True if the engine did."""
-    path = f"/v1/generations/{generation}/{verb}"
+    path = f"/v1/generations/{generation}/{action}"
     try:
         exchange = Exchange.open(runner.address, "POST", path, {}, b"", CONTROL_TIMEOUT_S)
         status = exchange.status
