--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -48,7 +48,7 @@
         )
         self.limits.ask_permit = self._permits.ask
         self.limits.charge_permit = self._permits.charge
-        self.limits.tell = self._tell
+        self.limits.publish = self._tell
         hub.on_message(PermitAsked, lambda _, message: self._permits.handle_request(message))
         hub.on_message(PermitGiven, lambda _, message: self._permits.handle_answer(message))
         hub.on_message(PermitCharged, lambda _, message: self._permits.handle_charge(message))
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -133,7 +133,7 @@
         )
         state.rate_limiting.ask_permit = self._permits.ask
         state.rate_limiting.charge_permit = self._permits.charge
-        state.rate_limiting.tell = self._reporting.publish_now
+        state.rate_limiting.publish = self._reporting.publish_now
         self.policy_revision = NO_VERSION
         """The newest revision of the policy that a collector has reported."""
 
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -53,7 +53,7 @@
         """Asks who gives leave for an upstream; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _nobody_to_charge
         """Tells the same one of a call that was not held back."""
-        self.tell: Callable[[], None] = _tell_nobody
+        self.publish: Callable[[], None] = _tell_nobody
         """Has peers told at once."""
 
     @property
@@ -90,7 +90,7 @@
         """Take in the limit that an answer names, to a request sent then; None for no limit."""
         if self._book.record_response(upstream_id, per_s, sent_at, self._now()):
             self._log_changed(upstream_id)
-            self.tell()
+            self.publish()
 
     def record_peer_limits(self, told: Iterable[RateLimit], peer: str = "") -> bool:
         """Take in what a peer knows; return whether any of it was new."""
