--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -65,7 +65,7 @@
         """Return what a send needs at an upstream that names a limit."""
         return SendNeed(most_wait_s, self.admitted.verdict.rank, under_way)
 
-    def try_take_repeat(self, upstream: Upstream) -> bool:
+    def try_take_retry(self, upstream: Upstream) -> bool:
         """Take one repeat from the common budget."""
         return self.state.try_take_retry(upstream.service, self.admitted.marks.request_id)
 
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -71,7 +71,7 @@
             # It was learned while the stream waited for its place.
             context.remove_run(run)
             return refusal
-        if context.history.has_arrived and not context.try_take_repeat(run.upstream):
+        if context.history.has_arrived and not context.try_take_retry(run.upstream):
             return self._unserved(attempts)
         engine_id = run.upstream.upstream_id
         if not limits.acquire_permit(engine_id, context.send_need(waits_s), context.request_id):
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -53,7 +53,7 @@
             limits, engine_id = self._context.state.rate_limiting, copy.upstream.upstream_id
             if not limits.acquire_permit(engine_id, need, self._context.request_id):
                 continue
-            if self._context.refusal() is not None or not self._context.try_take_repeat(
+            if self._context.refusal() is not None or not self._context.try_take_retry(
                 copy.upstream
             ):
                 return None
