--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -240,7 +240,7 @@
             self._apply(Period())
             self._permits.update_ownership()
             live = self._members.live
-            self._state.instances.seen(len(live), self._state.now())
+            self._state.instances.record(len(live), self._state.now())
             if live is not last_live:
                 last_live = live
                 if self._state.rate_limiting.limited or self._state.fleet.has_leaving_records:
