--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -176,7 +176,7 @@
         )
         if chosen is None:
             ids = [one.runner_id for one in runners]
-            return self._limits.refusal(context.service, ids, context.request_id)
+            return self._limits.build_refusal(context.service, ids, context.request_id)
         sentence = f"Call {context.request_id} goes to {chosen.runner_id}"
         reason = f"{sentence}: fewest open calls of {len(runners)} runners"
         log_event(PREFIX_ROUTING, reason, service=context.service)
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -137,7 +137,7 @@
         if not unlimited:
             ids = [one.upstream.upstream_id for one in options]
             request_id = self._admitted.marks.request_id
-            return self._state.rate_limiting.refusal(service, ids, request_id)
+            return self._state.rate_limiting.build_refusal(service, ids, request_id)
         first = min(unlimited, key=lambda one: gate.wait_s(one.upstream))
         wait_s = gate.wait_s(first.upstream)
         if wait_s > WAIT_FOR_COLD_SHARE * self._admitted.route.target_s:
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -60,7 +60,7 @@
         closed = limits.denied_upstreams(ready, waits_s)
         if len(closed) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
-            return limits.refusal(service, ready or attempts.denied, context.request_id)
+            return limits.build_refusal(service, ready or attempts.denied, context.request_id)
         run = context.placement.place(
             closed.union(attempts.avoid), lambda: context.is_caller_disconnected
         )
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -184,7 +184,7 @@
         if limit is not None and limit.per_s is not None:
             self.charge_permit(limit)
 
-    def refusal(self, service: str, upstream_ids: Iterable[str], request_id: str) -> Problem:
+    def build_refusal(self, service: str, upstream_ids: Iterable[str], request_id: str) -> Problem:
         """Return what to answer where all upstreams that are left take no more now.
 
         Each caller is told a time of its own: this instance's part of the permits comes one by one.
