--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -123,7 +123,7 @@
         """Take in a peer's sums."""
         self._peers[peer] = _PeerSums({use.upstream_id: use for use in uses}, now)
 
-    def all_sums(self, now: float, *, pooled: bool = True) -> tuple[Use, ...]:
+    def sorted_totals(self, now: float, *, pooled: bool = True) -> tuple[Use, ...]:
         """Return the sums of this instance and all that it hears of.
 
         Without the pooled ones only instances count that report here themselves.
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -226,7 +226,7 @@
             len(fresh) + 1,
             self._own_ready()
             + tuple(received.report.sender for received in fresh if received.report.ready),
-            self._state.loads.all_sums(self._state.now(), pooled=False),
+            self._state.loads.sorted_totals(self._state.now(), pooled=False),
             sum_by_service([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
             self._state.cordons.snapshot,
             self._state.rate_limiting.reports,
@@ -249,7 +249,7 @@
             self._state.fleet.digest,
             len(fresh) + 1 + sum(zone.instances for zone in zones),
             tuple(sorted(ready.union(self._own_ready()))),
-            self._state.loads.all_sums(self._state.now()),
+            self._state.loads.sorted_totals(self._state.now()),
             sum_by_service(counts),
             tuple(ReportAck(received.report.sender, received.report.number) for received in fresh),
             self._state.cordons.snapshot,
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -336,14 +336,14 @@
 @then("the sum for other zones holds only its own zone")
 def own_zone(context: Any) -> None:
     """Compare the sums."""
-    sums = context.book.all_sums(1.5, pooled=False)
+    sums = context.book.sorted_totals(1.5, pooled=False)
     assert sums == (Use("u1", 2, 110), Use("u2", 1, 20)), sums
 
 
 @then("the sum for its zone holds everything")
 def everything(context: Any) -> None:
     """Compare the sums."""
-    assert context.book.all_sums(1.5) == (Use("u1", 7, 1110), Use("u2", 1, 20))
+    assert context.book.sorted_totals(1.5) == (Use("u1", 7, 1110), Use("u2", 1, 20))
 
 
 @then("after a change of roles nothing is counted twice")
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -149,7 +149,7 @@
     loads, engine_id = context.state.loads, context.given.upstream_id
     expected = Use(engine_id, running=1, tokens=HELD_TOKENS, prefill=PROMPT_TOKENS)
     assert loads.use(engine_id, context.at) == expected, loads.use(engine_id, context.at)
-    assert loads.all_sums(context.at, pooled=False) == (expected,)
+    assert loads.sorted_totals(context.at, pooled=False) == (expected,)
     assert loads.own == ()
 
 
@@ -160,7 +160,7 @@
     context.placer.handle_request(asked_by("member-2", "r-2", service="portal"))
     context.placer.handle_request(asked_by("member-2", "r-2"))
     loads = context.state.loads
-    assert sum(use.running for use in loads.all_sums(context.at)) == 1
+    assert sum(use.running for use in loads.sorted_totals(context.at)) == 1
 
 
 @when("{count:d} instances ask it for a place with a copy at once")
@@ -194,7 +194,7 @@
 def told_no_room(context: Any, what: str) -> None:
     """Look at the newest answer and at the sums."""
     assert not context.sent[-1].has_room
-    counted = sum(use.running for use in context.state.loads.all_sums(context.at))
+    counted = sum(use.running for use in context.state.loads.sorted_totals(context.at))
     assert counted == (what == "the place"), counted
 
 
