--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -75,12 +75,12 @@
     def _change(self, event: WatchEvent) -> ItemChange[Item] | None:
         """Decode one change."""
         if event.gone and self._decode_gone is not None:
-            return ItemChange(self._decode_gone(event.changed), gone=True)
+            return ItemChange(self._decode_gone(event.changed), removed=True)
         item = self._item(event.changed)
         if item is not None:
             return ItemChange(item, event.gone)
         if self._decode_gone is not None:
-            return ItemChange(self._decode_gone(event.changed), gone=True)
+            return ItemChange(self._decode_gone(event.changed), removed=True)
         return None
 
     def _item(self, stored: StoredObject) -> Item | None:
