--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -48,7 +48,7 @@
         self._pause = pause
         self._book = RateLimitTracker()
         self._denied = DenialTracker()
-        self._returns = RetryTimes()
+        self._retry_schedule = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
         """Asks who gives leave for an upstream; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _nobody_to_charge
@@ -194,7 +194,7 @@
         first_s = min((self._denied.retry_in_s(one, now) for one in ids), default=0.0)
         limits = [self._book.per_s(one) or 0.0 for one in ids]
         part = sum(limits) / max(1, self.instances)
-        retry_s = self._returns.next_s(service, first_s, part, now)
+        retry_s = self._retry_schedule.next_s(service, first_s, part, now)
         self._stats.limited_refused += 1
         log_event(
             PREFIX_ROUTING,
