--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -10,7 +10,7 @@
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway import moves
-from driftstall.gateway.evacuation import RETRY_S
+from driftstall.gateway.evacuation import POLL_INTERVAL_S
 from driftstall.gateway.fleet_events import Changed
 from driftstall.gateway.model import Bounds, UpstreamState
 from driftstall.gateway.protection import RunProtection
@@ -75,7 +75,7 @@
     wait_for("the notice has found no stream", lambda: book.looked >= LOOKS)
     world.state.fleet.handle(Changed(world.entry(context.engine), False), world.state.now())
     book.add(run)
-    gevent.spawn_later(4 * RETRY_S, context.script.gate.set)
+    gevent.spawn_later(4 * POLL_INTERVAL_S, context.script.gate.set)
 
 
 @when("its engine gives notice")
