--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -1,7 +1,7 @@
-"""Add up what runs on each upstream, from here and from what peers tell.
+"""Add up the load that this instance and its peers have placed on each upstream.
 
-An upstream's own report is old when it arrives; what instances have sent there is
-known at once. So each tells its peers its own sums whenever they change.
+An upstream's own load report is stale when it arrives, while each instance knows at once what it
+has sent. So instances exchange their own sums whenever these change.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from typing import Final
 
 POOLED_PREFIX: Final = "*"
-"""Begins the name under which the sum of several instances is kept."""
+"""Prefix of the keys under which sums of several instances are stored."""
 FLEET_KEY: Final = f"{POOLED_PREFIX}fleet"
-"""Stands for all other instances, where a collector tells their sum."""
-PEER_REPORT_S: Final = 3.0
-"""A peer's sums count for so long; a live peer repeats them each second."""
+"""Key of the sum of all other instances, as a collector reports it."""
+PEER_REPORT_VALID_S: Final = 3.0
+"""Age at which a peer's sums expire; a live peer repeats them each second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Use:
-    """Sum up what runs on one upstream."""
+    """Hold the total load of one upstream."""
 
     upstream_id: str
     running: int = 0
-    """Requests sent and not yet ended."""
+    """Requests in progress."""
     tokens: int = 0
-    """Engine memory that running requests hold or soon will, in tokens."""
+    """Engine memory that running requests hold or are expected to, in tokens."""
     copies: int = 0
-    """Engine memory that copies of runs elsewhere hold, in tokens."""
+    """Engine memory held by replicas of runs on other upstreams, in tokens."""
     prefill: int = 0
-    """Prompt tokens of requests whose first event is not there yet."""
+    """Prompt tokens of requests that have not yet returned their first event."""
     exposed: int = 0
-    """Engine memory of running streams that no other engine has a copy of, in tokens."""
+    """Engine memory of running streams without a replica, in tokens."""
 
     def minus(self, other: Use) -> Use:
-        """Return this sum without a part of it."""
+        """Return this load less a part of it, at least zero."""
         return Use(
             self.upstream_id,
             max(0, self.running - other.running),
@@ -46,7 +46,7 @@
         )
 
     def plus(self, other: Use) -> Use:
-        """Return both sums together."""
+        """Return the sum of both loads."""
         return Use(
             self.upstream_id,
             self.running + other.running,
@@ -59,129 +59,131 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLoad:
-    """Hold what one request takes from upstreams."""
+    """Hold the load that one request puts on upstreams."""
 
     upstream_id: str
     tokens: int = 0
     prefill: int = 0
     backup_id: str = ""
-    """The upstream that holds a copy; empty for none."""
+    """The upstream that holds a replica; empty for none."""
     exposed: int = 0
-    """Tokens that would be lost with the upstream."""
+    """Tokens that would be lost if the upstream crashed."""
 
 
 @dataclass(slots=True)
 class _PeerSums:
-    """Hold what one peer has told."""
+    """Hold one peer's last report and its time of arrival."""
 
     uses: dict[str, Use]
     at: float
 
 
 class LoadTable:
-    """Hold the sums of this instance and of its peers."""
+    """Hold the loads of this instance and of its peers, by upstream."""
 
     def __init__(self) -> None:
-        """Start with nothing running."""
-        self._shares: dict[str, RequestLoad] = {}
+        """Initialize without any load."""
+        self._loads: dict[str, RequestLoad] = {}
         self._own: dict[str, Use] = {}
         self._peers: dict[str, _PeerSums] = {}
-        self._pending_shares: dict[str, RequestLoad] = {}
+        self._pending_loads: dict[str, RequestLoad] = {}
         self._pending: dict[str, Use] = {}
-        """Sums of what was placed for others that they have not reported yet."""
+        """Totals of requests placed for other instances that these have not reported yet."""
 
     @property
     def own(self) -> tuple[Use, ...]:
-        """Return this instance's sums, for its peers."""
+        """Return this instance's own totals, for its reports."""
         return tuple(self._own.values())
 
-    def set_load(self, request_id: str, share: RequestLoad) -> None:
-        """Set what a request takes now."""
+    def set_load(self, request_id: str, load: RequestLoad) -> None:
+        """Set the current load of a request."""
         self.remove_load(request_id)
-        self._shares[request_id] = share
-        _add(self._own, share, 1)
+        self._loads[request_id] = load
+        _add(self._own, load, 1)
 
     def remove_load(self, request_id: str) -> None:
-        """Forget a request that has ended."""
-        share = self._shares.pop(request_id, None)
-        if share is not None:
-            _add(self._own, share, -1)
+        """Remove the load of a request that has ended."""
+        load = self._loads.pop(request_id, None)
+        if load is not None:
+            _add(self._own, load, -1)
 
-    def set_pending(self, request_id: str, share: RequestLoad) -> None:
-        """Set what a request will take that was placed for another instance."""
+    def set_pending(self, request_id: str, load: RequestLoad) -> None:
+        """Set the expected load of a request that was placed for another instance."""
         self.remove_pending(request_id)
-        self._pending_shares[request_id] = share
-        _add(self._pending, share, 1)
+        self._pending_loads[request_id] = load
+        _add(self._pending, load, 1)
 
     def remove_pending(self, request_id: str) -> None:
-        """Forget a request that its instance reports by now, or never began."""
-        share = self._pending_shares.pop(request_id, None)
-        if share is not None:
-            _add(self._pending, share, -1)
+        """Remove a placed request that its instance now reports itself, or never started."""
+        load = self._pending_loads.pop(request_id, None)
+        if load is not None:
+            _add(self._pending, load, -1)
 
     def record_peer(self, peer: str, uses: Iterable[Use], now: float) -> None:
-        """Take in a peer's sums."""
+        """Record a peer's report, or a sum of several peers; it replaces the previous one."""
         self._peers[peer] = _PeerSums({use.upstream_id: use for use in uses}, now)
 
     def sorted_totals(self, now: float, *, pooled: bool = True) -> tuple[Use, ...]:
-        """Return the sums of this instance and all that it hears of.
+        """Return the totals of this instance and its peers, sorted by upstream.
 
-        Without the pooled ones only instances count that report here themselves.
+        With `pooled` False, only peers that report to this instance directly are counted.
         """
         totals = self.totals(now, pooled=pooled)
         return tuple(totals[upstream_id] for upstream_id in sorted(totals))
 
     def totals(self, now: float, *, pooled: bool = True) -> dict[str, Use]:
-        """Return the same sums by upstream; one that is not there has nothing running."""
+        """Return the same totals by upstream id; idle upstreams are missing."""
         totals = dict(self._own)
-        _join(totals, self._pending)
+        _add_all(totals, self._pending)
         for peer, sums in self._peers.items():
-            if now - sums.at > PEER_REPORT_S or (not pooled and peer.startswith(POOLED_PREFIX)):
+            if now - sums.at > PEER_REPORT_VALID_S or (
+                not pooled and peer.startswith(POOLED_PREFIX)
+            ):
                 continue
-            _join(totals, sums.uses)
+            _add_all(totals, sums.uses)
         return totals
 
     def exposed_at_peers(self, upstream_id: str, now: float) -> dict[str, int]:
-        """Return, by peer, the exposed tokens of its streams on an upstream."""
-        found: dict[str, int] = {}
+        """Return the exposed tokens of each peer's streams on an upstream, by peer."""
+        exposed_tokens: dict[str, int] = {}
         for peer, sums in self._peers.items():
-            told = sums.uses.get(upstream_id)
-            if told is not None and told.exposed and now - sums.at <= PEER_REPORT_S:
-                found[peer] = told.exposed
-        return found
+            use = sums.uses.get(upstream_id)
+            if use is not None and use.exposed and now - sums.at <= PEER_REPORT_VALID_S:
+                exposed_tokens[peer] = use.exposed
+        return exposed_tokens
 
     def forget_peers(self) -> None:
-        """Forget what peers have told: it will come from others now, in other sums."""
+        """Discard peers' reports: from now on other senders report differently grouped sums."""
         self._peers.clear()
 
     def use(self, upstream_id: str, now: float) -> Use:
-        """Return all that is known to run on an upstream."""
+        """Return the total known load of an upstream."""
         total = self._own.get(upstream_id, Use(upstream_id))
         if upstream_id in self._pending:
             total = total.plus(self._pending[upstream_id])
         for sums in self._peers.values():
-            told = sums.uses.get(upstream_id)
-            if told is not None and now - sums.at <= PEER_REPORT_S:
-                total = total.plus(told)
+            use = sums.uses.get(upstream_id)
+            if use is not None and now - sums.at <= PEER_REPORT_VALID_S:
+                total = total.plus(use)
         return total
 
 
-def _add(sums: dict[str, Use], share: RequestLoad, sign: int) -> None:
-    """Add a request's share to sums, or take it off."""
+def _add(sums: dict[str, Use], load: RequestLoad, sign: int) -> None:
+    """Add a request's load to the sums, or subtract it if sign is -1."""
     use = Use(
-        share.upstream_id,
+        load.upstream_id,
         running=sign,
-        tokens=sign * share.tokens,
-        prefill=sign * share.prefill,
-        exposed=sign * share.exposed,
+        tokens=sign * load.tokens,
+        prefill=sign * load.prefill,
+        exposed=sign * load.exposed,
     )
-    _change(sums, use)
-    if share.backup_id:
-        _change(sums, Use(share.backup_id, copies=sign * share.tokens))
+    _adjust(sums, use)
+    if load.backup_id:
+        _adjust(sums, Use(load.backup_id, copies=sign * load.tokens))
 
 
-def _change(sums: dict[str, Use], use: Use) -> None:
-    """Change the sum of one upstream; an empty one is dropped."""
+def _adjust(sums: dict[str, Use], use: Use) -> None:
+    """Add to the sum of one upstream; remove the entry if it becomes empty."""
     total = sums.get(use.upstream_id, Use(use.upstream_id)).plus(use)
     if total == Use(use.upstream_id):
         sums.pop(use.upstream_id, None)
@@ -189,8 +191,8 @@
         sums[use.upstream_id] = total
 
 
-def _join(totals: dict[str, Use], more: dict[str, Use]) -> None:
-    """Add further sums to totals."""
-    for upstream_id, use in more.items():
+def _add_all(totals: dict[str, Use], uses: dict[str, Use]) -> None:
+    """Add loads to the totals, by upstream."""
+    for upstream_id, use in uses.items():
         known = totals.get(upstream_id)
         totals[upstream_id] = use if known is None else known.plus(use)
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -1,4 +1,4 @@
-"""Define the objects that the parts of the gateway share."""
+"""Define the data classes shared by the components of the gateway."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class Repeat(StrEnum):
-    """Tell how often a route's requests may run."""
+    """Name how often a route's requests may be executed."""
 
     SAFE = "safe"
-    """Any number of times."""
+    """Any number of times: requests are idempotent."""
     ONCE = "once"
     """At most once."""
     STREAM = "stream"
-    """At most once, and the answer is a series of events."""
+    """At most once, and the response is a stream of events."""
 
 
 @dataclass(frozen=True, slots=True)
 class SplitPart:
-    """Name one service of a route, with its weight in the split."""
+    """Name one service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Describe what a host's path prefix leads to."""
+    """Describe the services and limits for a host's path prefix."""
 
     name: str
     host: str
@@ -44,22 +44,22 @@
     repeat: Repeat
     timeout_s: float
     target_s: float
-    """The time within which an answer is in time."""
+    """Target response time of a plain call."""
     rank: int
-    """Zero comes first."""
+    """Zero is the highest rank."""
     split: tuple[SplitPart, ...]
     max_upstreams: int
-    """The most upstreams that one request may run on."""
+    """Maximum number of upstreams that one request may run on."""
     anonymous: bool
     """Whether requests need no workspace key."""
     resumable: bool
-    """Whether a caller may go on at its own last event id."""
+    """Whether a caller may resume a stream after its last event id."""
     gap_s: float
-    """The longest pause between events of an answer in time; zero if not a stream."""
+    """Target for the longest pause between events of a stream; zero if not a stream."""
 
     @property
     def max_runs(self) -> int:
-        """Return the most runs that one request may begin."""
+        """Return the maximum number of runs that one request may start."""
         return self.max_upstreams if self.repeat is Repeat.SAFE else 1
 
 
@@ -79,32 +79,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Describe one service that routes lead to."""
+    """Describe one service, the target of routes."""
 
     name: str
     health_path: str
     max_connections: int
-    """Connections that one upstream accepts from all callers together."""
+    """Maximum number of connections to one upstream, from all instances together."""
     engine: Engine | None
     cold_start_s: float = 0.0
     """How long an upstream stays cold after it has started under traffic."""
     cold_rate: float = 0.0
-    """Requests a second that a cold upstream bears; zero where no bound is told."""
+    """Requests per second that a cold upstream can serve; zero for no bound."""
 
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """Describe one workspace and the keys that speak for it."""
+    """Describe one workspace and its API keys."""
 
     name: str
     keys: tuple[str, ...]
     rank: int | None
-    """Takes precedence over the route's rank."""
+    """Overrides the route's rank unless None."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bound what a caller may send, and how slowly."""
+    """Hold the limits on the size and the duration of a caller's request."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDocument:
-    """Hold one whole routing configuration; versions only grow."""
+    """Hold one complete routing configuration; versions increase monotonically."""
 
     version: int
     routes: tuple[Route, ...]
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingText:
-    """Hold a routing document with the text that it is passed on as."""
+    """Hold a routing document and its text, as which it is forwarded to peers."""
 
     document: RoutingDocument
     text: str
@@ -133,14 +133,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyText:
-    """Hold a submitted policy."""
+    """Hold a submitted policy and its revision in the store."""
 
     revision: StoreVersion
     text: str
 
 
 class UpstreamState(StrEnum):
-    """Name an upstream's standing in the platform's list."""
+    """Name an upstream's state in the platform's list."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -150,33 +150,33 @@
 class Upstream:
     """Describe one start of an upstream process.
 
-    A process that starts again holds nothing of before, also where it keeps its name. So
-    all books go by the upstream's id, which is another one for each start.
+    A restarted process has lost its state even if it keeps its name. So all tables are keyed by
+    the upstream's id, which differs for each start.
     """
 
     name: str
-    """What the platform calls it; a later start may have the same."""
+    """Its name on the platform; a later start may have the same name."""
     service: str
     address: str
     zone: str
     slots: int
     state: UpstreamState
     revision: StoreVersion
-    """The version of the platform's entry that told so."""
+    """Store version of the platform's entry with this state."""
     born: int = 0
-    """When it started, in milliseconds of the time of day; zero if it does not say so."""
+    """Start time as a Unix timestamp in milliseconds; zero if not reported."""
     cold_s: float = 0.0
-    """How much longer it is cold, in seconds, by its own entry."""
+    """Remaining time in seconds that it is cold, by its own entry."""
 
     @property
     def upstream_id(self) -> str:
-        """Return what tells this start of it from all others."""
+        """Return an id that is unique to this start of the upstream."""
         return f"{self.name}@{self.born}" if self.born else self.name
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """Name one part of a prompt, which other requests may share."""
+    """Identify one part of a prompt, which other requests may share."""
 
     digest: str
     tokens: int
@@ -184,42 +184,42 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerMetadata:
-    """Hold what a caller's headers say of its request."""
+    """Hold the metadata that a caller's headers carry."""
 
     request_id: str
     deadline_s: float | None
-    """Seconds that the caller will wait."""
+    """Seconds until the caller's deadline; None if it gives none."""
     key: str
-    """The workspace key; empty if none was shown."""
+    """The workspace key; empty if not given."""
     model: str
     input_tokens: int
     max_tokens: int
     length_hint: int
-    """The caller's estimate of the output in tokens; zero if none."""
+    """The caller's estimate of the output in tokens; zero if not given."""
     prompt: tuple[PromptPart, ...]
     last_event_id: str
     forwarded_headers: Headers
-    """Headers that go on to the upstream as they came."""
+    """Headers that are forwarded to the upstream unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendMetadata:
-    """Hold what the gateway itself tells an upstream with a request."""
+    """Hold the metadata that the gateway adds to a request to an upstream."""
 
     upstream_name: str
     remaining_s: float
     workspace: str
     rank: int | None
     backup_address: str = ""
-    """Where the engine keeps a copy of the run's memory; empty for nowhere."""
+    """Address of the engine that is to hold the run's replica; empty for none."""
     copy_of: str = ""
-    """The copied memory to go on from; empty for a new run."""
+    """Reference of the replica to resume from; empty for a new run."""
     last_event_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """Hold the load that an upstream tells with an answer."""
+    """Hold the load that an upstream reports with a response."""
 
     running: int
     waiting: int
@@ -228,18 +228,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseMetadata:
-    """Hold what the headers of an upstream's answer say."""
+    """Hold the metadata in the headers of an upstream's response."""
 
     request_id: str
     not_run: bool
-    """Whether the upstream says that it did not run the request."""
+    """Whether the upstream reports that it did not execute the request."""
     load: UpstreamLoad | None
     signals: tuple[Signal, ...]
-    """What the upstream signals about itself."""
+    """Signals of the upstream about its own state."""
     keep_alive_s: float | None
-    """How long the connection may rest; None if the upstream closes it."""
+    """How long the connection may be idle; None if the upstream closes it."""
     forwarded_headers: Headers
-    """Headers that go on to the caller."""
+    """Headers that are forwarded to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,21 +247,21 @@
     """Hold the limits that the site sets for the whole system."""
 
     retry_ratio: float = 0.2
-    """Repeats allowed per request, for all instances together."""
+    """Retries allowed per request, for all instances together."""
     retry_extra: float = 50.0
-    """Repeats allowed besides, for each service and window."""
+    """Additional retries allowed per service and window."""
     retry_window_s: float = 10.0
     grace_s: float = 8.0
-    """Time from the order to stop until the process is killed."""
+    """Time from the request to stop until the process is killed."""
     locate_keep_s: float = 5.0
-    """The longest that callers keep a located address."""
+    """Longest time that callers cache a located address."""
     drain_s: float = 2.0
-    """An upstream that leaves gets no request after this time."""
+    """Time after its notice from which a leaving upstream gets no requests."""
     catch_up_s: float = 3.0
-    """Time after a disturbance in which an instance must know again what holds."""
+    """Time after a disturbance within which an instance must have current data again."""
     cordon_s: float = 0.0
-    """Time after which an upstream of a cordoned zone gets nothing; zero if no zones are cordoned
-    at this site."""
+    """Time after a cordon from which the zone's upstreams get no requests; zero if this site does
+    not cordon zones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,10 +276,10 @@
     peer_listen: str
     metrics_listen: str
     link_mbps: int
-    """Bandwidth of the machine's link."""
+    """Bandwidth of the machine's network link."""
     platform_address: str
     seeds: tuple[str, ...]
-    """Peer addresses of some instances, perhaps stale."""
+    """Peer addresses of some instances, possibly stale."""
     bounds: Bounds
     peer_key: str
-    """Shared by all instances; authenticates their messages."""
+    """Key shared by all instances, which authenticates their messages."""
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -175,8 +175,8 @@
             return
         version, text = self._handlers.read_routing()
         others = () if from_peer else (*roles.own_collectors, *roles.remote_collectors)
-        offered = RoutingOffered(self._own_id, version, text)
-        self._broadcast((*roles.zone_members, *others), offered)
+        offer = RoutingOffered(self._own_id, version, text)
+        self._broadcast((*roles.zone_members, *others), offer)
 
     # Incoming updates and requests
 
--- a/driftstall/gateway/stats.py
+++ b/driftstall/gateway/stats.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class GatewayStats:
-    """Count in plain numbers; metrics are made when asked for."""
+    """Hold plain counters, from which metrics are built when a page is requested."""
 
     requests: int = 0
     completed: int = 0
@@ -44,7 +44,7 @@
     gap_s: Histogram = field(init=False)
 
     def __post_init__(self) -> None:
-        """Register the histograms, which are observed as requests come."""
+        """Register the histograms, which are observed during requests."""
         self.answer_s = self._histogram("answer", "Seconds to the answer of a plain call.")
         self.first_event_s = self._histogram("first_event", "Seconds to a stream's first event.")
         self.gap_s = Histogram(
@@ -55,7 +55,7 @@
         )
 
     def _histogram(self, name: str, doc: str) -> Histogram:
-        """Register a histogram of seconds."""
+        """Return a newly registered histogram of seconds."""
         return Histogram(
             f"driftstall_gateway_{name}_seconds",
             doc,
@@ -93,11 +93,11 @@
 def render(stats: GatewayStats, gauges: dict[str, float]) -> bytes:
     """Return all metrics in the Prometheus text format."""
     registry = Registry()
-    for one in fields(stats):
-        if one.name in COUNTER_HELP:
-            name = f"driftstall_gateway_{one.name}_total"
-            counter = Counter(name, COUNTER_HELP[one.name], registry=registry)
-            counter.set({}, getattr(stats, one.name))
+    for stat in fields(stats):
+        if stat.name in COUNTER_HELP:
+            name = f"driftstall_gateway_{stat.name}_total"
+            counter = Counter(name, COUNTER_HELP[stat.name], registry=registry)
+            counter.set({}, getattr(stats, stat.name))
     for name, value in gauges.items():
         gauge = Gauge(f"driftstall_gateway_{name}", name.replace("_", " "), registry=registry)
         gauge.set({}, value)
