--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -46,7 +46,7 @@
         self._instances = instances
         self._now = now
         self._pause = pause
-        self._book = RateLimitTracker()
+        self._tracker = RateLimitTracker()
         self._denied = DenialTracker()
         self._retry_schedule = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
@@ -59,7 +59,7 @@
     @property
     def limited(self) -> dict[str, float]:
         """Return the limits in force, by upstream, in requests a second."""
-        return self._book.limited
+        return self._tracker.limited
 
     @property
     def instances(self) -> int:
@@ -69,18 +69,18 @@
     @property
     def reports(self) -> tuple[RateLimit, ...]:
         """Return all that is known, for peers."""
-        return self._book.reports
+        return self._tracker.reports
 
     def per_s(self, upstream_id: str) -> float | None:
         """Return the requests a second that an upstream takes; None if it names no limit."""
-        return self._book.per_s(upstream_id)
+        return self._tracker.per_s(upstream_id)
 
     def keep_only(self, upstream_ids: Callable[[], set[str]]) -> set[str]:
         """Forget upstreams that are gone; return those that name a limit."""
-        if not self._book.reports:
+        if not self._tracker.reports:
             return set()
-        self._book.keep_only(upstream_ids(), self._now())
-        limited = set(self._book.limited)
+        self._tracker.keep_only(upstream_ids(), self._now())
+        limited = set(self._tracker.limited)
         self._denied.keep_only(limited)
         return limited
 
@@ -88,13 +88,13 @@
 
     def record_response(self, upstream_id: str, per_s: float | None, sent_at: float) -> None:
         """Take in the limit that an answer names, to a request sent then; None for no limit."""
-        if self._book.record_response(upstream_id, per_s, sent_at, self._now()):
+        if self._tracker.record_response(upstream_id, per_s, sent_at, self._now()):
             self._log_changed(upstream_id)
             self.publish()
 
     def record_peer_limits(self, told: Iterable[RateLimit], peer: str = "") -> bool:
         """Take in what a peer knows; return whether any of it was new."""
-        news = self._book.merge(told, self._now())
+        news = self._tracker.merge(told, self._now())
         for one in news:
             self._log_changed(one.upstream_id, peer=peer)
         return bool(news)
@@ -103,7 +103,7 @@
 
     def is_limited(self, upstream_id: str) -> bool:
         """Tell whether an upstream names a limit."""
-        return self._book.per_s(upstream_id) is not None
+        return self._tracker.per_s(upstream_id) is not None
 
     def denied_upstreams(self, upstream_ids: Iterable[str], most_wait_s: float) -> frozenset[str]:
         """Return which upstreams are not to be asked for by a request that can wait so long."""
@@ -147,7 +147,7 @@
 
     def acquire_permit(self, upstream_id: str, need: SendNeed, request_id: str) -> bool:
         """Get leave for one send, and wait for its turn; return whether it may be sent now."""
-        limit = self._book.find(upstream_id)
+        limit = self._tracker.find(upstream_id)
         if limit is None or limit.per_s is None:
             return True
         asked_at = self._now()
@@ -180,7 +180,7 @@
 
     def charge(self, upstream_id: str) -> None:
         """Count a call of our own to an upstream: it is not held back, but others are."""
-        limit = self._book.find(upstream_id)
+        limit = self._tracker.find(upstream_id)
         if limit is not None and limit.per_s is not None:
             self.charge_permit(limit)
 
@@ -192,7 +192,7 @@
         now = self._now()
         ids = list(upstream_ids)
         first_s = min((self._denied.retry_in_s(one, now) for one in ids), default=0.0)
-        limits = [self._book.per_s(one) or 0.0 for one in ids]
+        limits = [self._tracker.per_s(one) or 0.0 for one in ids]
         part = sum(limits) / max(1, self.instances)
         retry_s = self._retry_schedule.next_s(service, first_s, part, now)
         self._stats.limited_refused += 1
@@ -210,7 +210,7 @@
 
     def _log_changed(self, upstream_id: str, **more: str) -> None:
         """Log a limit that is new, and by whose word."""
-        limit = self._book.find(upstream_id)
+        limit = self._tracker.find(upstream_id)
         assert limit is not None
         named = "no limit any more" if limit.per_s is None else "a limit"
         log_event(
