--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -49,7 +49,7 @@
         self._tracker = RateLimitTracker()
         self._denied = DenialTracker()
         self._retry_schedule = RetryTimes()
-        self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _nobody_to_ask
+        self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _deny_without_peers
         """Asks who gives leave for an upstream; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _nobody_to_charge
         """Tells the same one of a call that was not held back."""
@@ -222,7 +222,7 @@
         )
 
 
-def _nobody_to_ask(_: RateLimit, __: SendNeed) -> Verdict:
+def _deny_without_peers(_: RateLimit, __: SendNeed) -> Verdict:
     """Get leave from nobody: there are no peers yet, so nobody knows how much is sent."""
     return Denial(PERMIT_LAPSE_S)
 
