--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -51,7 +51,7 @@
         self._retry_schedule = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _deny_without_peers
         """Asks who gives leave for an upstream; may wait for the answer."""
-        self.charge_permit: Callable[[RateLimit], None] = _nobody_to_charge
+        self.charge_permit: Callable[[RateLimit], None] = _ignore_charge
         """Tells the same one of a call that was not held back."""
         self.publish: Callable[[], None] = _tell_nobody
         """Has peers told at once."""
@@ -227,7 +227,7 @@
     return Denial(PERMIT_LAPSE_S)
 
 
-def _nobody_to_charge(_: RateLimit) -> None:
+def _ignore_charge(_: RateLimit) -> None:
     """Tell nobody."""
 
 
