--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -53,7 +53,7 @@
         """Asks who gives leave for an upstream; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _ignore_charge
         """Tells the same one of a call that was not held back."""
-        self.publish: Callable[[], None] = _tell_nobody
+        self.publish: Callable[[], None] = _ignore_publish
         """Has peers told at once."""
 
     @property
@@ -231,5 +231,5 @@
     """Tell nobody."""
 
 
-def _tell_nobody() -> None:
+def _ignore_publish() -> None:
     """Tell nobody."""
