--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -192,7 +192,7 @@
         self._summary, self._summary_at = summary, now
         own_id = self._own.instance_id
         number = next((ack.number for ack in summary.acks if ack.instance_id == own_id), 0)
-        uses, repeats = self._own_reports.others(number, summary.uses, summary.repeats)
+        uses, repeats = self._own_reports.subtract_own(number, summary.uses, summary.repeats)
         self._state.loads.record_peer(FLEET_KEY, uses, now)
         others = max(1, summary.instances - 1)
         for count in repeats:
