--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -293,7 +293,7 @@
             "store_era": self.state.eras.era,
             "store_returns": self.state.eras.returns,
             "collects": float(self._roles().is_collector),
-            "log_lines_dropped": self._log.dropped_in_all,
+            "log_lines_dropped": self._log.total_dropped,
         }
 
     def _delegated_pacing(self, feed: str = "") -> DelegatedWatchPacing:
--- a/driftstall/helpers/log.py
+++ b/driftstall/helpers/log.py
@@ -44,7 +44,7 @@
         self._lines = 0
         self.dropped = 0
         """Lines dropped since the last written line."""
-        self.dropped_in_all = 0
+        self.total_dropped = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Write one message, or drop it."""
@@ -84,7 +84,7 @@
     def _count_dropped(self) -> None:
         """Count a dropped line."""
         self.dropped += 1
-        self.dropped_in_all += 1
+        self.total_dropped += 1
 
 
 def start_log() -> BoundedWriter:
