--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -28,10 +28,10 @@
 
     looked = 0
 
-    def on(self, upstream_id: str) -> tuple[StreamRun, ...]:
+    def running_on(self, upstream_id: str) -> tuple[StreamRun, ...]:
         """Count, then look."""
         self.looked += 1
-        return super().on(upstream_id)
+        return super().running_on(upstream_id)
 
 
 @when("it goes on at its copy while a further step of that copy is being taken")
