--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -118,7 +118,7 @@
         if policy is not None:
             controller.configure(policy.weights, policy.overflow)
             if self._trace is not None:
-                self._trace.configured(controller.group, policy.weights, policy.overflow)
+                self._trace.record_weights(controller.group, policy.weights, policy.overflow)
 
     def _configured(self, _: ConfigDocument) -> None:
         """Take over a new policy."""
--- a/driftstall/helpers/trace.py
+++ b/driftstall/helpers/trace.py
@@ -51,7 +51,7 @@
         """Return a recorder that appends to a file for the life of the process."""
         return cls(Path(path).open("a", encoding="utf-8"))  # noqa: SIM115
 
-    def configured(self, group: str, weights: Weights, overflow: float) -> None:
+    def record_weights(self, group: str, weights: Weights, overflow: float) -> None:
         """Record the weights of a policy that comes into force."""
         self._write({"group": group, "weights": to_fields(weights), "overflow": overflow})
 
--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -218,7 +218,7 @@
     out = io.StringIO()
     recorder, controller = TraceRecorder(out), build_controller("g")
     controller.configure(Weights(6, 3, 1), 0.01)
-    recorder.configured("g", Weights(6, 3, 1), 0.01)
+    recorder.record_weights("g", Weights(6, 3, 1), 0.01)
     low = dataclasses.replace(FIRST, rank=3, may_yield=True, wait_s=5.0)
     events: list[tuple[float, Any]] = [(0.0, RunnersChanged("g", (("engine-1", 4_000, "z"),)))]
     for number in range(60):
