--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -51,7 +51,7 @@
         return self in (ReportedState.LEAVING, ReportedState.TERMINATED)
 
 
-def asks(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
+def should_probe(own: Instance, live: Iterable[Instance], engine_id: str, zone: str) -> bool:
     """Return True if an instance is one of those that probe an engine of a zone.
 
     Instances of the engine's zone come first. All instances arrive at the same choice without
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -18,7 +18,7 @@
     PROBE_INTERVAL_S,
     REPUBLISH_INTERVAL_S,
     ReportedState,
-    asks,
+    should_probe,
 )
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.state import GatewayState
@@ -68,7 +68,7 @@
         """Probe the engines that are assigned to this instance."""
         probers = self._probers()
         for upstream in self._state.fleet.upstreams:
-            if asks(self._own, probers, upstream.upstream_id, upstream.zone):
+            if should_probe(self._own, probers, upstream.upstream_id, upstream.zone):
                 gevent.spawn(self._probe, upstream)
 
     def _run(self) -> None:
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from driftstall.core import Instance
-from driftstall.decisions.upstream_probes import PROBERS_PER_UPSTREAM, ReportedState, asks
+from driftstall.decisions.upstream_probes import PROBERS_PER_UPSTREAM, ReportedState, should_probe
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
@@ -68,7 +68,9 @@
 
 def askers_of(context: Any, engine_id: str, zone: str) -> list[Instance]:
     """Return the instances that ask an engine, by what each of them decides alone."""
-    return [one for one in context.fleet if asks(one, reversed(context.fleet), engine_id, zone)]
+    return [
+        one for one in context.fleet if should_probe(one, reversed(context.fleet), engine_id, zone)
+    ]
 
 
 @then("each of 30 engines is asked by 2 instances of its zone, whoever is asked about it")
@@ -91,7 +93,9 @@
 def none_asks_all(context: Any) -> None:
     """Count the engines of each instance."""
     for one in context.fleet:
-        asked = [n for n in range(30) if asks(one, context.fleet, f"engine-{n}", "abc"[n % 3])]
+        asked = [
+            n for n in range(30) if should_probe(one, context.fleet, f"engine-{n}", "abc"[n % 3])
+        ]
         assert len(asked) <= 6, (one, asked)
 
 
