--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -191,7 +191,7 @@
         now = self._hub.now()
         actions = controller.handle(event, now)
         if self._trace is not None:
-            self._trace.handled(controller.group, event, now, actions)
+            self._trace.record_event(controller.group, event, now, actions)
         for action in actions:
             self._log(action, controller.group)
             if isinstance(action, Granted):
--- a/driftstall/helpers/trace.py
+++ b/driftstall/helpers/trace.py
@@ -55,7 +55,7 @@
         """Record the weights of a policy that comes into force."""
         self._write({"group": group, "weights": to_fields(weights), "overflow": overflow})
 
-    def handled(
+    def record_event(
         self, group: str, event: GrantEvent, now: float, actions: list[GrantAction]
     ) -> None:
         """Record one event and its actions."""
--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -230,7 +230,7 @@
         if number % 3 == 0:
             events.append((at + 0.15, Close("g", f"r{number // 3}", 60, True)))
     for at, event in events:
-        recorder.handled("g", event, at, controller.handle(event, at))
+        recorder.record_event("g", event, at, controller.handle(event, at))
     context.lines = out.getvalue().splitlines()
 
 
