--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -165,7 +165,7 @@
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
-    def resting(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no byte of a next request has arrived."""
         return self._request_parser.begun_at is None and not self._request_parser.requests
 
