--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Check forecasts, queues, limits, caches and victims."""
+"""Test length forecasts, fair queues, token buckets, prefix caches and the choice of victims."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @given("{ended:d} outputs of {short:d} tokens have ended and {running:d} run on past {long:d}")
 def censored(context: Any, ended: int, short: int, running: int, long: int) -> None:
-    """Observe outputs, some of them censored."""
+    """Record outputs, some of them still running."""
     context.survival = Survival()
     for _ in range(ended):
         context.survival.enter(0, bucket_of(short))
@@ -44,14 +44,14 @@
 
 @then("about half of new outputs are expected to outlive {tokens:d} tokens")
 def about_half(context: Any, tokens: int) -> None:
-    """Compare the forecast; without the running ones it would be near zero."""
-    chance = context.survival.survival_beyond(tokens)
-    assert 0.35 <= chance <= 0.65, chance
+    """Compare the forecast; without the running outputs it would be near zero."""
+    probability = context.survival.survival_beyond(tokens)
+    assert 0.35 <= probability <= 0.65, probability
 
 
 @given("a kind whose outputs end at {tokens:d} tokens")
 def kind_history(context: Any, tokens: int) -> None:
-    """Teach one workspace of a kind."""
+    """Record the outputs of one workspace of a kind."""
     context.lengths = LearnedLengths()
     for number in range(300):
         request = request_of(f"k{number}", "taught")
@@ -61,7 +61,7 @@
 
 @then("a new workspace of that kind expects under {tokens:d} tokens")
 def new_class(context: Any, tokens: int) -> None:
-    """Ask for a class without history."""
+    """Compare the expected output of a class without history."""
     assert context.lengths.expected(request_of("new", "untaught")) < tokens
     assert LearnedLengths().expected(request_of("new", "untaught")) > tokens
 
@@ -95,7 +95,7 @@
 
 @given("a limit of {rate:d} tokens a second")
 def limit(context: Any, rate: int) -> None:
-    """Fill a bucket."""
+    """Create a full bucket."""
     context.bucket = TokenBucket.full(float(rate), 0.0)
 
 
@@ -108,7 +108,7 @@
 
 @then("{more:d} more can be reserved at once and {rest:d} more only {seconds:d} s later")
 def reserve_more(context: Any, more: int, rest: int, seconds: int) -> None:
-    """Reserve what is left, then wait."""
+    """Reserve the remaining tokens, then wait for more."""
     assert context.bucket.reserve(float(more), 0.0) == 0.0
     assert context.bucket.reserve(float(rest), 0.0) == float(seconds)
     assert context.bucket.reserve(float(rest), float(seconds)) == 0.0
@@ -116,7 +116,7 @@
 
 @given("{count:d} requests that all fail")
 def failing(context: Any, count: int) -> None:
-    """Spend a retry budget."""
+    """Spend a retry budget on requests that fail."""
     budget = RetryBudget()
     context.retries = 0
     for _ in range(count):
@@ -126,7 +126,7 @@
 
 @then("at most {count:d} retries are made")
 def bounded(context: Any, count: int) -> None:
-    """Compare."""
+    """Check the number of retries."""
     assert 5 <= context.retries <= count, context.retries
 
 
@@ -142,14 +142,14 @@
 
 @then("their common instructions count once")
 def counts_once(context: Any) -> None:
-    """Compare the tokens held."""
+    """Check the tokens held."""
     assert context.model.tokens == 300 + 200 + 400, context.model.tokens
     assert context.model.match((*context.one, PrefixMark(9, 900))) == 500
 
 
 @then("a pinned conversation outlives the shrinking of the cache")
 def pinned(context: Any) -> None:
-    """Pin one, shrink to nothing, unpin, shrink again."""
+    """Pin one conversation, shrink to nothing, unpin it and shrink again."""
     pin = context.model.pin(context.one)
     assert context.model.shrink(0) == [3]
     assert context.model.pinned == 500
@@ -160,7 +160,7 @@
 
 @then("the right generation yields of four candidates")
 def victim(context: Any) -> None:
-    """Choose among candidates."""
+    """Choose among the candidates."""
 
     def candidate(name: str, rank: int, remaining: float, yields: int, may: bool) -> Candidate:
         return Candidate(name, rank, may, 1_000, 1_000, remaining, yields, 60.0)
@@ -179,7 +179,7 @@
 
 @given("a generation of a low rank has yielded to the first rank")
 def has_yielded(context: Any) -> None:
-    """Fill a runner with low ranks, then let the first rank wait."""
+    """Fill a runner with low ranks, then add a request of the first rank."""
     context.controller = GrantsController("g", LearnedLengths(), random.Random(1))
     context.controller.handle(RunnersChanged("g", (("engine-1", 3_000, "z"),)), 0.0)
     low = dataclasses.replace(FIRST, rank=3, may_yield=True, wait_s=60.0)
@@ -189,26 +189,26 @@
     actions = []
     for step in range(1, 15):
         actions += context.controller.handle(Tick(), 6.0 + 0.1 * step)
-    context.yielded = [one.request_id for one in actions if isinstance(one, YieldAsked)]
+    context.yielded = [action.request_id for action in actions if isinstance(action, YieldAsked)]
     assert len(context.yielded) == 1, actions
 
 
 @when("its runner leaves")
 def its_runner_leaves(context: Any) -> None:
-    """Take the runner out of the list."""
+    """Remove the runner from the list."""
     context.actions = context.controller.handle(RunnersChanged("g", ()), 7.5)
 
 
 @then("the generation is asked to go on at once")
 def goes_on(context: Any) -> None:
-    """Look for the resume."""
-    resumed = [one.request_id for one in context.actions if isinstance(one, ResumeAsked)]
+    """Check that the resume is requested."""
+    resumed = [action.request_id for action in context.actions if isinstance(action, ResumeAsked)]
     assert resumed == context.yielded, context.actions
 
 
 @given("a full runner that refuses with a time to come back")
 def refused(context: Any) -> None:
-    """Fill a runner, then ask until one is refused."""
+    """Fill a runner until a request is refused."""
     context.controller = GrantsController("g", LearnedLengths(), random.Random(1))
     context.controller.handle(RunnersChanged("g", (("engine-1", 3_000, "z"),)), 0.0)
     context.open = []
@@ -229,24 +229,24 @@
 
 @then("the caller that comes back then is granted")
 def comes_back(context: Any) -> None:
-    """Let work end steadily, come back when told and wait for the grant."""
+    """Close generations steadily, retry at the stated time and wait for the grant."""
     refusal: Refused = context.refusal
     controller = context.controller
     back_at = context.refused_at + refusal.retry_after_s
-    now, came, granted = context.refused_at, False, False
-    while not granted and now < back_at + 2.0:
+    now, has_returned, is_granted = context.refused_at, False, False
+    while not is_granted and now < back_at + 2.0:
         now += 0.5
         actions = []
         if context.open:
             actions += controller.handle(Close("g", context.open.pop(0), 50, True), now)
-        if now >= back_at and not came:
-            came = True
+        if now >= back_at and not has_returned:
+            has_returned = True
             ask = Ask("g", "entry", request_of("back"), FIRST, refusal.ticket)
             actions += controller.handle(ask, now)
         actions += controller.handle(Tick(), now)
         for action in actions:
             if isinstance(action, Granted):
                 context.open.append(action.request_id)
-                granted = granted or action.request_id == "back"
+                is_granted = is_granted or action.request_id == "back"
             assert not (isinstance(action, Refused) and action.request_id == "back")
-    assert granted, "the caller came back and was not granted"
+    assert is_granted, "the caller came back and was not granted"
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -1,4 +1,4 @@
-"""Check the policy language."""
+"""Test the policy language."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @given("the policy text {text}")
 def policy_text(context: Any, text: str) -> None:
-    """Keep a policy's text."""
+    """Set the text of the policy."""
     context.policy_text = text
 
 
 @given("a policy with {count:d} nested parentheses")
 def nested_policy(context: Any, count: int) -> None:
-    """Build a policy that nests deeply."""
+    """Build a deeply nested policy."""
     context.policy_text = (
         'policy "x" { rule a when ' + "(" * count + "load > 1" + ")" * count + " {} }"
     )
@@ -30,7 +30,7 @@
 
 @then('it is refused at line {line:d}, column {column:d}, with "{fix}"')
 def policy_refused(context: Any, line: int, column: int, fix: str) -> None:
-    """Compare the fault."""
+    """Compare the position and the fix of the error."""
     try:
         parse_policy(context.policy_text)
     except PolicyError as fault:
@@ -51,22 +51,24 @@
 
 @given('the shipped policy "{name}"')
 def shipped_policy(context: Any, name: str) -> None:
-    """Load one shipped policy."""
+    """Parse one shipped policy."""
     context.policy = parse_policy(Path(f"examples/{name}.policy").read_text())
 
 
 @when('a "{kind}" of {tokens:d} tokens is explained')
 def explained(context: Any, kind: str, tokens: int) -> None:
-    """Explain one request."""
-    context.why = explain(context.policy, Facts(kind, "north", "base", tokens, 100, 0.0, 12))
+    """Explain the verdict of one request."""
+    context.explanation = explain(
+        context.policy, Facts(kind, "north", "base", tokens, 100, 0.0, 12)
+    )
 
 
 @then('rule "{name}" decides with rank {rank:d} after rule "{other}" did not hold')
 def decided(context: Any, name: str, rank: int, other: str) -> None:
     """Compare the explanation."""
-    checks = [(one.rule, one.held) for one in context.why.checks]
+    checks = [(check.rule, check.held) for check in context.explanation.checks]
     assert checks == [(other, False), (name, True)], checks
-    assert context.why.verdict.rank == rank
+    assert context.explanation.verdict.rank == rank
 
 
 @then("the built default policy and its parsed text agree on every kind of request")
@@ -79,7 +81,7 @@
         parsed.overflow,
     )
     rows = [
-        [(one.name, one.line, one.text, one.verdict) for one in policy.rules]
+        [(rule.name, rule.line, rule.text, rule.verdict) for rule in policy.rules]
         for policy in (built, parsed)
     ]
     assert rows[0] == rows[1], rows
--- a/features/steps/runner_steps.py
+++ b/features/steps/runner_steps.py
@@ -1,4 +1,4 @@
-"""Check how a runner's answers are read."""
+"""Test how a runner's rejection of a generation is interpreted."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @given("a runner that answers {status:d}")
 def runner_answers(context: Any, status: int) -> None:
-    """Answer each request alike."""
+    """Send the same response to each request."""
 
     def serve(connection: socket.socket, _: tuple[str, int]) -> None:
         connection.recv(65_536)
@@ -29,7 +29,7 @@
 
 @when("a generation is started there")
 def generation_started(context: Any) -> None:
-    """Start one and keep how it failed."""
+    """Start a generation and keep its error."""
     try:
         next(open_stream(context.runner, "g1", {"messages": []}, 0))
     except UpstreamError as fault:
@@ -38,11 +38,11 @@
 
 @then("it has not run")
 def not_run(context: Any) -> None:
-    """Compare."""
+    """Check that the error excludes a run."""
     assert not context.fault.sent, context.fault
 
 
 @then("it may have run")
 def may_have_run(context: Any) -> None:
-    """Compare."""
+    """Check that the error leaves a run possible."""
     assert context.fault.sent, context.fault
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -1,4 +1,4 @@
-"""Check what may be sent once more: the rules by themselves, then the gateway's relays."""
+"""Test what may be sent once more: first the rules alone, then the gateway's relays."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from features.worlds.sends_world import UPSTREAMS, Draw, SendsWorld, Word
 from stand_ins.routed import Script, Seen, event_bytes
 
-ORDERS = 400
-"""Drawn orders of sends; each takes about a tenth of a millisecond."""
-RELAYED = 40
-"""Drawn requests for each sort; each takes some milliseconds."""
-PROMISES = (408, 421, 429, 503)
+MAX_ORDERS = 400
+"""Number of generated orders of sends; each takes about a tenth of a millisecond."""
+MAX_RELAYED = 40
+"""Number of generated requests for each sort; each takes some milliseconds."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 EVENTS = 5
 
 
 @given("a request that may begin {most:d} runs")
 def request_with(context: Any, most: int) -> None:
-    """Choose how often the request may run."""
+    """Set how often the request may run."""
     context.most = most
 
 
@@ -34,7 +34,7 @@
     "no drawn order of sends begins more, nor is called not run when it ran, from seed {number:d}"
 )
 def drawn_orders(context: Any, number: int) -> None:
-    """Draw orders of sends; the same seed draws the same ones."""
+    """Generate orders of sends; the same seed generates the same ones."""
     draws = st.builds(
         Draw,
         st.sampled_from(UPSTREAMS),
@@ -45,7 +45,7 @@
     )
 
     @seed(int(context.config.userdata.get("seed", number)))
-    @settings(max_examples=ORDERS, deadline=None, database=None)
+    @settings(max_examples=MAX_ORDERS, deadline=None, database=None)
     @for_all(st.lists(draws, max_size=12))
     def check(order: list[Draw]) -> None:
         world = SendsWorld(SendHistory(context.most))
@@ -68,7 +68,7 @@
 
 
 def _may_follow(history: SendHistory, wanted: str) -> bool:
-    """Ask the history for a send that the table names."""
+    """Return whether the history allows the send named in the table."""
     if wanted.startswith("anew"):
         return history.can_restart
     named = re.fullmatch(r"at copy (\w) at (\w)", wanted)
@@ -107,47 +107,47 @@
         Script(only_another=True),
     ],
 }
-"""What an upstream may do with one send; a pause lasts until a kept-up copy is there."""
+"""Faults of an upstream in one send; a pause lasts until the backup exists."""
 FAULTS["safe"] = FAULTS["once"]
 
 
 @then('no drawn faults make a "{sort}" run more often than it may, from seed {number:d}')
 def drawn_faults(context: Any, sort: str, number: int) -> None:
-    """Serve drawn requests by the gateway before its stand-ins."""
+    """Relay generated requests through the gateway to its stand-ins."""
     drawn = st.lists(st.sampled_from(range(len(FAULTS[sort]))), min_size=1, max_size=6)
 
     @seed(int(context.config.userdata.get("seed", number)))
     @settings(
-        max_examples=int(context.config.userdata.get("examples", RELAYED)),
+        max_examples=int(context.config.userdata.get("examples", MAX_RELAYED)),
         deadline=None,
         database=None,
     )
     @for_all(drawn, st.lists(st.integers(0, 2), max_size=1))
     def check(faults: list[int], gone: list[int]) -> None:
-        serve_drawn(sort, [FAULTS[sort][one].fresh() for one in faults], gone)
+        serve_drawn(sort, [FAULTS[sort][index].fresh() for index in faults], gone)
 
     check()
 
 
 def serve_drawn(sort: str, scripts: list[Script], gone: list[int]) -> None:
-    """Serve one request; the upstreams named as gone take no connection."""
+    """Relay one request; the upstreams named as gone accept no connection."""
     world = GatewayWorld()
     try:
         upstreams = world.engines if sort == "stream" else world.plain
         for number in gone:
             upstreams[number % len(upstreams)].stop()
-        gates = [gevent.spawn(open_gate, world, one) for one in scripts]
+        gates = [gevent.spawn(open_gate, world, script) for script in scripts]
         script_all(world, "r1", scripts)
         answer = world.ask(f"/{sort}/a", "r1")
         gevent.killall(gates)
-        seen = [one for upstream in upstreams for one in upstream.seen]
+        seen = [script for upstream in upstreams for script in upstream.seen]
         check_runs(sort, answer, seen)
     finally:
         world.close()
 
 
 def open_gate(world: GatewayWorld, script: Script) -> None:
-    """Let a stream that stands still go on once its copy can be there."""
+    """Let a paused stream continue once its backup can exist."""
     script.paused.wait()
     waiting = script.pause_after or 0
     wait_for("the events", lambda: any(run.events >= waiting for run in world.state.runs.all))
@@ -156,13 +156,13 @@
 
 
 def check_runs(sort: str, answer: Received, seen: list[Seen]) -> None:
-    """Compare what the caller got with what has run."""
-    anew = sum(not one.goes_on for one in seen)
-    what = (answer, [(one.headers.get("kv-from"), one.goes_on) for one in seen])
-    assert anew <= (2 if sort == "safe" else 1), what
-    if answer.status in PROMISES:
-        assert not seen, what
+    """Compare the caller's response with the runs that the upstreams saw."""
+    runs = sum(not one.goes_on for one in seen)
+    evidence = (answer, [(one.headers.get("kv-from"), one.goes_on) for one in seen])
+    assert runs <= (2 if sort == "safe" else 1), evidence
+    if answer.status in NOT_RUN_STATUSES:
+        assert not seen, evidence
     if sort == "stream" and answer.status == 200:
         whole = b"".join(event_bytes(number) for number in range(1, EVENTS + 1))
-        assert whole.startswith(answer.body), what
-        assert not answer.whole or answer.body == whole, what
+        assert whole.startswith(answer.body), evidence
+        assert not answer.whole or answer.body == whole, evidence
