--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -57,7 +57,7 @@
     UpstreamNews,
     ZoneSummary,
 )
-from driftstall.peers.link import ANYONE, PeerLinks
+from driftstall.peers.link import ANY_RECIPIENT, PeerLinks
 from driftstall.peers.permit_messages import PermitAsked, PermitCharged, PermitGiven
 
 PERIOD_S: Final = 0.15
@@ -166,7 +166,7 @@
         for address in self._state.settings.seeds:
             if address != self.own.peer_address:
                 ping = Ping(self.own.instance_id, 0, "", self._members.changes)
-                self._links.send(ANYONE, address, ping)
+                self._links.send(ANY_RECIPIENT, address, ping)
 
     def add_listed_instances(self, instances: tuple[Instance, ...]) -> None:
         """Add the instances that the platform lists to the member list."""
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -37,7 +37,7 @@
 connection costs one round trip, every three seconds for each peer."""
 MAX_CONNECTIONS: Final = 2_000
 
-ANYONE: Final = ""
+ANY_RECIPIENT: Final = ""
 """Addresses a message to any instance that listens at an address, as for the first peers."""
 
 Receiver = Callable[[str, Any], None]
@@ -97,7 +97,7 @@
 
     def broadcast(self, addresses: Iterable[str], message: Any) -> None:
         """Queue one message for many peers; it is encoded only once."""
-        frame = self._frame(ANYONE, message)
+        frame = self._frame(ANY_RECIPIENT, message)
         for address in addresses:
             self._queue(address, frame)
 
@@ -183,7 +183,7 @@
     def _receive(self, frame: bytes) -> None:
         """Verify a frame and deliver its message; reject wrong recipients and replays."""
         envelope = decode(frame, self._key, self._kinds)
-        if envelope.recipient not in (self._own_id, ANYONE):
+        if envelope.recipient not in (self._own_id, ANY_RECIPIENT):
             # This address was reassigned: the message is meant for its previous instance.
             self.rejected += 1
             return
