--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -1,4 +1,8 @@
-"""Ask who gives leave for an upstream with a limit, and give leave for those that fall here."""
+"""Permits for sends to rate-limited upstreams, granted by the instance that owns the upstream.
+
+The owner is chosen among the live instances by rendezvous hashing. Each instance requests
+permits from the owners, and grants them for the upstreams that it owns.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +27,14 @@
 )
 
 ANSWER_TIMEOUT_S: Final = 0.05
-"""How long an answer is waited for: a hop between zones takes a few milliseconds."""
+"""Maximum wait for an owner's answer: a hop between zones takes a few milliseconds."""
 NO_ANSWER_BACKOFF_S: Final = 0.5
-"""How long one that gave no answer is not asked for the same upstream."""
+"""Time for which no permit is requested for an upstream whose owner has not answered."""
 MS: Final = 1000
 
 
 class PermitCoordinator:
-    """Ask for permits, and give them."""
+    """Request permits from owners, and grant them for owned upstreams."""
 
     def __init__(
         self,
@@ -42,9 +46,10 @@
         upstreams: Callable[[], set[str]],
         send: Callable[[str, PermitMessage], object],
     ) -> None:
-        """Take the own name, what is known of limits, and the steady clock.
+        """Initialize with this instance's id, the known limits and a monotonic clock.
 
-        Live returns the instances that live, upstreams the ids of all that have not gone.
+        live: returns the live instances. upstreams: returns the ids of all upstreams that have
+        not been removed. send: sends a message to an instance.
         """
         self._own_id = own_id
         self._limits = limits
@@ -57,24 +62,27 @@
         self._waiting: dict[int, AsyncResult] = {}
 
     def ask(self, limit: RateLimit, need: SendNeed) -> Verdict:
-        """Return whether one request may be sent; wait for the answer of who decides."""
-        giver = self._owner_id(limit.upstream_id)
-        if giver == self._own_id:
+        """Request a permit for one send, and wait for the owner's verdict.
+
+        Without an answer in time, the permit is denied.
+        """
+        owner_id = self._owner_id(limit.upstream_id)
+        if owner_id == self._own_id:
             return self._decide(limit.upstream_id, need)
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
         self._waiting[number] = answer
-        most_wait_ms = int(need.most_wait_s * MS)
-        asked = PermitAsked(self._own_id, number, limit, most_wait_ms, need.rank, need.under_way)
+        max_wait_ms = int(need.most_wait_s * MS)
+        asked = PermitAsked(self._own_id, number, limit, max_wait_ms, need.rank, need.under_way)
         try:
-            self._send(giver, asked)
+            self._send(owner_id, asked)
             given: PermitGiven | None = answer.wait(timeout=ANSWER_TIMEOUT_S)
         finally:
             del self._waiting[number]
         if given is None:
             log_event(
                 PREFIX_ROUTING,
-                f"{giver} gives no permit in time",
+                f"Instance {owner_id} did not answer a permit request in time",
                 upstream=limit.upstream_id,
                 asked=number,
             )
@@ -82,21 +90,23 @@
         return Permit(given.wait_ms / MS) if given.allowed else Denial(given.wait_ms / MS)
 
     def charge(self, limit: RateLimit) -> None:
-        """Count a call to an upstream that is not held back."""
-        giver = self._owner_id(limit.upstream_id)
-        if giver == self._own_id:
+        """Charge a call that was sent without a permit to an upstream's limit."""
+        owner_id = self._owner_id(limit.upstream_id)
+        if owner_id == self._own_id:
             self._charge(limit.upstream_id)
         else:
-            self._send(giver, PermitCharged(self._own_id, limit))
+            self._send(owner_id, PermitCharged(self._own_id, limit))
 
     def update_ownership(self) -> None:
-        """Find out for which upstreams this instance gives permits; to be called often."""
+        """Update which rate-limited upstreams this instance owns; called periodically."""
         limited = self._limits.keep_only(self._upstreams)
-        mine = {one for one in limited if self._owner_id(one) == self._own_id}
-        self._allowances.sync(mine, self._now())
+        owned = {
+            upstream_id for upstream_id in limited if self._owner_id(upstream_id) == self._own_id
+        }
+        self._allowances.sync(owned, self._now())
 
     def handle_request(self, asked: PermitAsked) -> None:
-        """Answer another instance."""
+        """Answer a permit request of another instance."""
         self._limits.record_peer_limits((asked.limit,))
         need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
         verdict = self._decide(asked.limit.upstream_id, need)
@@ -106,37 +116,40 @@
         self._send(asked.sender, given)
 
     def handle_answer(self, given: PermitGiven) -> None:
-        """Take in an answer; one that comes late is of no use any more."""
+        """Pass an answer to the request that waits for it; a late answer is ignored."""
         waiting = self._waiting.get(given.number)
         if waiting is not None:
             waiting.set(given)
 
-    def handle_charge(self, told: PermitCharged) -> None:
-        """Count a call of another instance."""
-        self._limits.record_peer_limits((told.limit,))
-        self._charge(told.limit.upstream_id)
+    def handle_charge(self, charged: PermitCharged) -> None:
+        """Charge a call of another instance to an upstream's limit."""
+        self._limits.record_peer_limits((charged.limit,))
+        self._charge(charged.limit.upstream_id)
 
     def _owner_id(self, upstream_id: str) -> str:
-        """Return which instance gives permits for an upstream."""
+        """Return the id of the instance that grants permits for an upstream."""
         owner = owner_of(upstream_id, self._live())
         return owner.instance_id if owner else self._own_id
 
     def _decide(self, upstream_id: str, need: SendNeed) -> Verdict:
-        """Give or refuse a permit."""
+        """Grant or deny a permit for an owned upstream."""
         per_s = self._per_s(upstream_id)
         if per_s is None:
-            # The limit has ended; the news of it are on their way.
+            # The limit was lifted, and the requesting instance has not been notified yet.
             return Permit(0.0)
         return self._allowances.ask(upstream_id, need, per_s, self._now())
 
     def _charge(self, upstream_id: str) -> None:
-        """Count a call."""
+        """Charge a call to the limit of an owned upstream."""
         per_s = self._per_s(upstream_id)
         if per_s is not None:
             self._allowances.charge(upstream_id, per_s, self._now())
 
     def _per_s(self, upstream_id: str) -> float | None:
-        """Return what may be given a second; None where the limit has ended."""
+        """Return the permits a second for an owned upstream; None if its limit was lifted.
+
+        Scaled by the share of instances that are live.
+        """
         per_s = self._limits.per_s(upstream_id)
         if per_s is None:
             return None
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -1,4 +1,4 @@
-"""Send upstreams that name a limit no more than it allows (see decisions/permits)."""
+"""Rate limiting of sends to upstreams that announce a limit (see decisions/permits)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PermitStats(Protocol):
-    """Count what permits lead to."""
+    """Counters of rate-limited sends."""
 
     permits_denied: int
     limited_sends: int
@@ -31,7 +31,7 @@
 
 
 class RateLimiter:
-    """Hold what is known of limits, and ask before a request goes to who names one."""
+    """Track the rate limits of upstreams, and acquire permits for sends to limited ones."""
 
     def __init__(
         self,
@@ -41,7 +41,11 @@
         now: Callable[[], float],
         pause: Callable[[float], None],
     ) -> None:
-        """Take the counters, the most instances known lately, the steady clock, and how to wait."""
+        """Initialize without limits.
+
+        instances: returns the highest number of instances known lately. now: monotonic clock.
+        pause: waits for a time in seconds.
+        """
         self._stats = stats
         self._instances = instances
         self._now = now
@@ -50,33 +54,33 @@
         self._denied = DenialTracker()
         self._retry_schedule = RetryTimes()
         self.ask_permit: Callable[[RateLimit, SendNeed], Verdict] = _deny_without_peers
-        """Asks who gives leave for an upstream; may wait for the answer."""
+        """Requests a permit from the upstream's owner; may wait for the answer."""
         self.charge_permit: Callable[[RateLimit], None] = _ignore_charge
-        """Tells the same one of a call that was not held back."""
+        """Reports a call that was sent without a permit to the upstream's owner."""
         self.publish: Callable[[], None] = _ignore_publish
-        """Has peers told at once."""
+        """Publishes changed limits to peers at once."""
 
     @property
     def limited(self) -> dict[str, float]:
-        """Return the limits in force, by upstream, in requests a second."""
+        """Return the limits in force by upstream id, in requests a second."""
         return self._tracker.limited
 
     @property
     def instances(self) -> int:
-        """Return the most instances that were known lately."""
+        """Return the highest number of instances known lately."""
         return self._instances()
 
     @property
     def reports(self) -> tuple[RateLimit, ...]:
-        """Return all that is known, for peers."""
+        """Return all known limits and their removals, for peers."""
         return self._tracker.reports
 
     def per_s(self, upstream_id: str) -> float | None:
-        """Return the requests a second that an upstream takes; None if it names no limit."""
+        """Return an upstream's limit in requests a second, or None without a limit."""
         return self._tracker.per_s(upstream_id)
 
     def keep_only(self, upstream_ids: Callable[[], set[str]]) -> set[str]:
-        """Forget upstreams that are gone; return those that name a limit."""
+        """Remove the limits of all other upstreams; return the ids of the limited ones."""
         if not self._tracker.reports:
             return set()
         self._tracker.keep_only(upstream_ids(), self._now())
@@ -84,39 +88,40 @@
         self._denied.keep_only(limited)
         return limited
 
-    # What upstreams and peers say.
+    # Updates from upstreams and peers.
 
     def record_response(self, upstream_id: str, per_s: float | None, sent_at: float) -> None:
-        """Take in the limit that an answer names, to a request sent then; None for no limit."""
+        """Record the limit in the response to a request that was sent at a time; None for none."""
         if self._tracker.record_response(upstream_id, per_s, sent_at, self._now()):
             self._log_changed(upstream_id)
             self.publish()
 
     def record_peer_limits(self, told: Iterable[RateLimit], peer: str = "") -> bool:
-        """Take in what a peer knows; return whether any of it was new."""
-        news = self._tracker.merge(told, self._now())
-        for one in news:
-            self._log_changed(one.upstream_id, peer=peer)
-        return bool(news)
+        """Merge the limits known to a peer; return True if any was new."""
+        changed = self._tracker.merge(told, self._now())
+        for limit in changed:
+            self._log_changed(limit.upstream_id, peer=peer)
+        return bool(changed)
 
-    # Before a request is sent.
+    # Permits.
 
     def is_limited(self, upstream_id: str) -> bool:
-        """Tell whether an upstream names a limit."""
+        """Return True if an upstream has a rate limit."""
         return self._tracker.per_s(upstream_id) is not None
 
     def denied_upstreams(self, upstream_ids: Iterable[str], most_wait_s: float) -> frozenset[str]:
-        """Return which upstreams are not to be asked for by a request that can wait so long."""
+        """Return the upstreams whose next permit comes later than a request can wait."""
         now = self._now()
         return frozenset(
-            one
-            for one in upstream_ids
-            if self.is_limited(one) and self._denied.retry_in_s(one, now) > most_wait_s
+            upstream_id
+            for upstream_id in upstream_ids
+            if self.is_limited(upstream_id)
+            and self._denied.retry_in_s(upstream_id, now) > most_wait_s
         )
 
     def permit_wait_s(self, upstream_ids: Iterable[str], most_wait_s: float) -> float:
-        """Return how long a request waits for a turn: not at all where an upstream needs none."""
-        if any(not self.is_limited(one) for one in upstream_ids):
+        """Return how long a request waits for a permit: zero if any upstream has no limit."""
+        if any(not self.is_limited(upstream_id) for upstream_id in upstream_ids):
             return 0.0
         return max(0.0, most_wait_s)
 
@@ -128,25 +133,30 @@
         need: SendNeed,
         request_id: str,
     ) -> Option | None:
-        """Choose an option whose upstream may be sent the request now, if there is one.
+        """Choose an option whose upstream may be sent the request now; None if there is none.
 
-        Where another one is denied its turn, the next best is chosen.
+        If the best option is denied a permit, the next best is chosen.
         """
-        left = list(options)
-        while left:
-            waits_s = self.permit_wait_s(map(id_of, left), need.most_wait_s)
-            closed = self.denied_upstreams(map(id_of, left), waits_s)
-            left = [one for one in left if id_of(one) not in closed]
-            option = choose(left)
+        remaining = list(options)
+        while remaining:
+            max_wait_s = self.permit_wait_s(map(id_of, remaining), need.most_wait_s)
+            denied = self.denied_upstreams(map(id_of, remaining), max_wait_s)
+            remaining = [candidate for candidate in remaining if id_of(candidate) not in denied]
+            option = choose(remaining)
             if option is None:
                 return None
-            if self.acquire_permit(id_of(option), replace(need, most_wait_s=waits_s), request_id):
+            if self.acquire_permit(
+                id_of(option), replace(need, most_wait_s=max_wait_s), request_id
+            ):
                 return option
-            left.remove(option)
+            remaining.remove(option)
         return None
 
     def acquire_permit(self, upstream_id: str, need: SendNeed, request_id: str) -> bool:
-        """Get leave for one send, and wait for its turn; return whether it may be sent now."""
+        """Acquire a permit for one send and wait until it is valid; return False if denied.
+
+        A permit that has expired when the wait ends counts as denied.
+        """
         limit = self._tracker.find(upstream_id)
         if limit is None or limit.per_s is None:
             return True
@@ -162,7 +172,7 @@
         if took_s > verdict.wait_s + PERMIT_LAPSE_S:
             log_event(
                 PREFIX_ROUTING,
-                f"A permit for {upstream_id} has lapsed",
+                f"The permit for {upstream_id} has expired",
                 request=request_id,
                 took_s=round(took_s, 3),
             )
@@ -170,7 +180,7 @@
         self._stats.limited_sends += 1
         log_event(
             PREFIX_ROUTING,
-            f"A request goes to {upstream_id}, which names a limit",
+            f"Request sent to rate-limited upstream {upstream_id}",
             request=request_id,
             per_s=limit.per_s,
             number=limit.number,
@@ -179,26 +189,29 @@
         return True
 
     def charge(self, upstream_id: str) -> None:
-        """Count a call of our own to an upstream: it is not held back, but others are."""
+        """Charge a call of the proxy itself, which needs no permit, to an upstream's limit."""
         limit = self._tracker.find(upstream_id)
         if limit is not None and limit.per_s is not None:
             self.charge_permit(limit)
 
     def build_refusal(self, service: str, upstream_ids: Iterable[str], request_id: str) -> Problem:
-        """Return what to answer where all upstreams that are left take no more now.
+        """Return the problem for a request whose upstreams have all reached their limits.
 
-        Each caller is told a time of its own: this instance's part of the permits comes one by one.
+        Each caller gets a different retry time, as this instance's share of the permits becomes
+        available one by one.
         """
         now = self._now()
         ids = list(upstream_ids)
-        first_s = min((self._denied.retry_in_s(one, now) for one in ids), default=0.0)
-        limits = [self._tracker.per_s(one) or 0.0 for one in ids]
-        part = sum(limits) / max(1, self.instances)
-        retry_s = self._retry_schedule.next_s(service, first_s, part, now)
+        first_s = min(
+            (self._denied.retry_in_s(upstream_id, now) for upstream_id in ids), default=0.0
+        )
+        limits = [self._tracker.per_s(upstream_id) or 0.0 for upstream_id in ids]
+        share = sum(limits) / max(1, self.instances)
+        retry_s = self._retry_schedule.next_s(service, first_s, share, now)
         self._stats.limited_refused += 1
         log_event(
             PREFIX_ROUTING,
-            "A request is refused: all upstreams have reached their limits",
+            "Request refused: all upstreams have reached their rate limits",
             request=request_id,
             service=service,
             limits=limits,
@@ -209,13 +222,15 @@
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, retry_s)
 
     def _log_changed(self, upstream_id: str, **more: str) -> None:
-        """Log a limit that is new, and by whose word."""
+        """Log a changed limit; more may name the peer that reported it."""
         limit = self._tracker.find(upstream_id)
         assert limit is not None
-        named = "no limit any more" if limit.per_s is None else "a limit"
+        change = (
+            "announces no rate limit any more" if limit.per_s is None else "announces a rate limit"
+        )
         log_event(
             PREFIX_ROUTING,
-            f"Upstream {upstream_id} names {named}",
+            f"Upstream {upstream_id} {change}",
             per_s=limit.per_s,
             number=limit.number,
             **more,
@@ -223,13 +238,13 @@
 
 
 def _deny_without_peers(_: RateLimit, __: SendNeed) -> Verdict:
-    """Get leave from nobody: there are no peers yet, so nobody knows how much is sent."""
+    """Deny a permit: before the peers are connected, the fleet's rate of sends is unknown."""
     return Denial(PERMIT_LAPSE_S)
 
 
 def _ignore_charge(_: RateLimit) -> None:
-    """Tell nobody."""
+    """Ignore a charge before the peers are connected."""
 
 
 def _ignore_publish() -> None:
-    """Tell nobody."""
+    """Ignore a change before the peers are connected."""
