--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -249,12 +249,12 @@
         """Close the connection."""
         self._connection.close()
 
-    def watch(self) -> CallerWatch:
+    def watch(self) -> DisconnectWatch:
         """Return a watch on whether the caller leaves."""
-        return CallerWatch(self._connection)
+        return DisconnectWatch(self._connection)
 
 
-class CallerWatch:
+class DisconnectWatch:
     """Notice that a caller closes its connection while its request is served."""
 
     def __init__(self, connection: socket.socket) -> None:
