--- a/driftstall/peers/codec.py
+++ b/driftstall/peers/codec.py
@@ -59,11 +59,11 @@
     return kind.__name__[0].lower() + kind.__name__[1:]
 
 
-Kinds = Mapping[str, type]
+MessageTypes = Mapping[str, type]
 """Message types by their union field in the schema's envelope."""
 
 
-def kinds_of(messages: Any) -> Kinds:
+def kinds_of(messages: Any) -> MessageTypes:
     """Return the message types of a type union, by their field in the envelope."""
     return {_union_field(kind): kind for kind in typing.get_args(messages)}
 
@@ -168,7 +168,7 @@
     return HEADER.pack(len(body) + MAC_BYTES) + mac(key, body) + body
 
 
-def decode(frame: bytes, key: bytes, kinds: Kinds) -> Envelope:
+def decode(frame: bytes, key: bytes, kinds: MessageTypes) -> Envelope:
     """Return the envelope of a frame, given without its length.
 
     Raises MessageError if the frame is not authentic, has another protocol version or is
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -20,7 +20,7 @@
 from driftstall.const import PREFIX_MEMBERSHIP
 from driftstall.exceptions import MessageError
 from driftstall.helpers.log import log_event
-from driftstall.peers.codec import HEADER, MAX_FRAME_BYTES, Kinds, decode, encode
+from driftstall.peers.codec import HEADER, MAX_FRAME_BYTES, MessageTypes, decode, encode
 from driftstall.peers.envelope import Envelope
 from driftstall.util import clock
 from driftstall.util.addresses import split_address
@@ -60,7 +60,7 @@
     """Send messages to peers and receive theirs."""
 
     def __init__(
-        self, own_id: str, listen: str, key: bytes, kinds: Kinds, receiver: Receiver
+        self, own_id: str, listen: str, key: bytes, kinds: MessageTypes, receiver: Receiver
     ) -> None:
         """Initialize the links.
 
