--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -249,7 +249,7 @@
         """Close the connection."""
         self._connection.close()
 
-    def watch(self) -> DisconnectWatch:
+    def watch_disconnect(self) -> DisconnectWatch:
         """Return a watch on whether the caller leaves."""
         return DisconnectWatch(self._connection)
 
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -164,7 +164,7 @@
         self, connection: CallerConnection, left: Callable[[], None], serve: Callable[[], bool]
     ) -> bool:
         """Serve, and have the request given up when its caller leaves."""
-        watch = connection.watch()
+        watch = connection.watch_disconnect()
 
         def gone() -> None:
             self._state.stats.callers_gone += 1
