--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -14,7 +14,7 @@
 from driftstall.daemon.settings import Settings
 from driftstall.daemon.stats import Stats
 from driftstall.helpers.log import log_event
-from driftstall.peers.codec import kinds_of
+from driftstall.peers.codec import message_types_of
 from driftstall.peers.link import PeerLinks
 from driftstall.peers.messages import DaemonMessage
 from driftstall.platform.client import PlatformClient
@@ -35,7 +35,7 @@
         self.source = random.Random()
         self.platform = PlatformClient(settings.platform, settings.platform_token)
         self.key = settings.peer_key.encode()
-        kinds = kinds_of(DaemonMessage)
+        kinds = message_types_of(DaemonMessage)
         self.links = PeerLinks(
             settings.instance_id, settings.peer_listen, self.key, kinds, self._receive
         )
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -41,7 +41,7 @@
 from driftstall.helpers.permits import PermitCoordinator
 from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
 from driftstall.helpers.tasks import keep_running
-from driftstall.peers.codec import kinds_of
+from driftstall.peers.codec import message_types_of
 from driftstall.peers.gateway_messages import (
     BlamesTold,
     FleetAsked,
@@ -90,7 +90,7 @@
         incarnation = int(state.wall() * MS_PER_S)
         self._members = MembershipController(self.own, incarnation, state.rng)
         key = settings.peer_key.encode()
-        kinds = kinds_of(GatewayMessage)
+        kinds = message_types_of(GatewayMessage)
         self._links = PeerLinks(
             settings.instance_id, settings.peer_listen, key, kinds, self._receive
         )
--- a/driftstall/peers/codec.py
+++ b/driftstall/peers/codec.py
@@ -63,7 +63,7 @@
 """Message types by their union field in the schema's envelope."""
 
 
-def kinds_of(messages: Any) -> MessageTypes:
+def message_types_of(messages: Any) -> MessageTypes:
     """Return the message types of a type union, by their field in the envelope."""
     return {_union_field(kind): kind for kind in typing.get_args(messages)}
 
--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -42,13 +42,13 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.exceptions import MessageError
 from driftstall.helpers.trace import TraceRecorder, build_controller, replay
-from driftstall.peers.codec import HEADER, decode, encode, kinds_of
+from driftstall.peers.codec import HEADER, decode, encode, message_types_of
 from driftstall.peers.envelope import Envelope
 from driftstall.peers.gateway_messages import GatewayMessage, RoutingAsked, RoutingOffered
 from driftstall.peers.messages import DaemonMessage
 from features.worlds.samples import FIRST, KEY, request_of
 
-KINDS = {**kinds_of(DaemonMessage), **kinds_of(GatewayMessage)}
+KINDS = {**message_types_of(DaemonMessage), **message_types_of(GatewayMessage)}
 
 
 @given("a holder whose lease has lapsed and a new one")
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.listeners import AuxiliaryListener, MetricsHandler, request_fingerprint
 from driftstall.helpers.poison_sharing import PeerTransport, PoisonSharing
 from driftstall.peers.blame_messages import BlamesTold
-from driftstall.peers.codec import HEADER, decode, encode, kinds_of
+from driftstall.peers.codec import HEADER, decode, encode, message_types_of
 from driftstall.peers.envelope import Envelope
 from driftstall.peers.gateway_messages import GatewayMessage
 from features.steps.gateway_stream_steps import await_copy, stream_script
@@ -352,7 +352,7 @@
     )
     message = BlamesTold("own", records, asks=True)
     frame = encode(Envelope("own", "peer", 1, message), b"key")
-    arrived = decode(frame[HEADER.size :], b"key", kinds_of(GatewayMessage))
+    arrived = decode(frame[HEADER.size :], b"key", message_types_of(GatewayMessage))
     assert arrived.message == message, arrived.message
 
 
--- a/features/steps/silent_connection_steps.py
+++ b/features/steps/silent_connection_steps.py
@@ -12,7 +12,7 @@
 from gevent.server import StreamServer
 
 from driftstall.exceptions import PlatformUnavailable
-from driftstall.peers.codec import kinds_of
+from driftstall.peers.codec import message_types_of
 from driftstall.peers.gateway_messages import GatewayMessage, UpstreamDoubted
 from driftstall.peers.link import PeerLinks
 from driftstall.platform.store import Store
@@ -56,7 +56,7 @@
 @given("two instances that exchange messages through a proxy")
 def linked(context: Any) -> None:
     """Link two instances one way, and wait for a first message."""
-    key, kinds = b"key", kinds_of(GatewayMessage)
+    key, kinds = b"key", message_types_of(GatewayMessage)
     address = f"127.0.0.1:{free_port()}"
     context.heard = []
     near = PeerLinks("near", f"127.0.0.1:{free_port()}", key, kinds, lambda *_: None)
--- a/measures/capacity.py
+++ b/measures/capacity.py
@@ -31,14 +31,14 @@
 from driftstall.daemon.wire import config_to_json, shard_to_json
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.locate import group_runners, owner_of
-from driftstall.peers.codec import decode, encode, kinds_of
+from driftstall.peers.codec import decode, encode, message_types_of
 from driftstall.peers.envelope import Envelope
 from driftstall.peers.messages import DaemonMessage, ProgressBatch
 from driftstall.policy.evaluate import evaluate
 from driftstall.policy.model import Facts
 from driftstall.policy.parse import parse_policy
 
-KINDS: Final = kinds_of(DaemonMessage)
+KINDS: Final = message_types_of(DaemonMessage)
 KEY: Final = b"a key for measuring"
 RESULTS: Final = Path("docs/results/capacity.json")
 VERDICT: Final = Verdict("waiting_people", 6, 0, 10.0, False, True, 1.0, 0.0)
