--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -262,7 +262,7 @@
         self._connection = connection
         self._watcher = gevent.get_hub().loop.io(connection.fileno(), 1)
         self._on_gone: Any = None
-        self.gone = False
+        self.is_disconnected = False
 
     def start(self, on_gone: Any) -> None:
         """Call a function once when the caller is gone."""
@@ -285,7 +285,7 @@
             left = True
         self._watcher.stop()
         if left:
-            self.gone = True
+            self.is_disconnected = True
             self._on_gone()
 
 
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -172,7 +172,7 @@
 
         watch.start(gone)
         try:
-            return serve() and not watch.gone
+            return serve() and not watch.is_disconnected
         finally:
             watch.stop()
 
