--- a/driftstall/gateway/cold_gate.py
+++ b/driftstall/gateway/cold_gate.py
@@ -1,4 +1,8 @@
-"""Leave out cold upstreams that one sharer may send nothing to now (see decisions/cold_starts)."""
+"""Rate-limit requests to cold upstreams (see decisions/cold_starts).
+
+The sender is one instance, or the placer of a zone, which has a part of the rate that a cold
+upstream can serve.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 
 class ColdGate:
-    """Hold one sharer's slots at cold upstreams."""
+    """Hold one sender's schedule of requests to cold upstreams."""
 
     def __init__(
         self,
@@ -20,9 +24,9 @@
         part: Callable[[str], ColdPart | None],
         now: Callable[[], float],
     ) -> None:
-        """Take what is cold, a random source, the part for a service, and the steady clock.
+        """Initialize with the cold upstreams, a random source, and the steady clock.
 
-        No part stands for a service that tells no bound.
+        `part` returns the sender's part of the rate for a service, or None for no bound.
         """
         self._cold = cold
         self._slots = ColdSlots(source)
@@ -30,11 +34,11 @@
         self._now = now
 
     def select_open(self, options: Iterable[Option]) -> list[Option]:
-        """Return the options that may be sent a request now."""
-        return [one for one in options if not self.wait_s(one.upstream)]
+        """Return the options whose upstreams may be sent a request now."""
+        return [option for option in options if not self.wait_s(option.upstream)]
 
     def wait_s(self, upstream: Upstream) -> float:
-        """Return how long to wait until an upstream may be sent a request; zero for now."""
+        """Return the time in seconds until an upstream may be sent a request; zero for now."""
         now = self._now()
         cold_s = self._cold.ends_in_s(upstream.upstream_id, now)
         part = self._part(upstream.service) if cold_s else None
@@ -43,12 +47,12 @@
         return min(cold_s, self._slots.wait_s(upstream.upstream_id, part, now))
 
     def record_send(self, upstream: Upstream) -> None:
-        """Use the slot for a request to an upstream, if it is cold."""
+        """Use up the current slot of an upstream if it is cold."""
         is_cold = self._cold.ends_in_s(upstream.upstream_id, self._now()) > 0
         part = self._part(upstream.service) if is_cold else None
         if part is not None:
             self._slots.take(upstream.upstream_id, part)
 
     def keep_only(self, upstream_ids: set[str]) -> None:
-        """Forget upstreams that are gone."""
+        """Discard the schedules of all upstreams except the given ones."""
         self._slots.keep_only(upstream_ids)
--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -1,4 +1,8 @@
-"""Stop as planned: take nothing that cannot be finished, finish what was taken."""
+"""Drain an instance for a planned stop.
+
+Requests in progress are completed, and new ones are accepted only if they are expected to end
+within the grace time.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +15,33 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
-CALL_S: Final = 2.0
-"""Time that a call may take: its route's time-out is shorter."""
-FIRST_EVENT_S: Final = 1.0
-"""Time that a stream may take to its first event."""
-TOKEN_S: Final = 0.02
-"""Time that a token may take; twice the usual, so that few of the streams taken are cut."""
+EXPECTED_CALL_S: Final = 2.0
+"""Expected time of a plain call; routes' timeouts are shorter."""
+EXPECTED_FIRST_EVENT_S: Final = 1.0
+"""Expected time to the first event of a stream."""
+EXPECTED_TOKEN_S: Final = 0.02
+"""Expected time per token: twice the usual, so that few accepted streams are cut off."""
 LOCATE_GRACE_SHARE: Final = 0.8
-"""Share of the grace time that is waited for callers that still have our address."""
+"""Share of the grace time during which callers with a cached address may still arrive."""
 RETRY_ELSEWHERE_S: Final = 0.02
-"""When to come back: at once, to another instance."""
+"""Retry-After of a refused request: the caller may ask another instance at once."""
 
 
 class Drain:
-    """Decide what a stopping instance still takes, and when it may end."""
+    """Decide which requests a stopping instance still accepts, and when it may exit."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Take the shared state."""
+        """Initialize with the shared state."""
         self._state = state
 
     def begin(self) -> None:
-        """Start to stop."""
+        """Start draining; later calls have no effect."""
         if self._state.stopping_since is None:
             self._state.stopping_since = self._state.now()
-            log_event(PREFIX_DRAIN, "A stop was asked for", open=self._state.open_requests)
+            log_event(PREFIX_DRAIN, "Stop requested", open=self._state.open_requests)
 
     def refusal(self, admitted: Admitted) -> Problem | None:
-        """Return why a request is not taken any more, if so."""
+        """Return the problem with which a request is refused, or None if it is accepted."""
         since = self._state.stopping_since
         if since is None:
             return None
@@ -48,19 +52,19 @@
         return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, RETRY_ELSEWHERE_S)
 
     def _expected_s(self, admitted: Admitted) -> float:
-        """Return how long a request may take, in seconds."""
+        """Return the expected duration of a request, in seconds."""
         if admitted.route.repeat is not Repeat.STREAM:
-            return CALL_S
+            return EXPECTED_CALL_S
         marks = admitted.marks
         tokens = self._state.expected_tokens(build_request(admitted), marks.length_hint)
-        return FIRST_EVENT_S + TOKEN_S * tokens
+        return EXPECTED_FIRST_EVENT_S + EXPECTED_TOKEN_S * tokens
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the process may end: nothing is open and no caller comes any more."""
+        """Return True if no request is open and no more callers are expected to arrive."""
         since = self._state.stopping_since
         if since is None:
             return False
-        waited = self._state.now() - since
-        located_s = LOCATE_GRACE_SHARE * self._state.settings.bounds.grace_s
-        return waited >= located_s and self._state.open_requests == 0
+        elapsed_s = self._state.now() - since
+        callers_arrive_s = LOCATE_GRACE_SHARE * self._state.settings.bounds.grace_s
+        return elapsed_s >= callers_arrive_s and self._state.open_requests == 0
--- a/driftstall/gateway/outcomes.py
+++ b/driftstall/gateway/outcomes.py
@@ -1,4 +1,8 @@
-"""Detect outliers among upstreams by how their responses went, and eject them for a while."""
+"""Detect outliers among upstreams by their outcomes and latencies.
+
+Outlier ejection: an upstream that is unreachable, full or broken is avoided for a while, which
+doubles with each such outcome. Failing or slow upstreams get a penalty that fades with time.
+"""
 
 from __future__ import annotations
 
@@ -7,103 +11,105 @@
 from typing import Final
 
 SMOOTHING: Final = 0.15
-"""Weight of the newest outcome; about a dozen outcomes are remembered."""
+"""Weight of the newest outcome in the moving average, which spans about a dozen outcomes."""
 FIRST_EJECTION_S: Final = 0.3
 MAX_EJECTION_S: Final = 4.0
-"""An upstream that does not answer is ejected for so long; each failure doubles it."""
+"""Bounds of the ejection time; it doubles with each such failure until the next success."""
 FAILURE_PENALTY: Final = 2.0
-"""How much a failing upstream's load counts as higher, at all answers failed."""
+"""Penalty on the load of an upstream all of whose responses have failed."""
 SLOWNESS_PENALTY: Final = 0.5
-"""How much an upstream's load counts as higher for each time it is slower than usual."""
-USUAL_SMOOTHING: Final = 0.05
+"""Penalty on the load of an upstream for each multiple of the service's latency above one."""
+SERVICE_SMOOTHING: Final = 0.05
+"""Weight of the newest latency in the moving average of a service."""
 EVIDENCE_HALF_LIFE_S: Final = 2.0
-"""Time without an outcome in which half of what an upstream was seen to do is forgotten."""
+"""Time without an outcome after which the penalty of an upstream has halved."""
 NEVER: Final = float("-inf")
 
 
 class Outcome(StrEnum):
-    """Name how a request to an upstream went."""
+    """Name the result of a request to an upstream."""
 
     GOOD = "good"
     FAILED = "failed"
-    """It answered with a failure of its own."""
+    """The upstream responded with an error of its own."""
     BROKEN = "broken"
-    """It gave no whole answer, or none of the protocol."""
+    """The response was incomplete or violated the protocol."""
     UNREACHABLE = "unreachable"
-    """No connection came up."""
+    """No connection could be opened."""
     FULL = "full"
-    """It turned the request away."""
+    """The upstream rejected the request for lack of capacity."""
     NOT_SENT = "not sent"
-    """It was left alone after all."""
+    """The request was not sent after all."""
 
 
 @dataclass(slots=True)
 class _Record:
-    """Hold what one upstream's answers were like."""
+    """Hold the moving averages and the ejection of one upstream."""
 
     failures: float = 0.0
-    """Share of answers that failed, smoothed."""
-    seconds: float | None = None
-    """Time to an answer, smoothed."""
-    seen_at: float = NEVER
-    """When it last answered, or did not."""
+    """Moving average of the share of failed responses."""
+    latency_s: float | None = None
+    """Moving average of the response time; None before the first success."""
+    last_outcome_at: float = NEVER
+    """Time of the last outcome."""
     ejected_until: float = NEVER
     ejection_s: float = FIRST_EJECTION_S
 
 
 class OutlierDetector:
-    """Hold the outcomes of all upstreams, as this instance has seen them."""
+    """Track the outcomes of all upstreams at this instance."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize without outcomes."""
         self._records: dict[str, _Record] = {}
-        self._usual: dict[str, float] = {}
+        self._service_latency_s: dict[str, float] = {}
 
     def record_outcome(
         self, upstream_id: str, service: str, outcome: Outcome, now: float, seconds: float
     ) -> None:
-        """Take in one outcome and the seconds it took."""
+        """Record one outcome and its duration in seconds."""
         record = self._records.setdefault(upstream_id, _Record())
-        record.seen_at = now
+        record.last_outcome_at = now
         failed = outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.UNREACHABLE)
         record.failures += SMOOTHING * (float(failed) - record.failures)
         if outcome is Outcome.GOOD:
             record.ejection_s = FIRST_EJECTION_S
-            self._time(record, service, seconds)
+            self._record_latency(record, service, seconds)
         elif outcome in (Outcome.UNREACHABLE, Outcome.FULL, Outcome.BROKEN):
             record.ejected_until = now + record.ejection_s
             record.ejection_s = min(MAX_EJECTION_S, record.ejection_s * 2)
 
     def is_ejected(self, upstream_id: str, now: float) -> bool:
-        """Tell whether an upstream is avoided now for its failures."""
+        """Return True if an upstream is currently ejected for its failures."""
         record = self._records.get(upstream_id)
         return record is not None and now < record.ejected_until
 
     def penalty(self, upstream_id: str, service: str, now: float) -> float:
-        """Return how much worse than usual an upstream is; zero if it is not.
+        """Return the penalty on an upstream's load for failures and slowness; zero for none.
 
-        What was seen counts for less the longer ago it is: else one whose first answers were slow
-        would be sent nothing while others are idle, and could never show that it is fast now.
+        The penalty decays with the time since the last outcome. Otherwise an upstream whose first
+        responses were slow would get no requests while others are idle, and could never prove
+        that it has become fast.
         """
         record = self._records.get(upstream_id)
         if record is None:
             return 0.0
-        slower = 0.0
-        usual = self._usual.get(service)
-        if usual and record.seconds:
-            slower = max(0.0, record.seconds / usual - 1.0)
-        seen_worse = FAILURE_PENALTY * record.failures + SLOWNESS_PENALTY * slower
-        return seen_worse * 0.5 ** (max(0.0, now - record.seen_at) / EVIDENCE_HALF_LIFE_S)
+        slowness = 0.0
+        service_latency_s = self._service_latency_s.get(service)
+        if service_latency_s and record.latency_s:
+            slowness = max(0.0, record.latency_s / service_latency_s - 1.0)
+        penalty = FAILURE_PENALTY * record.failures + SLOWNESS_PENALTY * slowness
+        return penalty * 0.5 ** (max(0.0, now - record.last_outcome_at) / EVIDENCE_HALF_LIFE_S)
 
     def keep_only(self, upstream_ids: set[str]) -> None:
-        """Forget upstreams that are gone."""
-        for upstream_id in [one for one in self._records if one not in upstream_ids]:
+        """Discard the records of all upstreams except the given ones."""
+        for upstream_id in [known_id for known_id in self._records if known_id not in upstream_ids]:
             del self._records[upstream_id]
 
-    def _time(self, record: _Record, service: str, seconds: float) -> None:
-        """Smooth an upstream's times and what is usual for its service."""
-        old = record.seconds
-        record.seconds = seconds if old is None else old + SMOOTHING * (seconds - old)
-        usual = self._usual.get(service)
-        step = seconds if usual is None else usual + USUAL_SMOOTHING * (seconds - usual)
-        self._usual[service] = step
+    def _record_latency(self, record: _Record, service: str, seconds: float) -> None:
+        """Update the moving averages of an upstream's and its service's latency."""
+        old = record.latency_s
+        record.latency_s = seconds if old is None else old + SMOOTHING * (seconds - old)
+        usual = self._service_latency_s.get(service)
+        updated = seconds if usual is None else usual + SERVICE_SMOOTHING * (seconds - usual)
+        self._service_latency_s[service] = updated
--- a/driftstall/gateway/routes.py
+++ b/driftstall/gateway/routes.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Look up routes, services and keys of one version."""
+    """Index the routes, services and workspace keys of one routing document."""
 
     version: int
     document: RoutingDocument
@@ -19,7 +19,7 @@
 
     @classmethod
     def from_document(cls, document: RoutingDocument) -> RouteTable:
-        """Build the tables; the longest prefixes of a host come first."""
+        """Build the indexes; each host's routes are sorted by descending prefix length."""
         by_host: dict[str, list[Route]] = {}
         for route in document.routes:
             by_host.setdefault(route.host, []).append(route)
@@ -33,11 +33,14 @@
 
     @property
     def has_workspaces(self) -> bool:
-        """Tell whether requests need a key at all."""
+        """Return True if workspaces are configured, so that requests may need a key."""
         return bool(self.document.workspaces)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route whose prefix is the longest match; None if no prefix matches.
+
+        A host that has no routes with its port is looked up without it.
+        """
         name = host.lower()
         routes = self._by_host.get(name)
         if routes is None:
@@ -48,20 +51,20 @@
         return None
 
     def service(self, name: str) -> Service | None:
-        """Return a service by its name."""
+        """Return a service by its name, or None."""
         return self._services.get(name)
 
     def workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that a key speaks for."""
+        """Return the workspace that a key belongs to, or None."""
         return self._by_key.get(key)
 
 
 def pick_service(route: Route, chance: float) -> str:
-    """Return the service of a split for a random number from 0 to 1."""
+    """Return a service by the weights of the traffic split, for a random number in [0, 1)."""
     total = sum(part.weight for part in route.split)
-    left = chance * total
+    remaining = chance * total
     for part in route.split:
-        left -= part.weight
-        if left < 0:
+        remaining -= part.weight
+        if remaining < 0:
             return part.service
     return route.split[-1].service
