--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -442,7 +442,7 @@
         if event.produced > grant.produced:
             self._lengths.record_progress(grant.request, grant.produced, event.produced)
         if event.finished:
-            self._lengths.finished(grant.request, event.produced)
+            self._lengths.record_finish(grant.request, event.produced)
         used = grant.request.input_tokens + event.produced
         self._limits.settle(grant.request, grant.reserved, used)
         reply = (event.reply,) if event.reply else ()
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -35,7 +35,7 @@
     def record_progress(self, request: Request, before: int, after: int) -> None:
         """Record that a running output grew."""
 
-    def finished(self, request: Request, tokens: int) -> None:
+    def record_finish(self, request: Request, tokens: int) -> None:
         """Record that an output ended by itself."""
 
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -216,7 +216,7 @@
         if run.exchange is not None and run.exchange.framed:
             # An answer without a length ends with its connection, as a crash does.
             self._state.record_success(self._admitted.fingerprint)
-        self._state.lengths.finished(self._context.request, run.tokens)
+        self._state.lengths.record_finish(self._context.request, run.tokens)
         self._state.stats.completed += 1
         self._state.stats.gap_s.observe({}, self._longest_gap_s)
         log_event(
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -56,7 +56,7 @@
     for number in range(300):
         request = request_of(f"k{number}", "taught")
         context.lengths.record_progress(request, 0, tokens)
-        context.lengths.finished(request, tokens)
+        context.lengths.record_finish(request, tokens)
 
 
 @then("a new workspace of that kind expects under {tokens:d} tokens")
