--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -289,7 +289,7 @@
             self._on_gone()
 
 
-def head_bytes(status: int, headers: Headers, extra: tuple[bytes, ...]) -> bytes:
+def encode_head(status: int, headers: Headers, extra: tuple[bytes, ...]) -> bytes:
     """Return the head of an answer."""
     reason = HTTPStatus(status).phrase if status in _KNOWN else "Status"
     lines = [b"HTTP/1.1 %d %s" % (status, reason.encode())]
--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Problem
 from driftstall.daemon.answers import PROBLEM_TYPE, problem_fields
-from driftstall.gateway.ingress import head_bytes
+from driftstall.gateway.ingress import encode_head
 from driftstall.gateway.model import Headers
 
 MIN_RETRY_S: Final = 0.01
@@ -19,7 +19,7 @@
 def encode_response(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
     """Return a whole answer."""
     extra = (b"Content-Length: %d" % len(body), KEEP if keep else CLOSE)
-    return head_bytes(status, headers, extra) + body
+    return encode_head(status, headers, extra) + body
 
 
 def encode_problem(problem: Problem, *, keep: bool) -> bytes:
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -20,7 +20,7 @@
     CallerConnection,
     CallerRequest,
     chunk,
-    head_bytes,
+    encode_head,
 )
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
@@ -128,7 +128,7 @@
         extra = (b"Transfer-Encoding: chunked", KEEP if self._keep else CLOSE)
         self._head_sent = True
         return self._connection.write(
-            head_bytes(opened.head.status, opened.marks.forwarded_headers, extra)
+            encode_head(opened.head.status, opened.marks.forwarded_headers, extra)
         )
 
     def _relay_events(self, run: StreamRun) -> Exception | None:
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -21,7 +21,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from driftstall.gateway.ingress import CallerConnection, CallerRequest, chunk, head_bytes
+from driftstall.gateway.ingress import CallerConnection, CallerRequest, chunk, encode_head
 from driftstall.gateway.model import Limits
 
 STREAM_TYPE: Final = (b"Content-Type", b"text/event-stream")
@@ -206,7 +206,7 @@
         copy_of = headers.get("kv-from", "").rpartition("/")[2]
         if script.misdirected:
             misdirected = (_id(request_id), *self._named())
-            connection.write(head_bytes(421, misdirected, (b"Content-Length: 0",)))
+            connection.write(encode_head(421, misdirected, (b"Content-Length: 0",)))
             self._note_leaving(request_id)
             return
         has_copy = copy_of in self.copies
@@ -256,7 +256,7 @@
     ) -> None:
         """Turn a request away without running it."""
         headers = (_id(request_id), (b"X-Driftstall-Not-Executed", b"1"), *self._named(), *more)
-        connection.write(head_bytes(status, headers, (b"Content-Length: 0",)))
+        connection.write(encode_head(status, headers, (b"Content-Length: 0",)))
         self._note_leaving(request_id)
 
     def _whole(
@@ -272,16 +272,16 @@
             return
         if script.only_another:
             another = (_id("another"), SEAL, *self._named())
-            connection.write(head_bytes(200, another, ()) + b"other")
+            connection.write(encode_head(200, another, ()) + b"other")
             return
         if script.surplus_before:
             other = (_id("another"), SEAL)
             named = (*other, *self._named())
-            connection.write(head_bytes(200, named, (b"Content-Length: 5",)) + b"other")
+            connection.write(encode_head(200, named, (b"Content-Length: 5",)) + b"other")
         gevent.sleep(script.work_s)
         headers = (_id(request_id), SEAL, *self._named())
         length = () if script.unframed else (b"Content-Length: %d" % len(script.body),)
-        connection.write(head_bytes(script.status, headers, length))
+        connection.write(encode_head(script.status, headers, length))
         self._note_leaving(request_id)
         if script.cut_after is not None:
             connection.write(script.body[: script.cut_after])
@@ -305,7 +305,7 @@
         extra = () if script.unframed else (b"Transfer-Encoding: chunked",)
         framed = _as_it_is if script.unframed else chunk
         answer = (_id(request_id), SEAL, STREAM_TYPE, *self._named())
-        if not connection.write(head_bytes(script.status, answer, extra)):
+        if not connection.write(encode_head(script.status, answer, extra)):
             return
         self._note_leaving(request_id)
         if script.reset_after_head:
@@ -346,7 +346,7 @@
         """Answer a call of the system's own."""
         data = orjson.dumps(body)
         length = (b"Content-Length: %d" % len(data),)
-        connection.write(head_bytes(status, self._named(), length) + data)
+        connection.write(encode_head(status, self._named(), length) + data)
 
     def _move(self, connection: CallerConnection, wanted: dict[str, Any]) -> None:
         """Answer a call that copies a run."""
