--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -102,7 +102,7 @@
 
 def settle(context: Any) -> None:
     """Wait until each broken run was looked into."""
-    wait_for("all is looked into", lambda: not context.watch._doubts)
+    wait_for("all is looked into", lambda: not context.watch._suspicions)
 
 
 def ask(context: Any, path: str, request_id: str) -> Received:
