--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -93,7 +93,7 @@
         if last >= first:
             self._class_of(request).enter(first, last)
 
-    def finished(self, request: Request, tokens: int) -> None:
+    def record_finish(self, request: Request, tokens: int) -> None:
         """Count an output that ended by itself."""
         self._class_of(request).finish(tokens)
 
