--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -298,7 +298,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """Return one chunk of a body of unknown length."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -19,7 +19,7 @@
     LAST_CHUNK,
     CallerConnection,
     CallerRequest,
-    chunk,
+    encode_chunk,
     encode_head,
 )
 from driftstall.gateway.moves import Mover
@@ -187,7 +187,7 @@
         # What came before a gap counts as passed on, so it is, or a resumed stream lacks it.
         if wanted:
             self._count(run, len(wanted))
-            if not self._connection.write(chunk(b"".join(wanted))):
+            if not self._connection.write(encode_chunk(b"".join(wanted))):
                 self._context.is_caller_disconnected = True
                 return UpstreamError("the caller has left", sent=True)
         return fault
