--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -306,7 +306,7 @@
 def asks_follower(context: Any) -> None:
     """Look at what was asked, and answer it."""
     assert context.sent == [("follower", FleetAsked("instance-1"))], context.sent
-    offered = FleetOffered("follower", context.followers.at, context.followers.taking)
+    offered = FleetOffered("follower", context.followers.at, context.followers.accepting)
     context.sharing.handle_fleet_offer(offered)
     fleet = context.world.state.fleet
     assert fleet.digest == context.followers.digest
