--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -60,7 +60,7 @@
     observe_signals: SignalObserver
     """Takes what engines signal with responses to the calls below."""
 
-    def read_caller(self, found: Headers) -> CallerMetadata:
+    def read_request(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
 
     def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -130,7 +130,7 @@
             detail = "this instance has no configuration yet"
             return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
         try:
-            marks = self._state.dialect.read_caller(call.headers)
+            marks = self._state.dialect.read_request(call.headers)
         except BadHeaders as fault:
             return Problem(CODE_BAD_REQUEST, 400, str(fault), Ran.NOT_RUN)
         admission = Admission(
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -27,9 +27,9 @@
         """Start with nobody who takes signals."""
         self.observe_signals: SignalObserver = ignore_signals
 
-    def read_caller(self, found: Headers) -> CallerMetadata:
+    def read_request(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
-        return headers.read_caller(found)
+        return headers.read_request(found)
 
     def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -38,7 +38,7 @@
 """Headers of an upstream's answer that do not go on to the caller."""
 
 
-def read_caller(headers: Headers) -> CallerMetadata:
+def read_request(headers: Headers) -> CallerMetadata:
     """Decode a caller's headers; raise BadHeaders where they contradict themselves."""
     counts = Counter(name.lower() for name, _ in headers)
     if any(counts[name] > 1 for name in ONLY_ONCE):
