--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -295,7 +295,7 @@
 @when("a peer that knows nothing asks which requests ran beside crashes")
 def peer_asks(context: Any) -> None:
     """Take its question in."""
-    sharing_of(context).take(BlamesTold("peer", (), asks=True))
+    sharing_of(context).handle_message(BlamesTold("peer", (), asks=True))
 
 
 @when("a peer that knows of both asks")
@@ -305,7 +305,7 @@
     known = replace(
         BlamesTold("peer", (), asks=True), records=state.poison_tracker.reports(state.now())
     )
-    sharing_of(context).take(known)
+    sharing_of(context).handle_message(known)
 
 
 @then("it is told nothing")
@@ -327,7 +327,7 @@
     """Take its word in by the way messages take."""
     crashes = tuple(CrashTold(name, 0, under_way=False) for name in ("e-8", "e-9"))
     told = BlameTold(at_path("/stream/x"), crashes, None)
-    sharing_of(context).take(BlamesTold("peer", (told,), asks=False))
+    sharing_of(context).handle_message(BlamesTold("peer", (told,), asks=False))
 
 
 @then('it is told of the good end, and "{path}" asked as "{request_id}" is served whole')
