--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -155,5 +155,5 @@
     def record_progress(self, request: Request, before: int, after: int) -> None:
         """Ignore the growth."""
 
-    def finished(self, request: Request, tokens: int) -> None:
+    def record_finish(self, request: Request, tokens: int) -> None:
         """Ignore the end."""
