--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -255,7 +255,7 @@
             workspace=self._admitted.workspace,
             rank=self._admitted.verdict.rank if self._admitted.service.engine else None,
         )
-        headers = self._state.dialect.write_send(self._admitted.marks.forwarded_headers, send)
+        headers = self._state.dialect.write_request(self._admitted.marks.forwarded_headers, send)
         self._state.signals.log_send(upstream, self._admitted.marks.request_id)
         exchange.send(
             self._call.method, self._call.target, headers, self._call.body, self._remaining_s()
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -78,7 +78,9 @@
             if not self._may_send(run.upstream, copy_of):
                 return UpstreamError("the upstream takes no more requests", sent=False)
             self._state.exchanges.add(run.upstream.upstream_id, run.exchange)
-            headers = self._state.dialect.write_send(self._admitted.marks.forwarded_headers, marks)
+            headers = self._state.dialect.write_request(
+                self._admitted.marks.forwarded_headers, marks
+            )
             call = self._call
             self._state.signals.log_send(run.upstream, run.request_id)
             run.exchange.send(call.method, call.target, headers, call.body, self._remaining_s())
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -31,9 +31,9 @@
         """Decode a caller's headers, or raise BadHeaders."""
         return headers.read_request(found)
 
-    def write_send(self, passed: Headers, send: SendMetadata) -> Headers:
+    def write_request(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
-        return headers.write_send(passed, send)
+        return headers.write_request(passed, send)
 
     def read_answer(self, status: int, found: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's answer."""
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -59,7 +59,7 @@
     )
 
 
-def write_send(passed: Headers, send: SendMetadata) -> Headers:
+def write_request(passed: Headers, send: SendMetadata) -> Headers:
     """Return the headers of a request to an upstream."""
     own: list[Header] = [
         (b"X-Driftstall-Deadline-Ms", b"%d" % max(1, int(send.remaining_s * 1000))),
