--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -16,7 +16,7 @@
     PoisonTracker,
     Verdict,
 )
-from features.worlds.blame_world import BlameWorld, Load, Outcome
+from features.worlds.poison_world import BlameWorld, Load, Outcome
 
 ONE: Final = "one"
 ANOTHER: Final = "another"
