--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -156,7 +156,7 @@
                 )
             )
             return
-        output = self._lengths.expected(request)
+        output = self._lengths.expected_tokens(request)
         cost = request.input_tokens + output
         had_reservation = self._queues_by_rank.release_place(verdict.rank, event.ticket)
         if not self._runners:
@@ -477,7 +477,7 @@
         held = grant.held_tokens
         ahead = 64
         chance = self._lengths.survival_probability(grant.request, grant.produced, ahead)
-        remaining = 0.0 if grant.paused else self._lengths.expected(grant.request) * chance
+        remaining = 0.0 if grant.paused else self._lengths.expected_tokens(grant.request) * chance
         return Candidate(
             grant.request.request_id,
             grant.verdict.rank,
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -26,7 +26,7 @@
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the probability that the output still runs at each horizon."""
 
-    def expected(self, request: Request) -> float:
+    def expected_tokens(self, request: Request) -> float:
         """Return the expected output in tokens."""
 
     def memory_tokens_now(self, request: Request, produced: int) -> int:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -316,7 +316,7 @@
 
     def expected_tokens(self, request: Request, hint: int) -> int:
         """Return the expected total output of a request, in tokens."""
-        learned = self.lengths.expected(request)
+        learned = self.lengths.expected_tokens(request)
         if hint:
             learned = learned ** (1 - HINT_WEIGHT) * hint**HINT_WEIGHT
         return int(learned)
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -62,7 +62,7 @@
 @then("a new workspace of that kind expects under {tokens:d} tokens")
 def new_class(context: Any, tokens: int) -> None:
     """Compare the expected output of a class without history."""
-    assert context.lengths.expected(request_of("new", "untaught")) < tokens
+    assert context.lengths.expected_tokens(request_of("new", "untaught")) < tokens
     assert LearnedLengths().expected(request_of("new", "untaught")) > tokens
 
 
--- a/measures/capacity.py
+++ b/measures/capacity.py
@@ -257,7 +257,7 @@
     lengths = LearnedLengths()
     for index in range(count):
         lengths.record_progress(request_of(index, count), 0, 10)
-        lengths.expected(request_of(index, count))
+        lengths.expected_tokens(request_of(index, count))
     return lengths
 
 
