--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -14,7 +14,7 @@
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Request
 from driftstall.gateway.admission import Admitted
-from driftstall.gateway.drain import EXPECTED_FIRST_EVENT_S, TOKEN_S
+from driftstall.gateway.drain import EXPECTED_FIRST_EVENT_S, EXPECTED_TOKEN_S
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Engine, Upstream
 from driftstall.gateway.runs import ReplicaRef, StreamRun
@@ -206,7 +206,7 @@
 
     def _expected_duration_s(self) -> float:
         """Forecast the duration of the stream, in seconds."""
-        return EXPECTED_FIRST_EVENT_S + TOKEN_S * self._expected_tokens()
+        return EXPECTED_FIRST_EVENT_S + EXPECTED_TOKEN_S * self._expected_tokens()
 
     def _expected_tokens(self) -> int:
         """Forecast the length of the output, in tokens."""
