--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -273,7 +273,7 @@
                 if size > MAX_ANSWER_BYTES:
                     raise UpstreamError("the response is too large", sent=True)
             elif isinstance(item, ResponseEnd) and head is not None:
-                marks = self._state.dialect.read_answer(head.status, head.headers)
+                marks = self._state.dialect.read_response(head.status, head.headers)
                 if marks.request_id != self._admitted.marks.request_id:
                     # A surplus response to another request; the expected one may still follow.
                     head = None
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -66,7 +66,7 @@
     def write_request(self, passed: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
 
-    def read_answer(self, status: int, found: Headers) -> ResponseMetadata:
+    def read_response(self, status: int, found: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's answer."""
 
     def read_routing(self, text: str) -> RoutingDocument:
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -108,7 +108,7 @@
             item = exchange.next(max(0.0, self._remaining_s()))
             if not isinstance(item, ResponseHead):
                 continue
-            marks = self._state.dialect.read_answer(item.status, item.headers)
+            marks = self._state.dialect.read_response(item.status, item.headers)
             if marks.request_id == self._admitted.marks.request_id:
                 return OpenedResponse(item, marks)
 
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -248,7 +248,7 @@
         exchange = UpstreamExchange.connect(upstream.address, timeout_s)
 
         def observe(head: ResponseHead) -> None:
-            signals = self.dialect.read_answer(head.status, head.headers).signals
+            signals = self.dialect.read_response(head.status, head.headers).signals
             self.signals.handle_response(upstream, signals, exchange.sent_at)
 
         exchange.observe = observe
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -35,9 +35,9 @@
         """Return the headers of a request to an upstream."""
         return headers.write_request(passed, send)
 
-    def read_answer(self, status: int, found: Headers) -> ResponseMetadata:
+    def read_response(self, status: int, found: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's answer."""
-        return headers.read_answer(status, found)
+        return headers.read_response(status, found)
 
     def read_routing(self, text: str) -> RoutingDocument:
         """Decode a routing document as it is passed between instances."""
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -78,7 +78,7 @@
     return (*passed, *own)
 
 
-def read_answer(status: int, headers: Headers) -> ResponseMetadata:
+def read_response(status: int, headers: Headers) -> ResponseMetadata:
     """Decode the status and headers of an upstream's answer.
 
     An upstream that is not the one the request was meant for may say so by the status alone.
--- a/features/steps/gateway_admission_steps.py
+++ b/features/steps/gateway_admission_steps.py
@@ -14,7 +14,7 @@
     HOST,
     document,
     parse_answer,
-    read_answer,
+    read_response,
     request_bytes,
     runs,
     wait_for,
@@ -102,7 +102,7 @@
     connection = world.connect()
     connection.sendall(INPUTS[what])
     context.other = world.ask("/once/a", "other")
-    context.answer = read_answer(connection)
+    context.answer = read_response(connection)
     connection.close()
 
 
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -19,7 +19,7 @@
     HOST,
     Received,
     document,
-    read_answer,
+    read_response,
     request_bytes,
     route,
     wait_for,
@@ -101,7 +101,7 @@
         host, port = self.listen["front"].split(":")
         connection = socket.create_connection((host, int(port)), 3.0)
         connection.sendall(request_bytes(path, request_id))
-        answer = read_answer(connection)
+        answer = read_response(connection)
         connection.close()
         return answer
 
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -15,7 +15,7 @@
 from features.worlds.gateway_world import (
     GatewayWorld,
     assert_told_to_come_back,
-    read_answer,
+    read_response,
     request_bytes,
     runs,
     script_all,
@@ -292,7 +292,7 @@
     )
     context.asked_connection = world.connect()
     context.asked_connection.sendall(request_bytes("/stream/a", request_id))
-    context.asked = gevent.spawn(read_answer, context.asked_connection)
+    context.asked = gevent.spawn(read_response, context.asked_connection)
     wait_for(
         "events have arrived",
         lambda: any(run.events >= number for run in world.state.runs.all),
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -197,7 +197,7 @@
         connection = self.connect()
         try:
             connection.sendall(request_bytes(path, request_id, **more))
-            return read_answer(connection)
+            return read_response(connection)
         finally:
             connection.close()
 
@@ -224,7 +224,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + b"body"
 
 
-def read_answer(connection: socket.socket) -> Received:
+def read_response(connection: socket.socket) -> Received:
     """Read one answer up to the connection's end."""
     data = b""
     connection.settimeout(WAIT_S)
