--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -16,7 +16,7 @@
     PoisonTracker,
     Verdict,
 )
-from features.worlds.poison_world import BlameWorld, Load, Outcome
+from features.worlds.poison_world import Load, Outcome, PoisonWorld
 
 ONE: Final = "one"
 ANOTHER: Final = "another"
@@ -130,7 +130,7 @@
     context: Any, seeds: int, book: Callable[[], PoisonTracker] = PoisonTracker
 ) -> list[Outcome]:
     """Play some seeds."""
-    return [BlameWorld(context.load, seed, book).play() for seed in range(1, seeds + 1)]
+    return [PoisonWorld(context.load, seed, book).play() for seed in range(1, seeds + 1)]
 
 
 @then("from seeds 1 to {seeds:d} no fatal request crashes more than {most:d} engines in a minute")
--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -91,7 +91,7 @@
     is_over: bool = False
 
 
-class BlameWorld:
+class PoisonWorld:
     """Play one load from a seed."""
 
     def __init__(
