--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -78,7 +78,7 @@
         pairs = zip(HORIZONS, row, strict=True)
         return tuple([chance if ahead < remaining else 0.0 for ahead, chance in pairs])
 
-    def expected(self, request: Request) -> float:
+    def expected_tokens(self, request: Request) -> float:
         """Return the expected output in tokens."""
         return self._class_of(request).mean(request.max_tokens)
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -63,7 +63,7 @@
 def new_class(context: Any, tokens: int) -> None:
     """Compare the expected output of a class without history."""
     assert context.lengths.expected_tokens(request_of("new", "untaught")) < tokens
-    assert LearnedLengths().expected(request_of("new", "untaught")) > tokens
+    assert LearnedLengths().expected_tokens(request_of("new", "untaught")) > tokens
 
 
 @given('{count:d} requests of "{flood}" wait and then 1 of "{quiet}"')
