--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -86,7 +86,7 @@
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a copy's memory; where the holder is its source, at both engines."""
 
-    def is_ready_path(self, target: str) -> bool:
+    def is_readiness_check(self, target: str) -> bool:
         """Tell whether a request asks whether this instance is ready."""
 
     def located_zone(self, target: str) -> str | None:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -251,7 +251,7 @@
     def __call__(self, call: CallerRequest) -> bytes:
         """Answer one check."""
         target = call.target.decode("latin-1")
-        if not self._state.dialect.is_ready_path(target):
+        if not self._state.dialect.is_readiness_check(target):
             return encode_response(404, (), b"", keep=call.keep_alive)
         status = 200 if self._state.is_ready else 503
         return encode_response(status, (), b"", keep=call.keep_alive)
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -61,7 +61,7 @@
         """Free a copy's memory; where the holder is its source, at both engines."""
         engine_calls.drop_replica(holder, copy_of, self.observe_signals)
 
-    def is_ready_path(self, target: str) -> bool:
+    def is_readiness_check(self, target: str) -> bool:
         """Tell whether a request asks whether this instance is ready."""
         return urlsplit(target).path == names.PATH_READY
 
