--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -23,8 +23,8 @@
 LATE_S: Final = 3.0
 LOADS: Final = {
     "one fatal request": Load(),
-    "one fatal request, ordinary ones of 2 sorts": Load(alike=2, per_s=20),
-    "one fatal request, ordinary ones of 20 sorts": Load(alike=20, per_s=20),
+    "one fatal request, ordinary ones of 2 sorts": Load(distinct_requests=2, per_s=20),
+    "one fatal request, ordinary ones of 20 sorts": Load(distinct_requests=20, per_s=20),
     "one fatal request, an instance killed each 4 s": Load(kill_every_s=4),
     "one fatal request, an instance cut off each 5 s": Load(cut_every_s=5),
     "three fatal requests": Load(fatal=3, per_s=20),
--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -37,7 +37,7 @@
     instances: int = 8
     per_s: float = 10.0
     """Ordinary requests in a second."""
-    alike: int = 0
+    distinct_requests: int = 0
     """Different requests among the ordinary ones; zero for all different."""
     fatal: int = 1
     """Fatal requests, each with a caller who comes again and again."""
@@ -149,7 +149,11 @@
         """Let one ordinary request come, then the next."""
         self.outcome.ordinary += 1
         number = self.outcome.ordinary
-        name = f"r{number % self._load.alike}" if self._load.alike else f"r{number}"
+        name = (
+            f"r{number % self._load.distinct_requests}"
+            if self._load.distinct_requests
+            else f"r{number}"
+        )
         is_chat = self._source.random() < CHAT_SHARE
         self._ask(name, self._source.uniform(*(CHAT_S if is_chat else SUMMARY_S)))
         self._at(self._now + self._source.expovariate(self._load.per_s), self._arrive)
