--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -26,7 +26,7 @@
 NAMES: Final = ("u1", "u2")
 
 
-class Held(StrEnum):
+class StoredState(StrEnum):
     """Name what the platform holds of an upstream."""
 
     READY = "ready"
@@ -67,7 +67,7 @@
 
     revision: int
     name: str
-    held: Held
+    held: StoredState
 
 
 class FleetWorld:
@@ -79,7 +79,7 @@
         After: the fleet has never known what has left by then.
         """
         self._writes = [
-            _Write(number, name, Held.READY) for number, name in enumerate(NAMES, start=1)
+            _Write(number, name, StoredState.READY) for number, name in enumerate(NAMES, start=1)
         ]
         self.fleet = FleetController()
         self._now = 100.0
@@ -122,33 +122,35 @@
     def _write(self, drawn: Drawn) -> None:
         """Change an entry; what is gone comes back only as one that had lapsed."""
         held = self._held(drawn.name, self._newest)
-        if held is Held.READY and not drawn.other_way:
-            to = Held.DRAINING
+        if held is StoredState.READY and not drawn.other_way:
+            to = StoredState.DRAINING
         else:
-            to = Held.READY if held is Held.GONE else Held.GONE
+            to = StoredState.READY if held is StoredState.GONE else StoredState.GONE
         self._writes.append(_Write(self._newest + 1, drawn.name, to))
 
     def _last(self, name: str, at: int) -> _Write:
         """Return an entry's newest change up to a revision."""
         return [one for one in self._writes if one.name == name and one.revision <= at][-1]
 
-    def _held(self, name: str, at: int) -> Held:
+    def _held(self, name: str, at: int) -> StoredState:
         """Return what was held of an upstream as of a revision."""
         return self._last(name, at).held
 
     def _entries(self, at: int, *, only_ready: bool = False) -> tuple[Upstream, ...]:
         """Return the whole list as of a revision."""
-        held = [self._last(name, at) for name in NAMES if self._held(name, at) is not Held.GONE]
-        return tuple(_entry(one) for one in held if one.held is Held.READY or not only_ready)
+        held = [
+            self._last(name, at) for name in NAMES if self._held(name, at) is not StoredState.GONE
+        ]
+        return tuple(_entry(one) for one in held if one.held is StoredState.READY or not only_ready)
 
     # What the fleet is told.
 
     def _handle(self, event: FleetEvent) -> None:
         self.fleet.handle(event, self._now)
 
-    def _note(self, name: str, held: Held, revision: int) -> None:
+    def _note(self, name: str, held: StoredState, revision: int) -> None:
         """Note what was told."""
-        told = self._told_ready if held is Held.READY else self._told_left
+        told = self._told_ready if held is StoredState.READY else self._told_left
         told[name] = max(told[name], revision)
 
     def _tell_changes(self) -> None:
@@ -157,8 +159,8 @@
             return
         for one in self._writes:
             if one.revision > self._told_to:
-                self._handle(Changed(_entry(one), one.held is Held.GONE))
-                if one.held is not Held.GONE or not self._in_grace:
+                self._handle(Changed(_entry(one), one.held is StoredState.GONE))
+                if one.held is not StoredState.GONE or not self._in_grace:
                     self._note(one.name, one.held, one.revision)
         self._told_to = self._newest
 
@@ -170,7 +172,7 @@
         self._told_to = self._newest
         for name in NAMES:
             held = self._held(name, self._newest)
-            if held is not Held.GONE or not self._in_grace:
+            if held is not StoredState.GONE or not self._in_grace:
                 revision = self._last(name, self._newest).revision
                 self._note(name, held, revision)
 
@@ -182,10 +184,10 @@
         """Let a peer tell of any change, in one of the forms in which peers do."""
         one = self._writes[self._past(drawn.back) - 1]
         entry = _entry(one)
-        if one.held is Held.GONE and drawn.other_way:
+        if one.held is StoredState.GONE and drawn.other_way:
             # A peer that took it for leaving names the entry as it knew it.
             entry = _entry(self._last(one.name, one.revision - 1))
-        self._handle(Changed(entry, one.held is Held.GONE, from_peer=True))
+        self._handle(Changed(entry, one.held is StoredState.GONE, from_peer=True))
         self._note(one.name, one.held, entry.revision)
 
     def _tell_offer(self, drawn: Drawn) -> None:
@@ -199,9 +201,9 @@
         offered = {one.upstream_id: one.revision for one in ready}
         for name in NAMES:
             if name in offered:
-                self._note(name, Held.READY, offered[name])
+                self._note(name, StoredState.READY, offered[name])
             else:
-                self._note(name, Held.GONE, at)
+                self._note(name, StoredState.GONE, at)
 
     def _lose(self) -> None:
         if not self._down:
@@ -245,18 +247,18 @@
         assert ready > left, f"{name} takes requests at {ready}, and has left by {left}"
         if not self._in_grace:
             held = self._held(name, self._told_to)
-            is_known = held is Held.READY or ready > self._told_to
+            is_known = held is StoredState.READY or ready > self._told_to
             assert is_known, f"{name} takes requests, but the platform has told that it is {held}"
 
     def _check_need_not_take(self, name: str) -> None:
         """Whatever is ready and was told to be so takes requests."""
         last = self._last(name, self._newest)
         is_doubted = self._now - self._doubted_at.get(name, float("-inf")) <= SUSPICION_S
-        was_told = last.held is Held.READY and last.revision <= self._told_to
+        was_told = last.held is StoredState.READY and last.revision <= self._told_to
         assert not was_told or is_doubted, f"{name} is ready, was told to be so, and is left out"
 
 
 def _entry(one: _Write) -> Upstream:
     """Return an entry as the platform tells of it."""
-    state = UpstreamState.READY if one.held is Held.READY else UpstreamState.LEAVING
+    state = UpstreamState.READY if one.held is StoredState.READY else UpstreamState.LEAVING
     return upstream_of(one.name, one.revision, state)
