--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -111,7 +111,7 @@
         """Return a probability of one for each horizon."""
         return (1.0,) * len(HORIZONS)
 
-    def expected(self, request: Request) -> float:
+    def expected_tokens(self, request: Request) -> float:
         """Return the cap."""
         return float(request.max_tokens)
 
