--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -57,7 +57,7 @@
     """Ordinary runs that broke off."""
     refused: int = 0
     """Ordinary requests that were refused, each counted once an attempt."""
-    refused_ones: set[str] = field(default_factory=set)
+    refused_requests: set[str] = field(default_factory=set)
     crashes: dict[str, list[float]] = field(default_factory=dict)
     """When engines crashed, by fatal request."""
     sends: dict[str, list[float]] = field(default_factory=dict)
@@ -163,7 +163,7 @@
         instance = self._source.randrange(self._load.instances)
         if self._books[instance].verdict(name, self._now).wait_s:
             self.outcome.refused += 1
-            self.outcome.refused_ones.add(name)
+            self.outcome.refused_requests.add(name)
             return
         run = self._begin(name, instance, lasts_s)
         if run is not None:
