--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -116,7 +116,7 @@
 
     def _attribute_crash(self, suspicion: _Suspicion) -> None:
         """Attribute a crash to all runs that broke off there, and tell peers."""
-        upstream_id, blame = suspicion.upstream.upstream_id, self._state.poison_tracker
+        upstream_id, tracker = suspicion.upstream.upstream_id, self._state.poison_tracker
         self._state.stats.crashes_seen += 1
         log_event(
             PREFIX_ROUTING,
@@ -127,7 +127,9 @@
         )
         for run in suspicion.runs:
             if run.fingerprint:
-                blame.record_crash(run.fingerprint, Crash(upstream_id, suspicion.at, run.under_way))
+                tracker.record_crash(
+                    run.fingerprint, Crash(upstream_id, suspicion.at, run.under_way)
+                )
                 self._log_verdict(run)
         self._publish_evidence()
         self._remove_expired()
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -42,11 +42,11 @@
     """Writes and reads the evidence stored in the platform."""
 
     def __init__(
-        self, state: GatewayState, kept: CrashStore, roles: Callable[[], FleetRoles]
+        self, state: GatewayState, store: CrashStore, roles: Callable[[], FleetRoles]
     ) -> None:
         """Initialize with the shared state, the access to the store and a reader of the roles."""
         self._state = state
-        self._store = kept
+        self._store = store
         self._roles = roles
 
     def start(self) -> None:
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -67,17 +67,17 @@
     def handle(self, event: FleetEvent, now: float) -> list[FleetAction]:
         """Handle one event and return the resulting actions."""
         self._actions = []
-        self._on(event, now)
+        self._handle(event, now)
         # The digest can change without an action, e.g. for an upstream that signalled its end.
         self._digest = None
         return self._actions
 
     @singledispatchmethod
-    def _on(self, event: FleetEvent, now: float) -> None:
+    def _handle(self, event: FleetEvent, now: float) -> None:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle.register
     def _(self, event: Listed, now: float) -> None:
         self._is_loaded = True
         self._store_read_to = max(self._store_read_to, event.at)
@@ -93,7 +93,7 @@
                     name, revision, now, since, may_be_lost=self._may_store_lack_entries(now)
                 )
 
-    @_on.register
+    @_handle.register
     def _(self, event: ListedByPeer, now: float) -> None:
         self._is_loaded = True
         listed = {upstream.name for upstream in event.upstreams}
@@ -112,7 +112,7 @@
                     # Without a tombstone an older list of another peer would revive it.
                     self._add_tombstone(upstream, upstream.revision, now)
 
-    @_on.register
+    @_handle.register
     def _(self, event: Changed, now: float) -> None:
         upstream = event.upstream
         since = now - event.store_silence_s
@@ -127,12 +127,12 @@
             # The end of an earlier start doesn't concern the current one.
             return
         elif upstream.name in self._entries:
-            revision, certain = upstream.revision, event.from_peer
-            self._remove(upstream.name, revision, now, since, certain=certain)
+            revision, is_certain = upstream.revision, event.from_peer
+            self._remove(upstream.name, revision, now, since, is_certain=is_certain)
         else:
             self._add_tombstone(upstream, upstream.revision, now)
 
-    @_on.register
+    @_handle.register
     def _(self, event: UpstreamSuspected, now: float) -> None:
         entry = self._find_entry(event.upstream_id)
         if entry is None or not entry.is_listed:
@@ -142,7 +142,7 @@
             entry.leaving_since = now
             self._actions.append(UpstreamLeaving(entry.upstream, is_suspected=True))
 
-    @_on.register
+    @_handle.register
     def _(self, event: SignalledLeaving, now: float) -> None:
         entry = self._find_entry(event.upstream_id)
         if entry is None and event.ago_s > SIGNAL_RETENTION_S:
@@ -151,7 +151,7 @@
         if self._signalled.add(event.upstream_id, since) and entry is not None:
             self._mark_signalled_leaving(entry, since)
 
-    @_on.register
+    @_handle.register
     def _(self, event: Cordoned, now: float) -> None:
         self._cordoned = event.zones
         for entry in self._entries.values():
@@ -160,21 +160,21 @@
                 # It may have gone cold while cordoned, and reports that only later.
                 self._actions.append(UpstreamCold(upstream, UNTOLD_S, is_assumed=True))
 
-    @_on.register
+    @_handle.register
     def _(self, event: PlatformUnreachable, now: float) -> None:
         self._is_unreachable = True
 
-    @_on.register
+    @_handle.register
     def _(self, event: PlatformReachable, now: float) -> None:
         if self._is_unreachable:
             self._is_unreachable = False
             self._reachable_since = now
 
-    @_on.register
+    @_handle.register
     def _(self, event: StoreRestored, now: float) -> None:
         self._restored_at = now
 
-    @_on.register
+    @_handle.register
     def _(self, event: Period, now: float) -> None:
         for entry in list(self._entries.values()):
             missing = entry.missing_since
@@ -266,17 +266,17 @@
         now: float,
         since: float,
         *,
-        certain: bool = False,
+        is_certain: bool = False,
         may_be_lost: bool = False,
     ) -> None:
         """Mark an upstream as leaving whose entry is missing, at the earliest since then.
 
-        With certain the entry has not merely lapsed; with may_be_lost the store may have lost it.
+        With is_certain the entry has not merely lapsed; with may_be_lost the store may have lost it.
         """
         entry = self._entries[name]
         if revision < entry.upstream.revision:
             return
-        is_uncertain = may_be_lost or (self._is_in_lapse_grace(now) and not certain)
+        is_uncertain = may_be_lost or (self._is_in_lapse_grace(now) and not is_certain)
         if is_uncertain and entry.leaving_since is None:
             entry.missing_since = entry.missing_since or now
             return
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after the platform's store was restored from an older copy: rewrites lost entries.
+"""Recovery of entries that the platform's store lost when it was restored from an older copy.
 
 Each instance rewrites its own entry, spread over time. Shared objects are rewritten by one
 instance: the first by rendezvous hashing, and later by substitutes in case that one has failed.
