--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.watch_delegation import DelegatedWatchPacing, WatchDelegation
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
-from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, Tell
+from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, StepKind
 from features.worlds.gateway_world import GatewayWorld
 from features.worlds.upstream_samples import entry_spec, upstream_of
 
@@ -184,7 +184,7 @@
 def drawn_words(context: Any, number: int) -> None:
     """Draw orders of what the platform, peers and upstreams tell; the same seed draws the same."""
 
-    def draws(tells: list[Tell], most: int) -> st.SearchStrategy[list[Drawn]]:
+    def draws(tells: list[StepKind], most: int) -> st.SearchStrategy[list[Drawn]]:
         names, booleans = st.sampled_from(NAMES), st.booleans()
         back, seconds = st.integers(0, MOST_WRITES), st.floats(0.0, 5.0)
         drawn = st.builds(Drawn, st.sampled_from(tells), names, back, seconds, booleans)
@@ -192,7 +192,7 @@
 
     @seed(int(context.config.userdata.get("seed", number)))
     @settings(max_examples=ORDERS, deadline=None, database=None)
-    @for_all(draws([Tell.WRITE], MOST_WRITES), draws(list(Tell), MOST_TELLS), st.booleans())
+    @for_all(draws([StepKind.WRITE], MOST_WRITES), draws(list(StepKind), MOST_TELLS), st.booleans())
     def check(past: list[Drawn], order: list[Drawn], knows_past: bool) -> None:
         world = FleetWorld(past, knows_past=knows_past)
         for drawn in order:
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -34,7 +34,7 @@
     GONE = "gone"
 
 
-class Tell(StrEnum):
+class StepKind(StrEnum):
     """Name what happens in one step."""
 
     WRITE = "an entry changes"
@@ -52,7 +52,7 @@
 class Drawn:
     """Hold one drawn step."""
 
-    tell: Tell
+    tell: StepKind
     name: str
     back: int
     """How many changes ago a peer knew what it tells."""
@@ -101,15 +101,15 @@
     def take(self, drawn: Drawn) -> None:
         """Take one step and check what the fleet makes of it."""
         {
-            Tell.WRITE: self._write,
-            Tell.WATCH: lambda _: self._tell_changes(),
-            Tell.LIST: lambda _: self._tell_list(),
-            Tell.NEWS: self._tell_news,
-            Tell.OFFER: self._tell_offer,
-            Tell.LOST: lambda _: self._lose(),
-            Tell.BACK: lambda _: self._return(),
-            Tell.DOUBT: self._doubt,
-            Tell.TIME: self._pass_time,
+            StepKind.WRITE: self._write,
+            StepKind.WATCH: lambda _: self._tell_changes(),
+            StepKind.LIST: lambda _: self._tell_list(),
+            StepKind.NEWS: self._tell_news,
+            StepKind.OFFER: self._tell_offer,
+            StepKind.LOST: lambda _: self._lose(),
+            StepKind.BACK: lambda _: self._return(),
+            StepKind.DOUBT: self._doubt,
+            StepKind.TIME: self._pass_time,
         }[drawn.tell](drawn)
         self._check()
 
