--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -144,7 +144,7 @@
         remaining = self._lengths[request.request_id] - produced
         return tuple([1.0 if ahead < remaining else 0.0 for ahead in HORIZONS])
 
-    def expected(self, request: Request) -> float:
+    def expected_tokens(self, request: Request) -> float:
         """Return the true length."""
         return float(self._lengths[request.request_id])
 
