--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -57,7 +57,7 @@
 class Dialect(Protocol):
     """Translate between the platform's formats and the gateway's own types."""
 
-    observe_signals: SignalObserver
+    on_signals: SignalObserver
     """Takes what engines signal with responses to the calls below."""
 
     def read_request(self, found: Headers) -> CallerMetadata:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -85,7 +85,7 @@
         self.signals = UpstreamSignals(
             self.stats, self.rate_limiting, self.fleet, self.backoff, lambda: self.now()
         )
-        dialect.observe_signals = self.signals.handle_own_call
+        dialect.on_signals = self.signals.handle_own_call
         self.fleet_changed = Event()
         self.configured = Event()
         """Set once there are a routing document, a list of upstreams and the cordons."""
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         """Start with nobody who takes signals."""
-        self.observe_signals: SignalObserver = ignore_signals
+        self.on_signals: SignalObserver = ignore_signals
 
     def read_request(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
@@ -51,15 +51,15 @@
         self, source: Upstream, request_id: str, target: Upstream, *, last: bool
     ) -> MoveResult:
         """Copy a run's memory to another engine; with last, the run stops first."""
-        return engine_calls.move(source, request_id, target, self.observe_signals, last=last)
+        return engine_calls.move(source, request_id, target, self.on_signals, last=last)
 
     def probe_state(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
-        return engine_calls.probe_state(engine, self.observe_signals)
+        return engine_calls.probe_state(engine, self.on_signals)
 
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a copy's memory; where the holder is its source, at both engines."""
-        engine_calls.drop_replica(holder, copy_of, self.observe_signals)
+        engine_calls.drop_replica(holder, copy_of, self.on_signals)
 
     def is_readiness_check(self, target: str) -> bool:
         """Tell whether a request asks whether this instance is ready."""
