--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -137,7 +137,7 @@
 def few_crashes(context: Any, seeds: int, most: int) -> None:
     """Play and count."""
     context.outcomes = played(context, seeds)
-    found = [one.most_crashed for one in context.outcomes]
+    found = [one.max_crashes for one in context.outcomes]
     assert max(found) <= most, found
 
 
@@ -182,7 +182,7 @@
 )
 def silent_fails(context: Any, seeds: int, most: int) -> None:
     """Play a broken fleet."""
-    found = [one.most_crashed for one in played(context, seeds, SilentBook)]
+    found = [one.max_crashes for one in played(context, seeds, SilentBook)]
     assert max(found) > most, found
 
 
--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -64,7 +64,7 @@
     """When fatal requests were sent."""
 
     @property
-    def most_crashed(self) -> int:
+    def max_crashes(self) -> int:
         """Return the most engines that one request has crashed."""
         return max((len(one) for one in self.crashes.values()), default=0)
 
