--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.watch_delegation import DelegatedWatchPacing, WatchDelegation
 from driftstall.platform.feeds import upstream_feed
 from driftstall.platform.store import Listing, Store, StoredObject, WatchAnswer, WatchEvent
-from features.worlds.fleet_world import NAMES, Drawn, FleetWorld, StepKind
+from features.worlds.fleet_world import NAMES, FleetWorld, Step, StepKind
 from features.worlds.gateway_world import GatewayWorld
 from features.worlds.upstream_samples import entry_spec, upstream_of
 
@@ -184,16 +184,16 @@
 def drawn_words(context: Any, number: int) -> None:
     """Draw orders of what the platform, peers and upstreams tell; the same seed draws the same."""
 
-    def draws(tells: list[StepKind], most: int) -> st.SearchStrategy[list[Drawn]]:
+    def draws(tells: list[StepKind], most: int) -> st.SearchStrategy[list[Step]]:
         names, booleans = st.sampled_from(NAMES), st.booleans()
         back, seconds = st.integers(0, MOST_WRITES), st.floats(0.0, 5.0)
-        drawn = st.builds(Drawn, st.sampled_from(tells), names, back, seconds, booleans)
+        drawn = st.builds(Step, st.sampled_from(tells), names, back, seconds, booleans)
         return st.lists(drawn, max_size=most)
 
     @seed(int(context.config.userdata.get("seed", number)))
     @settings(max_examples=ORDERS, deadline=None, database=None)
     @for_all(draws([StepKind.WRITE], MOST_WRITES), draws(list(StepKind), MOST_TELLS), st.booleans())
-    def check(past: list[Drawn], order: list[Drawn], knows_past: bool) -> None:
+    def check(past: list[Step], order: list[Step], knows_past: bool) -> None:
         world = FleetWorld(past, knows_past=knows_past)
         for drawn in order:
             world.take(drawn)
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drawn:
+class Step:
     """Hold one drawn step."""
 
     tell: StepKind
@@ -73,7 +73,7 @@
 class FleetWorld:
     """Hold the platform's history, and a fleet that is told of it."""
 
-    def __init__(self, past: Iterable[Drawn], *, knows_past: bool) -> None:
+    def __init__(self, past: Iterable[Step], *, knows_past: bool) -> None:
         """Start with all upstreams ready, and some changes; the first list comes before or after.
 
         After: the fleet has never known what has left by then.
@@ -98,7 +98,7 @@
         if not knows_past:
             self._tell_list()
 
-    def take(self, drawn: Drawn) -> None:
+    def take(self, drawn: Step) -> None:
         """Take one step and check what the fleet makes of it."""
         {
             StepKind.WRITE: self._write,
@@ -119,7 +119,7 @@
     def _newest(self) -> int:
         return self._writes[-1].revision
 
-    def _write(self, drawn: Drawn) -> None:
+    def _write(self, drawn: Step) -> None:
         """Change an entry; what is gone comes back only as one that had lapsed."""
         held = self._held(drawn.name, self._newest)
         if held is StoredState.READY and not drawn.other_way:
@@ -180,7 +180,7 @@
         """Return a revision of the past."""
         return max(len(NAMES), self._newest - back)
 
-    def _tell_news(self, drawn: Drawn) -> None:
+    def _tell_news(self, drawn: Step) -> None:
         """Let a peer tell of any change, in one of the forms in which peers do."""
         one = self._writes[self._past(drawn.back) - 1]
         entry = _entry(one)
@@ -190,7 +190,7 @@
         self._handle(Changed(entry, one.held is StoredState.GONE, from_peer=True))
         self._note(one.name, one.held, entry.revision)
 
-    def _tell_offer(self, drawn: Drawn) -> None:
+    def _tell_offer(self, drawn: Step) -> None:
         """Let a peer give its list of any time."""
         at = self._past(drawn.back)
         ready = self._entries(at, only_ready=True)
@@ -215,11 +215,11 @@
             self._down, self._back_at = False, self._now
             self._handle(PlatformReachable())
 
-    def _doubt(self, drawn: Drawn) -> None:
+    def _doubt(self, drawn: Step) -> None:
         self._doubted_at[drawn.name] = self._now
         self._handle(UpstreamSuspected(drawn.name))
 
-    def _pass_time(self, drawn: Drawn) -> None:
+    def _pass_time(self, drawn: Step) -> None:
         self._now += drawn.seconds
         self._handle(Period())
 
