--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -29,7 +29,7 @@
 PLACERS_SHARE: Final = 0.4
 """Part of the rate that the placers of zones use; instances that can't ask a placer have the same
 part."""
-UNTOLD_S: Final = 2.5
+ASSUMED_COLD_S: Final = 2.5
 """How long an upstream that may be cold is assumed to be so without having reported it: its report
 comes with its heartbeat (1.2 s) and the platform's delay (0.8 s), and a hop between instances."""
 QUIET_START_S: Final = 1.5
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -13,7 +13,7 @@
 from functools import singledispatchmethod
 from typing import Final
 
-from driftstall.decisions.cold_starts import UNTOLD_S
+from driftstall.decisions.cold_starts import ASSUMED_COLD_S
 from driftstall.decisions.leaving_signals import SIGNAL_RETENTION_S
 from driftstall.decisions.store_versions import (
     INCOMPLETE_S,
@@ -158,7 +158,7 @@
             upstream = entry.upstream
             if upstream.zone in event.lifted and entry.leaving_since is None:
                 # It may have gone cold while cordoned, and reports that only later.
-                self._actions.append(UpstreamCold(upstream, UNTOLD_S, is_assumed=True))
+                self._actions.append(UpstreamCold(upstream, ASSUMED_COLD_S, is_assumed=True))
 
     @_handle.register
     def _(self, event: PlatformUnreachable, now: float) -> None:
@@ -257,7 +257,7 @@
         if old.upstream_id not in self._replaced:
             self._replaced[old.upstream_id] = now
             self._actions.append(UpstreamReplaced(old))
-        self._actions.append(UpstreamCold(later, UNTOLD_S, is_assumed=True))
+        self._actions.append(UpstreamCold(later, ASSUMED_COLD_S, is_assumed=True))
 
     def _remove(
         self,
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -12,7 +12,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Request
-from driftstall.decisions.cold_starts import QUIET_START_S, UNTOLD_S, ColdPart, ColdStarts
+from driftstall.decisions.cold_starts import ASSUMED_COLD_S, QUIET_START_S, ColdPart, ColdStarts
 from driftstall.decisions.instance_count import InstanceCount
 from driftstall.decisions.lengths import LearnedLengths
 from driftstall.decisions.placers import MAX_COMPARED_UPSTREAMS
@@ -368,7 +368,7 @@
         """Record the outcome of a request to an upstream and its duration in seconds."""
         if outcome is Outcome.UNREACHABLE:
             # It may be restarting, and a restarted upstream is cold before it can report so.
-            self.cold.assume(upstream_id, UNTOLD_S, self.now())
+            self.cold.assume(upstream_id, ASSUMED_COLD_S, self.now())
         self.outcomes.record_outcome(upstream_id, service, outcome, self.now(), seconds)
 
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -11,7 +11,7 @@
 import gevent
 from behave import given, then, when
 
-from driftstall.decisions.cold_starts import UNTOLD_S, ColdPart, ColdSlots, ColdStarts
+from driftstall.decisions.cold_starts import ASSUMED_COLD_S, ColdPart, ColdSlots, ColdStarts
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, ListedByPeer, UpstreamCold
@@ -141,7 +141,7 @@
     fleet.handle(Cordoned(frozenset({"z"})), 0.0)
     (action,) = fleet.handle(Cordoned(frozenset(), frozenset({"z"})), 1.0)
     assert isinstance(action, UpstreamCold) and action.is_assumed, action
-    assert (action.upstream.upstream_id, action.for_s) == ("u2", UNTOLD_S)
+    assert (action.upstream.upstream_id, action.for_s) == ("u2", ASSUMED_COLD_S)
     context.cold.assume("u2", action.for_s, 1.0)
     context.cold.record_cold("u2", 0.0, 1.1)
     assert context.cold.ends_in_s("u2", 1.0) == seconds
