--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -1,4 +1,4 @@
-"""Claim one key through holders that fail, over a platform that fails."""
+"""Simulation of claims for one key, while holders, entries and the platform fail."""
 
 from __future__ import annotations
 
@@ -62,24 +62,24 @@
     "sent twice",
     "asked twice",
 }
-"""With these nobody dies or gives up, so the call must run in the end."""
+"""With only these faults, no instance dies and no entry times out, so the call must run."""
 TRIES: Final = 4
 DOWN_CALLS: Final = 3
 PAUSE_TURNS: Final = 12
 
 
 class ClaimsWorld:
-    """Hold two holders, one entry, one platform and one upstream."""
+    """Simulate two holders, one entry, the platform and one upstream."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
-        self._faults = {one.fault for one in script.strikes}
+        self._faults = {strike.fault for strike in script.strikes}
         self._work: deque[Callable[[], None]] = deque()
-        self._holders = [self._fresh(0), self._fresh(1)]
-        self._births = 0
+        self._holders = [self._new_holder(0), self._new_holder(1)]
+        self._starts = 0
         self._paused: list[list[ClaimEvent] | None] = [None, None]
-        self._paused_left = 0
+        self._paused_turns_left = 0
         self._store: tuple[int, ShardObject | None] = (0, None)
         self._late: list[Callable[[], Any]] = []
         self._down = 0
@@ -91,47 +91,47 @@
         self.told_not_run: set[str] = set()
         self.answers: list[str] = []
 
-    def _fresh(self, index: int) -> ClaimsHolder:
-        """Return a holder that remembers nothing."""
-        self._births = getattr(self, "_births", 0) + 1
-        return ClaimsHolder(0, f"holder-{index}", f"u{index}-{self._births}")
+    def _new_holder(self, index: int) -> ClaimsHolder:
+        """Return a holder without state."""
+        self._starts = getattr(self, "_starts", 0) + 1
+        return ClaimsHolder(0, f"holder-{index}", f"u{index}-{self._starts}")
 
     def run(self) -> None:
-        """Let callers try the same key until all faults have passed."""
+        """Request the same key until all faults have passed."""
         self._ask("key")
         for _ in range(300):
             self._turn()
-            if not self._work and self._quiet():
+            if not self._work and self._is_idle():
                 if self._tries >= TRIES:
                     break
                 self._ask("key")
         self._heal()
 
-    def _quiet(self) -> bool:
-        """Tell whether nothing is under way."""
+    def _is_idle(self) -> bool:
+        """Flush the holders, and return True if no work follows."""
         for index, holder in enumerate(self._holders):
             if self._paused[index] is None:
                 self._feed(index, FlushDue(), holder)
         return not self._work
 
     def _heal(self) -> None:
-        """End all faults; a fresh key must then be granted."""
+        """End all faults; a new key must then be granted."""
         self._script.strikes = ()
         self._down = 0
         self._next_write = ""
-        self._paused_left = 0
-        self._wake()
+        self._paused_turns_left = 0
+        self._resume_holders()
         for key in ("key", "fresh", "fresh", "fresh"):
             self._ask(key)
             for _ in range(60):
                 self._turn()
-                if not self._work and self._quiet():
+                if not self._work and self._is_idle():
                     break
             if self.runs["fresh"]:
                 break
 
     def check(self) -> None:
-        """Check the promises."""
+        """Check the guarantees of claims."""
         assert self.runs["key"] <= 1, f"the call ran {self.runs['key']} times"
         both = self.told_not_run & set(self.ran_nonces)
         assert not both, f"told 'not run', but it was run: {both}"
@@ -140,28 +140,28 @@
         assert self.runs["fresh"] == 1, "a fresh key is not granted after all faults"
 
     def _turn(self) -> None:
-        """Do one thing."""
-        if self._paused_left:
-            self._paused_left -= 1
-            if not self._paused_left:
-                self._wake()
+        """Advance by one step."""
+        if self._paused_turns_left:
+            self._paused_turns_left -= 1
+            if not self._paused_turns_left:
+                self._resume_holders()
         if self._work:
             self._work.popleft()()
 
     def _ask(self, key: str) -> None:
-        """Let a caller try a key once more."""
+        """Request a claim for a key with a new nonce."""
         self._tries += 1
         nonce = f"{key}-{self._tries}"
         self._pending.add(nonce)
         self._to_holder(ClaimAsked("entry", 0, key, "print", nonce))
 
     def _to_holder(self, event: ClaimAsked | ClaimSettled) -> None:
-        """Send an entry's message to whom it takes for the holder."""
+        """Send an entry's message to the instance that it considers the holder."""
         index = 1 if self._paused[0] is not None else 0
         self._work.append(lambda: self._feed(index, event, None))
 
     def _feed(self, index: int, event: ClaimEvent, origin: ClaimsHolder | None) -> None:
-        """Hand an event to a holder, unless it has died since."""
+        """Pass an event to a holder, unless the holder has been replaced since."""
         holder = self._holders[index]
         if origin is not None and origin is not holder:
             return
@@ -181,23 +181,23 @@
             self._carry_out(index, holder, action)
 
     def _strike(self, step: str, index: int, event: ClaimEvent) -> None:
-        """Let the faults of a step take effect."""
+        """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault, index, event)
 
     def _fault(self, fault: str, index: int, event: ClaimEvent) -> None:
-        """Let one fault take effect."""
+        """Inject one fault."""
         if fault == "platform down":
             self._down = DOWN_CALLS
         elif fault in ("answer lost", "write lost", "write arrives late", "sent twice"):
             self._next_write = fault
         elif fault == "holder paused":
             self._paused[0] = self._paused[0] or []
-            self._paused_left = PAUSE_TURNS
+            self._paused_turns_left = PAUSE_TURNS
         elif fault == "holder dies":
-            self._holders[index] = self._fresh(index)
+            self._holders[index] = self._new_holder(index)
         elif fault == "all die":
-            self._holders = [self._fresh(0), self._fresh(1)]
+            self._holders = [self._new_holder(0), self._new_holder(1)]
             self._pending.clear()
         elif fault == "entry dies":
             self._pending.clear()
@@ -207,15 +207,15 @@
             self._work.append(lambda: self._feed(index, event, None))
 
     def _time_out(self) -> None:
-        """Let the entry give up: it tells 'not run' and frees the key."""
+        """Let the entry time out: it reports 'not run' and releases the key."""
         for nonce in sorted(self._pending):
             self.told_not_run.add(nonce)
             key = nonce.rpartition("-")[0]
             self._to_holder(ClaimSettled(0, key, nonce, False, 0, "", ""))
         self._pending.clear()
 
-    def _wake(self) -> None:
-        """Let a paused holder go on with what has queued up."""
+    def _resume_holders(self) -> None:
+        """Resume the paused holders with the events queued for them."""
         for index, queued in enumerate(self._paused):
             self._paused[index] = None
             holder = self._holders[index]
@@ -225,14 +225,14 @@
     def _carry_out(self, index: int, holder: ClaimsHolder, action: ClaimAction) -> None:
         """Carry out one action."""
         if isinstance(action, ClaimAnswer):
-            self._work.append(lambda: self._answered(action))
+            self._work.append(lambda: self._handle_answer(action))
         elif isinstance(action, ReadShard):
             self._work.append(lambda: self._feed(index, self._read(), holder))
         else:
             self._work.append(lambda: self._feed(index, self._write(action), holder))
 
     def _read(self) -> ClaimEvent:
-        """Read the object; a late write may arrive first."""
+        """Read the object; a delayed write may take effect first."""
         self._arrive_late()
         if self._down:
             self._down -= 1
@@ -250,12 +250,12 @@
         if fault == "write lost":
             return WriteUnknown(write_id)
         if fault == "write arrives late":
-            # It takes effect only after the next call, if its version still fits then.
+            # It takes effect only after the next call, if its version still matches then.
             self._late.append(lambda: None)
             self._late.append(lambda: self._apply(action))
             return WriteUnknown(write_id)
         if fault == "sent twice":
-            # A client that sends a lost write again meets its own first one.
+            # A client that retries a lost write conflicts with its own first one.
             self._apply(action)
             return WriteConflicted(write_id)
         if not self._apply(action):
@@ -263,19 +263,19 @@
         return WriteUnknown(write_id) if fault else WriteDone(write_id, self._store[0])
 
     def _apply(self, action: WriteShard) -> bool:
-        """Apply a conditional update; return whether it took effect."""
+        """Apply a conditional write; return False on a version conflict."""
         if self._store[0] != action.expected:
             return False
         self._store = (action.expected + 1, action.value)
         return True
 
     def _arrive_late(self) -> None:
-        """Let one late write come nearer."""
+        """Advance the delayed writes by one step."""
         if self._late:
             self._late.pop(0)()
 
-    def _answered(self, answer: ClaimAnswer) -> None:
-        """Take an answer as the entry: only a granted, pending try may run."""
+    def _handle_answer(self, answer: ClaimAnswer) -> None:
+        """Handle an answer as the entry: only a granted, pending attempt may run."""
         if answer.nonce not in self._pending:
             return
         self._pending.discard(answer.nonce)
@@ -290,7 +290,7 @@
 
 
 def run_claims(script: Script) -> None:
-    """Run tries under a script and check the promises."""
+    """Run claims with the faults of a script, and check the guarantees."""
     world = ClaimsWorld(script)
     world.run()
     world.check()
--- a/features/worlds/config_world.py
+++ b/features/worlds/config_world.py
@@ -1,4 +1,4 @@
-"""Submit configurations from racing operators, with instances that come and go."""
+"""Simulation of configuration submissions by concurrent operators, while instances restart."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class ConfigWorld:
-    """Hold the stored configuration, instances and one operator after another."""
+    """Simulate the stored configuration, the instances and consecutive submissions."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
         self._stored: tuple[int, ConfigDocument] = (0, EMPTY)
         self._history: list[tuple[int, ConfigDocument]] = [self._stored]
@@ -66,7 +66,7 @@
         self.texts: dict[int, str] = {}
 
     def run(self) -> None:
-        """Submit a few changes one after another, then let all settle."""
+        """Submit a few changes with faults, then one without, and update all instances."""
         for number in range(SUBMISSIONS):
             self._submit(f"s{number}", f"policy {number}")
         self._script.strikes = ()
@@ -75,7 +75,7 @@
         self._spread()
 
     def check(self) -> None:
-        """Check the promises."""
+        """Check the guarantees of submissions."""
         accepted = self._stored[1].submissions
         for name, state in self.states.items():
             if state is SubmitState.ACCEPTED:
@@ -84,11 +84,11 @@
                 assert name not in accepted, f"{name} was told as not taken and is in force"
         assert self.states["last"] is SubmitState.ACCEPTED, "nothing is accepted after all faults"
         newest = self._stored[1]
-        for one in self._instances:
-            assert one.document == newest, "an instance does not have the newest"
+        for instance in self._instances:
+            assert instance.document == newest, "an instance does not have the newest"
 
     def _submit(self, name: str, text: str) -> None:
-        """Carry one submission to its end."""
+        """Run one submission to its end."""
         submission = Submission(ConfigChange(name, None, policy=text), self._instances[0].document)
         actions = submission.start()
         for _ in range(30):
@@ -105,7 +105,7 @@
             self._offer(1, submission.accepted)
 
     def _strike(self, step: str) -> None:
-        """Let the faults of a step take effect."""
+        """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             if fault == "platform down":
                 self._down = 2
@@ -122,7 +122,7 @@
                 self._show_old = True
 
     def _race(self) -> None:
-        """Let another operator's change be accepted in between."""
+        """Accept the change of another operator in between."""
         self._rival += 1
         version, stored = self._stored
         name = f"rival{self._rival}"
@@ -131,13 +131,13 @@
         self.states[name] = SubmitState.ACCEPTED
 
     def _restart(self, index: int) -> None:
-        """Replace an instance; it takes the newest it is shown before it is ready."""
+        """Restart an instance; it reads the stored configuration before it is ready."""
         self._instances[index] = ConfigurationController()
         self._seen[index] = 0
         self._offer(index, self._stored[1])
 
     def _offer(self, index: int, document: ConfigDocument) -> None:
-        """Show an instance a configuration; it must never go back."""
+        """Offer a configuration to an instance, which must never return to an older one."""
         self._instances[index].apply_if_newer(document)
         generation = self._instances[index].document.generation
         assert generation >= self._seen[index], "an instance went back"
@@ -146,14 +146,14 @@
         assert self.texts.setdefault(generation, text) == text, "one generation, two texts"
 
     def _spread(self) -> None:
-        """Let every instance see what is stored, and what an old watch shows."""
+        """Offer every instance the stored configuration, and old ones as from a stale watch."""
         for index in range(INSTANCES):
             self._offer(index, self._stored[1])
             for _, document in self._history:
                 self._offer(index, document)
 
     def _carry_out(self, action: SubmitAction) -> SubmitEvent:
-        """Read or write as the platform's faults allow."""
+        """Carry out one action, as the platform's faults allow."""
         self._strike(type(action).__name__)
         if self._late:
             self._apply(self._late.pop())
@@ -170,14 +170,14 @@
             return ConfigWriteUnknown()
         done = self._apply(action)
         if fault == "sent twice":
-            # A client that sends a lost write again meets its own first one.
+            # A client that retries a lost write conflicts with its own first one.
             return ConfigConflicted()
         if fault:
             return ConfigWriteUnknown()
         return ConfigWritten() if done else ConfigConflicted()
 
     def _read(self) -> ConfigRead:
-        """Read what is stored, and show it to an instance that watches."""
+        """Read the stored configuration, and offer it to an instance that watches the store."""
         if self._show_old:
             self._show_old = False
             for _, document in self._history[-2:]:
@@ -186,7 +186,7 @@
         return ConfigRead(*self._stored)
 
     def _apply(self, action: WriteConfig) -> bool:
-        """Apply a conditional update."""
+        """Apply a conditional write; return False on a version conflict."""
         if action.expected != self._stored[0]:
             return False
         self._stored = (action.expected + 1, action.document)
@@ -195,7 +195,7 @@
 
 
 def run_config(script: Script) -> None:
-    """Run submissions under a script and check the promises."""
+    """Run submissions with the faults of a script, and check the guarantees."""
     world = ConfigWorld(script)
     world.run()
     world.check()
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -1,4 +1,4 @@
-"""Strike faults at steps: the two lists of the matrix and the walk over them."""
+"""Fault injection at the steps of a simulation, for every combination of step and fault."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Strike:
-    """Name one fault, the step it strikes at, and which time that step comes."""
+    """A fault to inject, with its step and the occurrence of the step, counted from 1."""
 
     step: str
     fault: str
@@ -18,28 +18,28 @@
 
 @dataclass(slots=True)
 class Script:
-    """Say at each step which fault strikes now."""
+    """The faults to inject in one run, and the steps seen so far."""
 
     strikes: tuple[Strike, ...]
     seen: dict[str, int] = field(default_factory=dict)
     struck: int = 0
 
     def at(self, step: str) -> list[str]:
-        """Count a step and return the faults that strike at it."""
+        """Count an occurrence of a step and return the faults to inject there."""
         self.seen[step] = self.seen.get(step, 0) + 1
-        now = [
-            one.fault
-            for one in self.strikes
-            if one.step == step and one.occurrence == self.seen[step]
+        due = [
+            strike.fault
+            for strike in self.strikes
+            if strike.step == step and strike.occurrence == self.seen[step]
         ]
-        self.struck += len(now)
-        return now
+        self.struck += len(due)
+        return due
 
 
 def plans(
     steps: Sequence[str], faults: Sequence[str], fault: str, *, pairs: bool
 ) -> Iterator[tuple[Strike, ...]]:
-    """Yield one fault at every step: alone, twice, and beside every other fault."""
+    """Yield the plans of one fault at every step: alone, twice, and with every other fault."""
     for step in steps:
         yield (Strike(step, fault),)
         yield (Strike(step, fault), Strike(step, fault, 2))
@@ -53,7 +53,7 @@
     plans_of: Iterator[tuple[Strike, ...]],
     run: Callable[[Script], None],
 ) -> tuple[int, int]:
-    """Run every plan; return how many were run and how many faults struck."""
+    """Run every plan; return the numbers of runs and of injected faults."""
     runs = struck = 0
     for plan in plans_of:
         script = Script(plan)
--- a/features/worlds/grants_world.py
+++ b/features/worlds/grants_world.py
@@ -1,4 +1,4 @@
-"""Grant a fleet of runners to requests while runners, entries and owners fail."""
+"""Simulation of a grants controller while runners, entries and owners fail."""
 
 from __future__ import annotations
 
@@ -61,9 +61,9 @@
 IN_TIME_S: Final = 0.3
 DELAYED_S: Final = 5.5
 DELAYING: Final = {"clock jumps", "owner dies", "two owners", "answer lost"}
-"""Faults after which a request waits anew at another owner, or time is lost."""
+"""Faults after which a request waits again at another owner, or time is lost."""
 LEAVING_S: Final = 1.0
-"""Within this after its leaving is known, a grant may still be on its way."""
+"""A grant may still be in transit for this long after its runner is known to be leaving."""
 LENGTH: Final = 120
 TURN_S: Final = 0.1
 FIRST: Final = Verdict("first", 1, 0, 2.0, False, True, 1.0, 0.0)
@@ -71,12 +71,12 @@
 
 
 class GrantsWorld:
-    """Hold one group with two runners, an owner and an entry's open requests."""
+    """Simulate one group with two runners, its owner and the open requests of an entry."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
-        self._delaying = bool(DELAYING & {one.fault for one in script.strikes})
+        self._delaying = bool(DELAYING & {strike.fault for strike in script.strikes})
         self._now = 100.0
         self._live = {"engine-1", "engine-2"}
         self._left_at: dict[str, float] = {}
@@ -88,20 +88,20 @@
         self._lose_answer = False
         self._lose_close = False
         self._number = 0
-        self._owner = self._fresh()
+        self._owner = self._new_owner()
 
-    def _fresh(self) -> GrantsController:
+    def _new_owner(self) -> GrantsController:
         """Return an owner that knows only the runners."""
         owner = GrantsController("g", LearnedLengths(), random.Random(5), overflow=0.01)
         owner.handle(RunnersChanged("g", self._runners()), self._now)
         return owner
 
     def _runners(self) -> tuple[tuple[str, int, str], ...]:
-        """Return the runners that may get work."""
+        """Return the runners that are not leaving."""
         return tuple((name, MEMORY, "z") for name in sorted(self._live))
 
     def run(self) -> None:
-        """Ask steadily, then let everything drain."""
+        """Send requests at a steady rate, then let all of them end."""
         for turn in range(160):
             self._now += TURN_S
             if turn < 40:
@@ -126,7 +126,7 @@
             self._feed(Tick())
 
     def check(self) -> None:
-        """Check that nobody waits past the bound, and nothing is left open."""
+        """Check that every request was answered and that nothing is left open."""
         waiting = set(self._asks) - self._done - set(self._open)
         assert not waiting, f"no answer for {sorted(waiting)}"
         assert not self._open, f"never ended: {sorted(self._open)}"
@@ -134,7 +134,7 @@
         assert not self._owner.waiting, "the owner holds requests that have ended"
 
     def _ask(self, verdict: Verdict) -> None:
-        """Let a new request ask."""
+        """Request a grant for a new request."""
         self._number += 1
         name = f"r{self._number}"
         marks = (PrefixMark(7, 64), PrefixMark(100 + self._number, 600))
@@ -144,7 +144,7 @@
         self._feed(self._asks[name])
 
     def _generate(self) -> None:
-        """Let open generations grow and end."""
+        """Produce tokens for the open generations and end the finished ones."""
         for name, (runner, produced) in list(self._open.items()):
             if name in self._paused:
                 self._feed(Progress("g", name, produced))
@@ -157,14 +157,14 @@
             self._feed(Progress("g", name, grown))
 
     def _end(self, name: str, produced: int, *, finished: bool) -> None:
-        """End a request and tell the owner."""
+        """End a request and close its grant."""
         self._open.pop(name, None)
         self._paused.discard(name)
         self._done.add(name)
         self._feed(Close("g", name, produced, finished))
 
     def _feed(self, event: GrantEvent) -> None:
-        """Hand an event to the owner and take its answers."""
+        """Pass an event to the owner, with faults, and handle its actions."""
         self._strike(type(event).__name__, event)
         if isinstance(event, RunnersChanged):
             event = RunnersChanged("g", self._runners())
@@ -175,10 +175,10 @@
             return
         for action in self._owner.handle(event, self._now):
             self._strike(type(action).__name__, event)
-            self._take(action)
+            self._handle_action(action)
 
-    def _take(self, action: GrantAction) -> None:
-        """Take one answer as the entry."""
+    def _handle_action(self, action: GrantAction) -> None:
+        """Handle one action as the entry."""
         name = action.request_id
         if self._lose_answer:
             self._lose_answer = False
@@ -203,34 +203,34 @@
             return
         if name in self._open:
             return
-        gone_s = self._now - self._left_at.get(runner, self._now)
-        assert gone_s <= LEAVING_S, f"{runner} is leaving and got new work"
+        leaving_s = self._now - self._left_at.get(runner, self._now)
+        assert leaving_s <= LEAVING_S, f"{runner} is leaving and got new work"
         late = self._now - self._asked_at[name] - self._asks[name].verdict.wait_s
         slack_s = DELAYED_S if self._delaying else IN_TIME_S
         assert late <= slack_s, f"{name} waited {late:.1f} s past the bound"
         self._open[name] = (runner, 0)
 
     def _strike(self, step: str, event: GrantEvent) -> None:
-        """Let the faults of a step take effect."""
+        """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault, event)
 
     def _fault(self, fault: str, event: GrantEvent) -> None:
-        """Let one fault take effect."""
+        """Inject one fault."""
         if fault == "runner leaves":
             self._live.discard("engine-2")
             self._left_at["engine-2"] = self._now
-            self._tell(RunnersChanged("g", self._runners()))
+            self._feed_without_faults(RunnersChanged("g", self._runners()))
         elif fault == "runner back":
             self._live.add("engine-2")
             self._left_at.clear()
-            self._tell(RunnersChanged("g", self._runners()))
+            self._feed_without_faults(RunnersChanged("g", self._runners()))
         elif fault == "owner dies":
-            self._owner = self._fresh()
+            self._owner = self._new_owner()
             self._announce()
         elif fault == "two owners":
-            # The old owner goes on for others; this entry turns to a new one.
-            self._owner = self._fresh()
+            # The old owner still serves other entries; this entry turns to a new one.
+            self._owner = self._new_owner()
             self._announce()
         elif fault == "entry dies":
             self._entry_dies()
@@ -242,19 +242,19 @@
         elif fault == "close lost":
             self._lose_close = True
         elif fault == "asked twice" and isinstance(event, Ask):
-            self._tell(event)
+            self._feed_without_faults(event)
         elif fault == "report stale":
-            self._tell(RunnerReport("g", "engine-1", MEMORY, MEMORY, 9, self._now))
+            self._feed_without_faults(RunnerReport("g", "engine-1", MEMORY, MEMORY, 9, self._now))
         elif fault == "clock jumps":
             self._now += 2.0
 
-    def _tell(self, event: GrantEvent) -> None:
-        """Hand an event to the owner without striking again, and take its answers."""
+    def _feed_without_faults(self, event: GrantEvent) -> None:
+        """Pass an event to the owner without injecting faults, and handle its actions."""
         for action in self._owner.handle(event, self._now):
-            self._take(action)
+            self._handle_action(action)
 
     def _announce(self) -> None:
-        """Announce open grants and ask again, as entries do with a new owner."""
+        """Announce the open grants and repeat the open requests, as entries do to a new owner."""
         for name, ask in self._asks.items():
             if name in self._open:
                 runner, produced = self._open[name]
@@ -265,11 +265,11 @@
                 event = ask
             else:
                 continue
-            self._tell(event)
+            self._feed_without_faults(event)
         self._paused.clear()
 
     def _entry_dies(self) -> None:
-        """Let the entry and its requests vanish."""
+        """Let the entry die with all its requests."""
         for name in list(self._asks):
             self._done.add(name)
         self._open.clear()
@@ -278,7 +278,7 @@
 
 
 def run_grants(script: Script) -> None:
-    """Run one group under a script and check the promises."""
+    """Run one group with the faults of a script, and check the guarantees."""
     world = GrantsWorld(script)
     world.run()
     world.check()
--- a/features/worlds/membership_world.py
+++ b/features/worlds/membership_world.py
@@ -1,4 +1,4 @@
-"""Let instances find out about one another over a lossy network."""
+"""Simulation of membership among instances on a lossy network."""
 
 from __future__ import annotations
 
@@ -38,36 +38,39 @@
 COUNT: Final = 5
 TURN_S: Final = 0.1
 SECONDS: Final = 20.0
-"""The leave comes after a third; a pause then leaves NOTICE_S for being known again."""
+"""An instance leaves after a third of this; after a pause at that time, NOTICE_S remains for it to
+be known again."""
 PAUSE_S: Final = 5.0
 NOTICE_S: Final = 8.0
-"""Seconds within which a death must be known to all."""
+"""Time within which all instances must have detected a failed one."""
 
 
 class MembershipWorld:
-    """Hold a few instances and the network between them."""
+    """Simulate a few instances and the network between them."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
         self._now = 0.0
-        self._flying: list[tuple[float, str, MembershipEvent]] = []
+        self._in_flight: list[tuple[float, str, MembershipEvent]] = []
         self._dead: dict[str, float] = {}
         self._paused: dict[str, float] = {}
         self._cut: frozenset[str] = frozenset()
         self._cut_until = 0.0
         self._own = [Instance(f"i{n}", f"a{n}", f"p{n}", "z") for n in range(COUNT)]
-        self._nodes = {one.instance_id: self._fresh(one, 1) for one in self._own}
+        self._nodes = {
+            instance.instance_id: self._new_controller(instance, 1) for instance in self._own
+        }
         self._leaving = ""
-        self._next = ""
+        self._next_send_fault = ""
 
-    def _fresh(self, own: Instance, incarnation: int) -> MembershipController:
-        """Return a member that knows only itself."""
+    def _new_controller(self, own: Instance, incarnation: int) -> MembershipController:
+        """Return a controller that knows only its own instance."""
         seed = random.Random(f"{own.instance_id}-{incarnation}")
         return MembershipController(own, incarnation, seed)
 
     def run(self) -> None:
-        """Run some seconds; one instance leaves on the way."""
+        """Run for SECONDS; one instance leaves after a third of the time."""
         for name in self._nodes:
             self._feed(name, Seeds(tuple(self._own)))
         turns = int(SECONDS / TURN_S)
@@ -80,13 +83,13 @@
                 self._feed(name, Period())
 
     def check(self) -> None:
-        """Check that live instances agree on who is live and who is leaving."""
+        """Check that the live instances agree on the live and the leaving ones."""
         wanted = {name for name in self._nodes if name not in self._dead}
         for name in sorted(wanted):
-            live = {one.instance_id: one.leaving for one in self._nodes[name].live}
-            late = {one for one, at in self._dead.items() if self._now - at < NOTICE_S}
+            live = {peer.instance_id: peer.leaving for peer in self._nodes[name].live}
+            just_died = {dead for dead, at in self._dead.items() if self._now - at < NOTICE_S}
             assert wanted <= set(live), f"{name} does not know {wanted - set(live)}"
-            extra = set(live) - wanted - late
+            extra = set(live) - wanted - just_died
             assert not extra, f"{name} still holds {extra} for live"
             if self._leaving in wanted:
                 assert live[self._leaving], f"{name} does not know that one is leaving"
@@ -100,7 +103,7 @@
             self._leaving = ""
 
     def _feed(self, name: str, event: MembershipEvent) -> None:
-        """Hand an event to an instance and carry out its actions."""
+        """Pass an event to an instance and carry out its actions."""
         if name in self._dead or self._paused.get(name, -1.0) > self._now:
             return
         self._strike(type(event).__name__, name)
@@ -112,48 +115,48 @@
                 self._send(name, action)
 
     def _strike(self, step: str, name: str) -> None:
-        """Let the faults of a step take effect."""
+        """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             if fault == "instance dies":
                 self._dead.setdefault(name, self._now)
             elif fault == "instance paused":
                 self._paused[name] = self._now + PAUSE_S
             elif fault == "instance restarts" and name != self._leaving:
-                own = next(one for one in self._own if one.instance_id == name)
-                self._nodes[name] = self._fresh(own, 2 + int(self._now * 1000))
+                own = next(instance for instance in self._own if instance.instance_id == name)
+                self._nodes[name] = self._new_controller(own, 2 + int(self._now * 1000))
                 self._nodes[name].handle(Seeds(tuple(self._own)), self._now)
             elif fault == "link cut":
                 self._cut, self._cut_until = frozenset({"i0", "i1"}), self._now + 1.0
             else:
-                self._next = fault
+                self._next_send_fault = fault
 
     def _send(self, sender: str, action: SendTo) -> None:
         """Send a message, as the network's faults allow."""
-        fault, self._next = self._next, ""
+        fault, self._next_send_fault = self._next_send_fault, ""
         if fault == "message lost":
             return
         if self._now < self._cut_until and {sender, action.recipient} == self._cut:
             return
         at = self._now + (1.0 if fault == "message late" else 0.002)
         for _ in range(2 if fault == "message twice" else 1):
-            self._flying.append((at, action.recipient, action.message))
+            self._in_flight.append((at, action.recipient, action.message))
 
     def _deliver(self) -> None:
-        """Deliver what is due; answers may follow at once."""
+        """Deliver the messages that are due; replies may be due at once as well."""
         for _ in range(4):
-            due = [one for one in self._flying if one[0] <= self._now]
+            due = [delivery for delivery in self._in_flight if delivery[0] <= self._now]
             if not due:
                 return
-            self._flying = [one for one in self._flying if one[0] > self._now]
+            self._in_flight = [delivery for delivery in self._in_flight if delivery[0] > self._now]
             for _, recipient, message in due:
                 if self._paused.get(recipient, -1.0) > self._now:
-                    self._flying.append((self._paused[recipient], recipient, message))
+                    self._in_flight.append((self._paused[recipient], recipient, message))
                 else:
                     self._feed(recipient, message)
 
 
 def run_membership(script: Script) -> None:
-    """Run the members under a script and check that they agree."""
+    """Run the instances with the faults of a script, and check that they agree."""
     world = MembershipWorld(script)
     world.run()
     world.check()
--- a/features/worlds/paths.py
+++ b/features/worlds/paths.py
@@ -1,4 +1,4 @@
-"""List the paths of the matrix with their steps, faults and message types."""
+"""The paths of the fault matrix, with their steps, faults and message types."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """Hold one path of the matrix."""
+    """A path of the fault matrix."""
 
     steps: tuple[str, ...]
     faults: tuple[str, ...]
     run: Callable[[Script], None]
     types: tuple[Any, Any]
-    """The unions of events and of actions that the code itself defines."""
+    """The unions of events and of actions, as defined in the product code."""
     pairs: bool = True
 
     def type_names(self) -> set[str]:
-        """Return the names of all events and actions in the code."""
-        return {one.__name__ for union in self.types for one in typing.get_args(union)}
+        """Return the names of all events and actions in the product code."""
+        return {message.__name__ for union in self.types for message in typing.get_args(union)}
 
 
 PATHS: Final = {
--- a/features/worlds/placement_world.py
+++ b/features/worlds/placement_world.py
@@ -1,4 +1,4 @@
-"""Order two engines from two holders of a lease, one of which is paused."""
+"""Simulation of model placement on two engines by two lease holders, one of them paused."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 
 class PlacementWorld:
-    """Hold the lease, two holders and two engines: one checks fences, one does not."""
+    """Simulate the lease, two holders and two engines, of which one checks fencing tokens."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
         self._now = 0.0
         self._holders = [PlacementController("a"), PlacementController("b")]
@@ -61,17 +61,17 @@
         self._wanted = "model-1"
         self._loaded = {"checking": "", "trusting": ""}
         self._fence = {"checking": 0, "trusting": 0}
-        self._flying: list[tuple[float, OrderLoad]] = []
+        self._in_flight: list[tuple[float, OrderLoad]] = []
         self._deferred: list[Callable[[], None]] = []
-        """What a paused holder does first when it wakes up."""
+        """Work that a paused holder does first when it resumes."""
 
     def run(self) -> None:
-        """Run a while; what is wanted changes when the first holder is replaced."""
+        """Run all turns; the wanted model changes halfway."""
         for turn in range(TURNS):
             self._now += TURN_S
             if turn == TURNS // 2:
                 self._wanted = "model-2"
-            self._land()
+            self._deliver_due()
             if not self._is_paused(0):
                 deferred, self._deferred = self._deferred, []
                 for work in deferred:
@@ -83,26 +83,26 @@
             self._two_first = max(0, self._two_first - 1)
 
     def check(self) -> None:
-        """Check that both engines serve what is wanted in the end."""
+        """Check that both engines serve the wanted model in the end."""
         assert self._loaded == {"checking": "model-2", "trusting": "model-2"}, str(self._loaded)
 
     def _first(self) -> int:
-        """Return who ranks first: the second holder while the first is paused."""
+        """Return the holder that ranks first: the second one while the first is paused."""
         return 1 if self._now < self._paused_until else 0
 
     def _is_paused(self, index: int) -> bool:
-        """Tell whether a holder is paused."""
+        """Return True if a holder is paused."""
         return index == 0 and self._now < self._paused_until
 
     def _rows(self) -> tuple[WantedModel, ...]:
-        """Return what is wanted and loaded."""
+        """Return the wanted and the loaded model of each engine."""
         return tuple(
             WantedModel(name, self._wanted, loaded or "none", name == "checking")
             for name, loaded in self._loaded.items()
         )
 
     def _feed(self, index: int, event: PlacementEvent) -> None:
-        """Hand an event to a holder and carry out its actions."""
+        """Pass an event to a holder and carry out its actions."""
         holder = self._holders[index]
         paused = self._strike(type(event).__name__, index)
         if self._holders[index] is not holder:
@@ -111,7 +111,7 @@
             self._deferred.append(lambda: self._feed(index, event))
             return
         for action in holder.handle(event, self._now):
-            # Paused right before a call, a holder makes it when it wakes up.
+            # A holder that is paused right before a call makes it when it resumes.
             paused = self._strike(type(action).__name__, index) or self._is_paused(index)
             if self._holders[index] is not holder:
                 return
@@ -121,13 +121,13 @@
                 self._act(index, action)
 
     def _act(self, index: int, action: PlacementAction) -> None:
-        """Carry out one action and hand its answer back."""
+        """Carry out one action and pass its result back."""
         follow_up = self._carry_out(action)
         if follow_up is not None:
             self._feed(index, follow_up)
 
     def _strike(self, step: str, index: int) -> bool:
-        """Let faults take effect; return whether the holder is paused now."""
+        """Inject the faults planned for a step; return True if they pause the holder."""
         paused = False
         for fault in self._script.at(step):
             if fault == "holder paused" and index == 0:
@@ -146,15 +146,15 @@
         return paused
 
     def _carry_out(self, action: PlacementAction) -> PlacementEvent | None:
-        """Carry out one action."""
+        """Carry out one action; as in the service, an order after its not_after is dropped."""
         if isinstance(action, OrderLoad):
             delay = 0.0
             if self._late_order:
                 self._late_order = False
                 delay = MAX_ORDER_S
             if self._now < action.not_after:
-                self._flying.append((self._now + delay, action))
-                self._land()
+                self._in_flight.append((self._now + delay, action))
+                self._deliver_due()
             return None
         if self._down:
             self._down -= 1
@@ -164,7 +164,7 @@
         return self._write(action)
 
     def _write(self, action: WriteLease) -> PlacementEvent:
-        """Apply a conditional update of the lease."""
+        """Apply a conditional write of the lease."""
         if action.expected != self._stored[0]:
             return LeaseLost()
         self._stored = (action.expected + 1, action.lease)
@@ -173,15 +173,15 @@
             return LeaseLost()
         return LeaseWritten(self._stored[0])
 
-    def _land(self) -> None:
-        """Let orders arrive; the shell drops what was paused past its time."""
-        due = [one for one in self._flying if one[0] <= self._now]
-        self._flying = [one for one in self._flying if one[0] > self._now]
+    def _deliver_due(self) -> None:
+        """Deliver the orders that are due."""
+        due = [delivery for delivery in self._in_flight if delivery[0] <= self._now]
+        self._in_flight = [delivery for delivery in self._in_flight if delivery[0] > self._now]
         for _, order in due:
-            self._arrive(order)
+            self._deliver(order)
 
-    def _arrive(self, order: OrderLoad) -> None:
-        """Let one order reach its engine."""
+    def _deliver(self, order: OrderLoad) -> None:
+        """Deliver one order to its engine."""
         name = order.runner_id
         if name == "checking" and order.fence < self._fence[name]:
             return
@@ -192,7 +192,7 @@
 
 
 def run_placement(script: Script) -> None:
-    """Run two holders under a script and check the promises."""
+    """Run two holders with the faults of a script, and check the guarantees."""
     world = PlacementWorld(script)
     world.run()
     world.check()
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -1,4 +1,4 @@
-"""Relay one request between a scripted owner, engines and a caller."""
+"""Simulation of one relayed request, with a scripted owner, engines and a caller."""
 
 from __future__ import annotations
 
@@ -70,10 +70,10 @@
 
 
 class RelayWorld:
-    """Hold one request's way; every event and action is a step."""
+    """Simulate one request; every event and every action is a step."""
 
     def __init__(self, script: Script) -> None:
-        """Take the faults that strike."""
+        """Initialize with the faults to inject."""
         self._script = script
         self._queue: deque[RelayEvent] = deque([Started()])
         self._machine = RelayMachine("r", RetryBudget())
@@ -89,7 +89,7 @@
         self.refused_before_run = False
 
     def run(self) -> None:
-        """Run to the end; the queue is bounded, so a loop would show."""
+        """Run to the end; the number of steps is bounded, so that an endless loop fails."""
         for _ in range(400):
             if not self._queue:
                 return
@@ -107,13 +107,13 @@
 
     @staticmethod
     def _handle(machine: RelayMachine, event: RelayEvent) -> list[RelayAction]:
-        """Hand an event over as the shell does: the next token takes the short way."""
+        """Pass an event as the service does: the next token takes the fast path."""
         if isinstance(event, TokenArrived) and machine.accept_token(event.generation, event.index):
             return [Deliver(event.generation, event.index, event.data)]
         return machine.handle(event)
 
     def check(self) -> None:
-        """Check the promises."""
+        """Check the guarantees of the relay."""
         generations = {name for name, _ in self.delivered}
         assert len(generations) <= 1, f"generations are mixed: {generations}"
         indexes = [index for _, index in self.delivered]
@@ -125,20 +125,20 @@
         assert self.end is not None or self.gone, "the caller has no final answer"
         assert not self.open_grants, f"grants are left open: {self.open_grants}"
         finished = next(iter(generations), "") if isinstance(self.end, Complete) else ""
-        left = set(self.runs) - self.cancelled - {finished} - self._ended_elsewhere()
-        assert not left, f"generations are left on engines: {left}"
+        leaked = set(self.runs) - self.cancelled - {finished} - self._ended_elsewhere()
+        assert not leaked, f"generations are left on engines: {leaked}"
 
     def _ended_elsewhere(self) -> set[str]:
-        """Return generations whose engine died or forgot them."""
+        """Return the generations whose engine died or forgot them."""
         return {name for name in self.runs if self._known.get(name) in (None, *self._dead)}
 
     def _strike(self, step: str) -> None:
-        """Let the faults of a step take effect."""
+        """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault)
 
     def _fault(self, fault: str) -> None:
-        """Let one fault take effect."""
+        """Inject one fault."""
         generation, runner = self._machine.generation, self._machine.runner_id
         if fault == "engine dies" and runner:
             self._dead.add(runner)
@@ -164,21 +164,21 @@
             self._next_fault = fault
 
     def _break(self, generation: str) -> None:
-        """Lose what was under way on the stream."""
+        """Break the stream, losing the events in transit."""
         if generation:
             self._drop_stream()
             self._queue.append(StreamFailed(generation, True, False, "broken by script"))
 
     def _drop_stream(self) -> None:
-        """Forget stream events that have not arrived."""
-        kept = (TokenArrived, StreamEnded)
-        self._queue = deque(one for one in self._queue if not isinstance(one, kept))
+        """Drop the stream events in transit."""
+        dropped = (TokenArrived, StreamEnded)
+        self._queue = deque(event for event in self._queue if not isinstance(event, dropped))
 
     def _move_entry(self) -> None:
-        """Let the entry die; the caller comes back elsewhere with its last token."""
+        """Let the entry die; the caller resumes at another entry after its last token."""
         if self.end is not None or self.gone or self._machine.is_done:
             return
-        # The owner drops a dead entry's grants; the engine drops what nobody reads.
+        # The owner closes a dead entry's grants; engines cancel streams without a reader.
         self.open_grants.clear()
         self._queue.clear()
         if not self.delivered:
@@ -194,14 +194,14 @@
         self._queue.append(ResumeRequested(runner, name, index + 1))
 
     def _take_fault(self, *names: str) -> str:
-        """Return the waiting fault if it is one of these, and clear it."""
+        """Return and clear the pending fault if it is one of these."""
         fault = self._next_fault if self._next_fault in names else ""
         if fault:
             self._next_fault = ""
         return fault
 
     def _carry_out(self, action: RelayAction) -> None:
-        """Carry out one action in the world."""
+        """Carry out one action."""
         match action:
             case RequestGrant():
                 self._grant(action)
@@ -226,7 +226,7 @@
             self._queue.append(GrantRefused(problem))
             return
         runners = [f"engine-{index}" for index in range(1, 5)]
-        free = [one for one in runners if one not in action.avoid]
+        free = [runner for runner in runners if runner not in action.avoid]
         self.open_grants.add(action.grant_id)
         self._queue.append(GrantReceived(free[0], 0))
 
@@ -241,7 +241,7 @@
         self._send_tokens(action.generation, 0)
 
     def _resume(self, action: ResumeStream) -> None:
-        """Answer as the engine that is asked to go on."""
+        """Answer as the engine that should resume a generation."""
         self._drop_stream()
         if action.runner_id in self._dead or self._take_fault("connection refused"):
             self._queue.append(StreamFailed(action.generation, False, False, "no connection"))
@@ -251,7 +251,7 @@
             self._send_tokens(action.generation, action.next_index)
 
     def _send_tokens(self, generation: str, begin: int) -> None:
-        """Send the tokens from an index, and the end."""
+        """Send the tokens from an index on, and the end."""
         for index in range(begin, TOKENS):
             fault = self._take_fault("token twice", "token lost")
             if fault == "token lost" or (
@@ -265,7 +265,7 @@
 
 
 def run_relay(script: Script) -> None:
-    """Run one request under a script and check the promises."""
+    """Run one request with the faults of a script, and check the guarantees."""
     world = RelayWorld(script)
     world.run()
     world.check()
--- a/features/worlds/samples.py
+++ b/features/worlds/samples.py
@@ -1,4 +1,4 @@
-"""Hold what several tests start from."""
+"""Sample values shared by several tests."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def request_of(name: str, workspace: str = "w", tokens: int = 600) -> Request:
-    """Return a request for tests."""
+    """Return a sample request."""
     return Request(name, workspace, "chat", "m", tokens, 1_000, (PrefixMark(len(name), tokens),))
