--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -89,7 +89,7 @@
     sent_at: list[float] = field(default_factory=list)
     ranks: list[int] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)
-    untold: int = 0
+    uninformed_sends: int = 0
     """Sends of instances that have just started and know of no limit yet; counted apart."""
     questions: int = 0
 
@@ -198,7 +198,7 @@
         """Let an instance get leave for a request."""
         if not member.knows_limit:
             # It learns of the limit by the answer, or from others before.
-            self.outcome.untold += 1
+            self.outcome.uninformed_sends += 1
             return
         if self._load.way is Way.EVEN:
             part = ColdPart.of_instance(self._limit, member.count.value, placed=False)
