--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -196,6 +196,6 @@
     def check(past: list[Step], order: list[Step], knows_past: bool) -> None:
         world = FleetWorld(past, knows_past=knows_past)
         for drawn in order:
-            world.take(drawn)
+            world.run_step(drawn)
 
     check()
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -98,7 +98,7 @@
         if not knows_past:
             self._tell_list()
 
-    def take(self, drawn: Step) -> None:
+    def run_step(self, drawn: Step) -> None:
         """Take one step and check what the fleet makes of it."""
         {
             StepKind.WRITE: self._write,
