--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-UNKNOWN_KEPT_S: Final = 10.0
+UNKNOWN_RETENTION_S: Final = 10.0
 """How long the limit of an upstream that is not known here is kept: a new instance may learn of
 limits before it learns of upstreams, which takes two seconds at most."""
 
@@ -103,7 +103,7 @@
     def keep_only(self, upstream_ids: set[str], now: float) -> None:
         """Forget the limits of removed upstreams."""
         for upstream_id, known in list(self._known.items()):
-            if upstream_id not in upstream_ids and now - known.at > UNKNOWN_KEPT_S:
+            if upstream_id not in upstream_ids and now - known.at > UNKNOWN_RETENTION_S:
                 del self._known[upstream_id]
 
 
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -14,7 +14,7 @@
 
 from driftstall.decisions import permits
 from driftstall.decisions.permits import Allowance, Denial, Permit, RetryTimes, SendNeed
-from driftstall.decisions.rate_limits import UNKNOWN_KEPT_S, RateLimitTracker
+from driftstall.decisions.rate_limits import UNKNOWN_RETENTION_S, RateLimitTracker
 from features.worlds import permit_world
 from features.worlds.permit_world import (
     UPSTREAM,
@@ -269,7 +269,7 @@
 @then("it is forgotten once its upstream is gone")
 def forgotten(context: Any) -> None:
     """Let it go, some time after."""
-    context.book.keep_only(set(), 10.0 + UNKNOWN_KEPT_S + 0.1)
+    context.book.keep_only(set(), 10.0 + UNKNOWN_RETENTION_S + 0.1)
     assert context.book.reports == ()
 
 
