--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -271,7 +271,7 @@
     ) -> None:
         """Mark an upstream as leaving whose entry is missing, at the earliest since then.
 
-        With is_certain the entry has not merely lapsed; with may_be_lost the store may have lost it.
+        With is_certain the entry has not just lapsed; with may_be_lost the store may have lost it.
         """
         entry = self._entries[name]
         if revision < entry.upstream.revision:
