--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -172,8 +172,8 @@
     """Count."""
     each(
         context,
-        lambda one: one.questions <= most * (MINUTE_S - WARM_UP_S),
-        lambda one: one.questions / (MINUTE_S - WARM_UP_S),
+        lambda one: one.permit_requests <= most * (MINUTE_S - WARM_UP_S),
+        lambda one: one.permit_requests / (MINUTE_S - WARM_UP_S),
     )
 
 
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -91,7 +91,7 @@
     waits: list[float] = field(default_factory=list)
     uninformed_sends: int = 0
     """Sends of instances that have just started and know of no limit yet; counted apart."""
-    questions: int = 0
+    permit_requests: int = 0
 
     def most_in(self, window_s: float, since: float = 0.0, until: float = float("inf")) -> int:
         """Return the most sends within a window."""
@@ -210,7 +210,7 @@
             return
         need = SendNeed(self._load.most_wait_s, rank)
         owner = self._members[self._owner(member)]
-        self.outcome.questions += 1
+        self.outcome.permit_requests += 1
         if owner is member:
             self._take(member, self._verdict(owner, need), rank)
         elif not self._reaches(member, owner):
