--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -60,7 +60,7 @@
     """Tell that the connection has ended or rests for too long."""
 
 
-class _RequestParser:
+class _RequestBuilder:
     """Build requests from what the parser finds; httptools calls the on_ methods."""
 
     def __init__(self, limits: Limits) -> None:
@@ -158,7 +158,7 @@
         """Take the accepted connection."""
         self._connection = connection
         self._limits = limits
-        self._request_parser = _RequestParser(limits)
+        self._request_parser = _RequestBuilder(limits)
         self._parser = httptools.HttpRequestParser(self._request_parser)
         self._request_parser.parser = self._parser
         self._broken = False
