--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -9,7 +9,7 @@
 from driftstall.decisions.fairness import FairQueue, WaitingRequest
 from driftstall.decisions.limits import TokenBucket
 from driftstall.decisions.retry_schedule import (
-    FLOOR_RATE,
+    MIN_TOKENS_PER_S,
     QueueReservations,
     ServiceRate,
     forecast_wait,
@@ -66,7 +66,7 @@
         """Remove a granted request and charge its workspace."""
         rank = item.verdict.rank
         self._queues[rank].serve(item)
-        self._rates.setdefault(rank, ServiceRate(FLOOR_RATE)).add(item.cost, now)
+        self._rates.setdefault(rank, ServiceRate(MIN_TOKENS_PER_S)).add(item.cost, now)
         del self._waiting[item.request.request_id]
 
     def discard(self, request_id: str) -> WaitingRequest | None:
@@ -112,7 +112,7 @@
             total=queue.cost + promises.cost,
             active=max(queue.active, promises.active),
             cost=cost,
-            rate=max(sum(rates), FLOOR_RATE),
+            rate=max(sum(rates), MIN_TOKENS_PER_S),
         )
 
 
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -18,7 +18,7 @@
 GRACE_S: Final = 5.0
 """Seconds for which a reservation is kept past its time."""
 RATE_HALF_LIFE_S: Final = 20.0
-FLOOR_RATE: Final = 50.0
+MIN_TOKENS_PER_S: Final = 50.0
 """Minimum rate that is assumed, in granted tokens a second."""
 
 
