--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -101,21 +101,29 @@
 def spaced(context: Any) -> None:
     """Count."""
     most = 4 * context.load.limit + permits.BURST_PERMITS + 1
-    each(context, lambda one: one.most_in(4.0) <= most, lambda one: (one.most_in(4.0), most))
+    each(
+        context,
+        lambda one: one.max_sends_within(4.0) <= most,
+        lambda one: (one.max_sends_within(4.0), most),
+    )
 
 
 @then("in any 4 s there are at most one and a half times the limit and 5 sends")
 def allowed(context: Any) -> None:
     """Count."""
     most = 6 * context.load.limit + 5
-    each(context, lambda one: one.most_in(4.0) <= most, lambda one: (one.most_in(4.0), most))
+    each(
+        context,
+        lambda one: one.max_sends_within(4.0) <= most,
+        lambda one: (one.max_sends_within(4.0), most),
+    )
 
 
 @then("in some 4 s there are more than one and a half times the limit and 5 sends")
 def not_allowed(context: Any) -> None:
     """Count."""
     most = 6 * context.load.limit + 5
-    found = [one.most_in(4.0) for one in context.outcomes]
+    found = [one.max_sends_within(4.0) for one in context.outcomes]
     assert max(found) > most, (found, most)
 
 
@@ -146,7 +154,11 @@
     """Count."""
     since = MINUTE_S / 2 + seconds
     most = 4 * context.load.falls_to + permits.BURST_PERMITS + 1
-    each(context, lambda one: one.most_in(4.0, since) <= most, lambda one: one.most_in(4.0, since))
+    each(
+        context,
+        lambda one: one.max_sends_within(4.0, since) <= most,
+        lambda one: one.max_sends_within(4.0, since),
+    )
 
 
 @then(
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -93,7 +93,9 @@
     """Sends of instances that have just started and know of no limit yet; counted apart."""
     permit_requests: int = 0
 
-    def most_in(self, window_s: float, since: float = 0.0, until: float = float("inf")) -> int:
+    def max_sends_within(
+        self, window_s: float, since: float = 0.0, until: float = float("inf")
+    ) -> int:
         """Return the most sends within a window."""
         times = sorted(at for at in self.sent_at if since <= at < until)
         most, begin = 0, 0
