--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -158,25 +158,25 @@
         """Take the accepted connection."""
         self._connection = connection
         self._limits = limits
-        self._request_parser = _RequestBuilder(limits)
-        self._parser = httptools.HttpRequestParser(self._request_parser)
-        self._request_parser.parser = self._parser
+        self._builder = _RequestBuilder(limits)
+        self._parser = httptools.HttpRequestParser(self._builder)
+        self._builder.parser = self._parser
         self._broken = False
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
     def is_idle(self) -> bool:
         """Tell whether no byte of a next request has arrived."""
-        return self._request_parser.begun_at is None and not self._request_parser.requests
+        return self._builder.begun_at is None and not self._builder.requests
 
     def next(self) -> CallerRequest | Malformed | Closed:
         """Wait for the next request."""
         rest_until = clock.now() + self._limits.idle_timeout_s
         while True:
-            if self._request_parser.requests:
-                return self._request_parser.requests.popleft()
-            if self._request_parser.fault is not None:
-                return self._request_parser.fault
+            if self._builder.requests:
+                return self._builder.requests.popleft()
+            if self._builder.fault is not None:
+                return self._builder.fault
             if self._broken:
                 return Closed()
             self._continue_if_wanted()
@@ -204,17 +204,17 @@
 
     def _read_until(self, rest_until: float) -> float:
         """Return until when the next bytes must arrive."""
-        begun_at = self._request_parser.begun_at
+        begun_at = self._builder.begun_at
         if begun_at is None:
             return rest_until
         until = begun_at + self._limits.header_timeout_s
-        if self._request_parser.head_done:
-            until += self._request_parser.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
+        if self._builder.head_done:
+            until += self._builder.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
         return until
 
     def _too_slow(self) -> Malformed | Closed:
         """Return what a caller gets that sends too slowly."""
-        if self._request_parser.begun_at is None:
+        if self._builder.begun_at is None:
             return Closed()
         return Malformed(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in time")
 
@@ -226,14 +226,14 @@
             # No other protocol is spoken here: the request is answered, the rest is not read.
             self._broken = True
         except (httptools.HttpParserError, httptools.HttpParserCallbackError) as fault:
-            known = self._request_parser.fault
+            known = self._builder.fault
             detail = f"the request is malformed: {fault}"
-            self._request_parser.fault = known or Malformed(HTTPStatus.BAD_REQUEST, detail)
+            self._builder.fault = known or Malformed(HTTPStatus.BAD_REQUEST, detail)
 
     def _continue_if_wanted(self) -> None:
         """Ask for the body where the caller waits for that."""
-        if self._request_parser.wants_continue and self._request_parser.head_done:
-            self._request_parser.wants_continue = False
+        if self._builder.wants_continue and self._builder.head_done:
+            self._builder.wants_continue = False
             self.write(CONTINUE)
 
     def write(self, data: bytes) -> bool:
