--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -21,7 +21,7 @@
 from driftstall.platform.feeds import cordon_feed
 from driftstall.platform.names import KIND_CORDONS, KIND_UPSTREAMS
 from driftstall.platform.store import Listing, Store, StoredObject
-from features.steps.gateway_node_steps import Gate, start_node, wait_long
+from features.steps.gateway_node_steps import StoreProxy, start_node, wait_long
 from features.worlds.gateway_world import (
     GatewayWorld,
     assert_told_to_come_back,
@@ -331,7 +331,7 @@
     second = context.upstreams[1]
     spec = entry_spec(second.address, "portal", slots=6, zone="b")
     assert context.store.replace(KIND_UPSTREAMS, second.upstream_id, spec) is not None
-    context.gate = Gate(context.store_address)
+    context.gate = StoreProxy(context.store_address)
     context.add_cleanup(context.gate.stop)
     context.bounds = {"graceS": 2, "ttl_max_s": 1, "evacuateMs": CORDON_S * 1000}
     start_node(context, context.store_address, bounds=context.bounds)
@@ -376,7 +376,7 @@
 @then("so does a third one that starts while the store cannot be reached from it")
 def third_starts(context: Any) -> None:
     """Start one behind a gate that is shut, and ask it alone."""
-    shut = Gate(context.store_address)
+    shut = StoreProxy(context.store_address)
     shut.close_gate()
     context.add_cleanup(shut.stop)
     seeds = [context.nodes[0].listen["control"]]
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -32,7 +32,7 @@
 PROCESS_WAIT_S = 15.0
 
 
-class Gate:
+class StoreProxy:
     """Pass connections on to the store until it is shut."""
 
     def __init__(self, target: str) -> None:
@@ -149,7 +149,7 @@
 @given("a gateway process, and one more that reaches the store through a gate")
 def start_gated(context: Any) -> None:
     """Start two processes, one behind a gate."""
-    context.gate = Gate(context.store_address)
+    context.gate = StoreProxy(context.store_address)
     context.add_cleanup(context.gate.stop)
     start_node(context, context.store_address)
     start_node(context, context.gate.address)
@@ -165,7 +165,7 @@
 @given("one more that reaches the store through a gate that is shut")
 def start_shut(context: Any) -> None:
     """Start one process that only a seed tells anything."""
-    context.gate = Gate(context.store_address)
+    context.gate = StoreProxy(context.store_address)
     context.gate.close_gate()
     context.add_cleanup(context.gate.stop)
     start_node(context, context.gate.address, seeds=[context.nodes[0].listen["control"]])
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -12,13 +12,13 @@
 from gevent.event import Event
 
 from driftstall.platform.names import KIND_CONFIG, KIND_UPSTREAMS
-from features.steps.gateway_node_steps import Gate, start_node, wait_long
+from features.steps.gateway_node_steps import StoreProxy, start_node, wait_long
 
 POLL_S = 0.02
 KINDS = {"servers": KIND_UPSTREAMS, "config": KIND_CONFIG}
 
 
-class SilencingGate(Gate):
+class SilencingGate(StoreProxy):
     """Pass connections on; let those that are open fall silent at a chosen question."""
 
     def __init__(self, target: str) -> None:
