--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -40,7 +40,7 @@
 from driftstall.decisions.lengths import LengthModel
 from driftstall.decisions.memory import MemoryForecast, forecast_request, quantile
 from driftstall.decisions.retry_schedule import (
-    GRACE_S,
+    RESERVATION_GRACE_S,
     retry_after,
 )
 from driftstall.decisions.routing import Choice, RunnerView, choose
@@ -278,7 +278,7 @@
         """Refuse a request with a retry time, and reserve its place in the queue until then."""
         after = retry_after(wait_s, self._source)
         ticket = request.request_id
-        until = now + after + GRACE_S
+        until = now + after + RESERVATION_GRACE_S
         self._queues_by_rank.reserve_place(verdict.rank, ticket, request.workspace, cost, until)
         reason = f"{self.waiting} wait, the forecast wait is {wait_s:.1f} s"
         self._refuse(entry, request, CODE_REFUSED, after, ticket, reason)
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -15,7 +15,7 @@
 MAX_RETRY_S: Final = 600.0
 JITTER: Final = 0.1
 """Share of the time that is added at random, so that callers do not return at once."""
-GRACE_S: Final = 5.0
+RESERVATION_GRACE_S: Final = 5.0
 """Seconds for which a reservation is kept past its time."""
 RATE_HALF_LIFE_S: Final = 20.0
 MIN_TOKENS_PER_S: Final = 50.0
