--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -23,7 +23,7 @@
     PermitLoad,
     PermitOutcome,
     PermitWorld,
-    Way,
+    SharingMode,
 )
 
 MINUTE_S = 60.0
@@ -45,13 +45,13 @@
 @given("{count:d} instances that share {limit:g} requests a second, one of which is asked")
 def asked_fleet(context: Any, count: int, limit: float) -> None:
     """Keep what is to be played."""
-    context.fleet, context.way = (count, limit), Way.ASKED
+    context.fleet, context.way = (count, limit), SharingMode.ASKED
 
 
 @given("{count:d} instances that share {limit:g} requests a second in even parts")
 def even_fleet(context: Any, count: int, limit: float) -> None:
     """Keep what is to be played."""
-    context.fleet, context.way = (count, limit), Way.EVEN
+    context.fleet, context.way = (count, limit), SharingMode.EVEN
 
 
 @given("each gives the whole limit, whatever it hears of the fleet, and at once")
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -43,7 +43,7 @@
 SPLIT_OFF: Final = 1
 
 
-class Way(StrEnum):
+class SharingMode(StrEnum):
     """Name a way in which a limit is shared."""
 
     ASKED = "one instance is asked"
@@ -74,7 +74,7 @@
     """How long each can wait for its turn; zero where peers of the upstream take it."""
     fault: Fault = Fault.NONE
     fault_every_s: float = 4.0
-    way: Way = Way.ASKED
+    way: SharingMode = SharingMode.ASKED
     seconds: float = 120.0
     falls_to: float = 0.0
     """The limit falls to this in the middle; zero for never."""
@@ -202,7 +202,7 @@
             # It learns of the limit by the answer, or from others before.
             self.outcome.uninformed_sends += 1
             return
-        if self._load.way is Way.EVEN:
+        if self._load.way is SharingMode.EVEN:
             part = ColdPart.of_instance(self._limit, member.count.value, placed=False)
             if not member.slots.wait_s(UPSTREAM, part, self._now):
                 member.slots.take(UPSTREAM, part)
