--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -53,7 +53,7 @@
 Item = ResponseHead | BodyChunk | ResponseEnd
 
 
-class _ResponseParser:
+class _ResponseBuilder:
     """Collect what the parser finds; httptools calls these methods."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
     def __init__(self, connection: socket.socket) -> None:
         """Take the open connection."""
         self._connection = connection
-        self._reader = _ResponseParser()
+        self._reader = _ResponseBuilder()
         self._parser = httptools.HttpResponseParser(self._reader)
         self._reader.parser = self._parser
         self._framed = True
