--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -18,7 +18,7 @@
 KINDS = {"servers": KIND_UPSTREAMS, "config": KIND_CONFIG}
 
 
-class SilencingGate(StoreProxy):
+class SilencingProxy(StoreProxy):
     """Pass connections on; let those that are open fall silent at a chosen question."""
 
     def __init__(self, target: str) -> None:
@@ -58,7 +58,7 @@
 @given("a gateway process whose way to the store is a gate")
 def start_behind_gate(context: Any) -> None:
     """Start one process behind a gate, and wait until it serves."""
-    context.gate = SilencingGate(context.store_address)
+    context.gate = SilencingProxy(context.store_address)
     context.add_cleanup(context.gate.stop)
     bounds = {"contactMs": 3000, "drainMs": 2000, "graceS": 2, "ttl_max_s": 1}
     start_node(context, context.gate.address, bounds=bounds)
