--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -73,7 +73,7 @@
         before = self._assumed_until.get(upstream_id, now)
         self._assumed_until[upstream_id] = max(before, now + for_s)
 
-    def ends_in_s(self, upstream_id: str, now: float) -> float:
+    def remaining_s(self, upstream_id: str, now: float) -> float:
         """Return for how long an upstream is still cold; zero if it is not."""
         reported = self._until.get(upstream_id, now)
         assumed = self._assumed_until.get(upstream_id, now)
--- a/driftstall/gateway/cold_gate.py
+++ b/driftstall/gateway/cold_gate.py
@@ -40,7 +40,7 @@
     def wait_s(self, upstream: Upstream) -> float:
         """Return the time in seconds until an upstream may be sent a request; zero for now."""
         now = self._now()
-        cold_s = self._cold.ends_in_s(upstream.upstream_id, now)
+        cold_s = self._cold.remaining_s(upstream.upstream_id, now)
         part = self._part(upstream.service) if cold_s else None
         if part is None:
             return 0.0
@@ -48,7 +48,7 @@
 
     def record_send(self, upstream: Upstream) -> None:
         """Use up the current slot of an upstream if it is cold."""
-        is_cold = self._cold.ends_in_s(upstream.upstream_id, self._now()) > 0
+        is_cold = self._cold.remaining_s(upstream.upstream_id, self._now()) > 0
         part = self._part(upstream.service) if is_cold else None
         if part is not None:
             self._slots.take(upstream.upstream_id, part)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -236,7 +236,7 @@
             use,
             self.outcomes.penalty(upstream_id, upstream.service, now),
             self.outcomes.is_ejected(upstream_id, now),
-            self.cold.ends_in_s(upstream_id, now),
+            self.cold.remaining_s(upstream_id, now),
             self.rate_limiting.is_limited(upstream_id),
         )
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -117,7 +117,7 @@
     """Note it."""
     context.cold = ColdStarts()
     context.cold.record_cold("u1", seconds, 0.0)
-    assert context.cold.ends_in_s("u1", 0.5) == seconds - 0.5
+    assert context.cold.remaining_s("u1", 0.5) == seconds - 0.5
 
 
 @when("it says {seconds:g} s later that it is not")
@@ -130,7 +130,7 @@
 @then("it is cold no more")
 def warm(context: Any) -> None:
     """Ask."""
-    assert context.cold.ends_in_s("u1", context.now) == 0.0
+    assert context.cold.remaining_s("u1", context.now) == 0.0
 
 
 @then("one whose zone's cordon was just lifted is cold for {seconds:g} s whatever it says")
@@ -144,7 +144,7 @@
     assert (action.upstream.upstream_id, action.for_s) == ("u2", ASSUMED_COLD_S)
     context.cold.assume("u2", action.for_s, 1.0)
     context.cold.record_cold("u2", 0.0, 1.1)
-    assert context.cold.ends_in_s("u2", 1.0) == seconds
+    assert context.cold.remaining_s("u2", 1.0) == seconds
 
 
 @given("a fleet that knows an upstream which was cold for 1 s")
