--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -100,9 +100,9 @@
     def __init__(self, connection: socket.socket) -> None:
         """Take the open connection."""
         self._connection = connection
-        self._reader = _ResponseBuilder()
-        self._parser = httptools.HttpResponseParser(self._reader)
-        self._reader.parser = self._parser
+        self._builder = _ResponseBuilder()
+        self._parser = httptools.HttpResponseParser(self._builder)
+        self._builder.parser = self._parser
         self._framed = True
         self._at_end = False
         self.sent_at = 0.0
@@ -171,13 +171,13 @@
         A timeout raises TimeoutError and leaves the exchange as it was.
         """
         until = clock.now() + timeout_s
-        while not self._reader.items:
+        while not self._builder.items:
             left = until - clock.now()
             if left <= 0:
                 raise TimeoutError("nothing arrived in time")
             self._connection.settimeout(min(left, clock.LONGEST_WAIT_S))
             self._receive()
-        item = self._reader.items.popleft()
+        item = self._builder.items.popleft()
         if isinstance(item, ResponseHead):
             self._framed = item.framed
         return item
@@ -200,11 +200,11 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            if not self._reader.items:
+            if not self._builder.items:
                 detail = f"the answer is none of the protocol: {type(fault).__name__}"
                 raise UpstreamError(detail, sent=True) from fault
         finally:
-            heads, self._reader.new_heads = self._reader.new_heads, []
+            heads, self._builder.new_heads = self._builder.new_heads, []
             for head in heads:
                 self.observe(head)
 
@@ -216,7 +216,7 @@
         if self._framed or self._at_end:
             raise UpstreamError("the answer ended early", sent=True)
         self._at_end = True
-        self._reader.items.append(ResponseEnd())
+        self._builder.items.append(ResponseEnd())
 
 
 def _ignore(_: ResponseHead) -> None:
