--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -377,7 +377,7 @@
 def third_starts(context: Any) -> None:
     """Start one behind a gate that is shut, and ask it alone."""
     shut = StoreProxy(context.store_address)
-    shut.close_gate()
+    shut.shut_down()
     context.add_cleanup(shut.stop)
     seeds = [context.nodes[0].listen["control"]]
     start_node(context, shut.address, bounds=context.bounds, seeds=seeds)
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -50,7 +50,7 @@
         """Return where it listens."""
         return f"127.0.0.1:{self._server.server_port}"
 
-    def close_gate(self) -> None:
+    def shut_down(self) -> None:
         """Cut all connections and take no more."""
         self.shut = True
         for one in self._open:
@@ -166,7 +166,7 @@
 def start_shut(context: Any) -> None:
     """Start one process that only a seed tells anything."""
     context.gate = StoreProxy(context.store_address)
-    context.gate.close_gate()
+    context.gate.shut_down()
     context.add_cleanup(context.gate.stop)
     start_node(context, context.gate.address, seeds=[context.nodes[0].listen["control"]])
 
@@ -207,14 +207,14 @@
 @when("the gate is shut and a newer routing configuration is stored")
 def shut_and_store(context: Any) -> None:
     """Cut one process off from the store, then change the configuration."""
-    context.gate.close_gate()
+    context.gate.shut_down()
     store_newer(context)
 
 
 @when("the gate is shut and a newer routing configuration of {count:d} routes is stored")
 def shut_and_store_large(context: Any, count: int) -> None:
     """Cut one process off, then store a configuration that only its peer can pass on."""
-    context.gate.close_gate()
+    context.gate.shut_down()
     newer = document(9)
     newer["routes"] += [route(f"r-{n}", f"/many{n}/", "safe", "portal") for n in range(count)]
     newer["routes"].append(route("added", "/added/", "safe", "portal"))
