--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -144,7 +144,7 @@
             publish=self._peering.publish_suspicion,
         )
         self.state.on_upstream_suspected = self._upstream_prober.probe_soon
-        self.state.signals.leaving = self._handle_leaving_signal
+        self.state.signals.on_leaving = self._handle_leaving_signal
         self._crash_persistence = CrashPersistence(self.state, access.crashes, self._roles)
         crash_detector = CrashDetector(
             self.state,
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -43,7 +43,7 @@
         self._fleet = fleet
         self._backoff = backoff
         self._now = now
-        self.leaving: Callable[[str], None] = _ignore
+        self.on_leaving: Callable[[str], None] = _ignore
         """Takes the id of an upstream that signals that it leaves."""
         self._unknown: set[str] = set()
 
@@ -100,7 +100,7 @@
             state=upstream.state.value,
             revision=upstream.revision,
         )
-        self.leaving(upstream.upstream_id)
+        self.on_leaving(upstream.upstream_id)
 
     @_handle.register
     def _(self, signal: BackoffSignal, upstream: Upstream, sent_at: float) -> None:
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -70,7 +70,7 @@
             context.leaving.append(upstream_id)
             usual(upstream_id)
 
-    world.state.signals.leaving = first_only
+    world.state.signals.on_leaving = first_only
     RESPONSES[response](world)
     wait_for("an upstream has signalled", lambda: bool(context.leaving))
 
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -127,7 +127,7 @@
         self.state = GatewayState(settings, PlatformDialect(), default_policy())
         self._ahead_s = 0.0
         self.state.now = lambda: clock.now() + self._ahead_s  # type: ignore[method-assign]
-        self.state.signals.leaving = self.signalled_leaving
+        self.state.signals.on_leaving = self.signalled_leaving
         self.current = True
         self.mover = Mover(self.state)
         self.evacuation = Evacuation(self.state, self.mover)
