--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -24,7 +24,7 @@
 from features.steps.gateway_node_steps import StoreProxy, start_node, wait_long
 from features.worlds.gateway_world import (
     GatewayWorld,
-    assert_told_to_come_back,
+    assert_refused_with_retry_after,
     runs,
     script_all,
     wait_for,
@@ -290,7 +290,7 @@
     world, began = world_of(context), time.monotonic()
     answer = world.ask("/stream/a", "s1")
     assert time.monotonic() - began < seconds
-    assert_told_to_come_back(answer)
+    assert_refused_with_retry_after(answer)
 
 
 @then('a call is still served once zone "a" is free again')
--- a/features/steps/gateway_call_steps.py
+++ b/features/steps/gateway_call_steps.py
@@ -13,7 +13,7 @@
 from features.worlds.gateway_world import (
     KEY,
     GatewayWorld,
-    assert_told_to_come_back,
+    assert_refused_with_retry_after,
     request_bytes,
     runs,
     script_all,
@@ -109,7 +109,7 @@
 @then("the answer is 503 and tells when to come back")
 def come_back(context: Any) -> None:
     """Check a refusal that names a time."""
-    assert_told_to_come_back(context.answer)
+    assert_refused_with_retry_after(context.answer)
 
 
 @then("it came within {seconds:g} s")
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.loads import Use
 from features.worlds.gateway_world import (
     GatewayWorld,
-    assert_told_to_come_back,
+    assert_refused_with_retry_after,
     read_response,
     request_bytes,
     runs,
@@ -344,7 +344,7 @@
 def new_stream_refused(context: Any) -> None:
     """Ask for a stream that would outlast the grace time."""
     answer = world_of(context).ask("/stream/a", "s2")
-    assert_told_to_come_back(answer)
+    assert_refused_with_retry_after(answer)
 
 
 @then("a new short stream is still served")
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -291,7 +291,7 @@
     return [one for one in (*world.plain, *world.engines) for _ in range(one.runs(request_id))]
 
 
-def assert_told_to_come_back(answer: Received) -> None:
+def assert_refused_with_retry_after(answer: Received) -> None:
     """Check a refusal that names a time."""
     assert answer.status == 503, answer
     assert 0 < float(answer.headers["retry-after"]) < 2, answer
