--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -13,7 +13,7 @@
 
 from driftstall.decisions.sends import BACKUP_READY_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 from features.worlds.gateway_world import GatewayWorld, Received, script_all, wait_for
-from features.worlds.sends_world import UPSTREAMS, Draw, SendsWorld, Word
+from features.worlds.sends_world import UPSTREAMS, Behavior, Draw, SendsWorld
 from stand_ins.routed import Script, Seen, event_bytes
 
 MAX_ORDERS = 400
@@ -41,7 +41,7 @@
         st.sampled_from([None, *ReplicaKind]),
         st.sampled_from(["x", "y"]),
         st.one_of(st.none(), st.floats(0.0, 1.0)),
-        st.sampled_from(list(Word)),
+        st.sampled_from(list(Behavior)),
     )
 
     @seed(int(context.config.userdata.get("seed", number)))
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -18,7 +18,7 @@
 UPSTREAMS = ("a", "b", "c")
 
 
-class Word(StrEnum):
+class Behavior(StrEnum):
     """Name what an upstream does with a request."""
 
     UNREACHABLE = "unreachable"
@@ -38,7 +38,7 @@
     """The name of the copy, where an engine names it."""
     making_s: float | None
     """For how long the run before has made events."""
-    word: Word
+    word: Behavior
 
 
 @dataclass(slots=True)
@@ -58,9 +58,9 @@
         if not self._allowed(draw):
             return
         self.history.begin(draw.upstream_id, _copy_of(draw))
-        if draw.word is Word.UNREACHABLE:
+        if draw.word is Behavior.UNREACHABLE:
             self.history.end(SendOutcome.UNSENT)
-        elif draw.word is Word.TURNED_AWAY:
+        elif draw.word is Behavior.TURNED_AWAY:
             self.history.end(SendOutcome.TURNED_AWAY)
         elif not self._holds_copy(draw):
             self.truly_run_at.append(draw.upstream_id)
