--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -21,7 +21,7 @@
 from driftstall.platform.feeds import cordon_feed
 from driftstall.platform.names import KIND_CORDONS, KIND_UPSTREAMS
 from driftstall.platform.store import Listing, Store, StoredObject
-from features.steps.gateway_node_steps import StoreProxy, start_node, wait_long
+from features.steps.gateway_node_steps import StoreProxy, start_node, wait_for_processes
 from features.worlds.gateway_world import (
     GatewayWorld,
     assert_refused_with_retry_after,
@@ -338,8 +338,8 @@
     seeds = [context.nodes[0].listen["control"]]
     start_node(context, context.gate.address, bounds=context.bounds, seeds=seeds)
     for node in context.nodes:
-        wait_long("it is ready", node.ready)
-        wait_long("it uses both", lambda one=node: used(context, one) == {"i-1", "i-2"})
+        wait_for_processes("it is ready", node.ready)
+        wait_for_processes("it uses both", lambda one=node: used(context, one) == {"i-1", "i-2"})
 
 
 def used(context: Any, node: Any) -> set[str]:
@@ -362,7 +362,9 @@
 def assert_all_use(context: Any, wanted: set[str], seconds: float) -> None:
     """Ask all again and again until they use just those, in time."""
     for node in context.nodes:
-        wait_long(f"{node.name} uses {wanted}", lambda one=node: used(context, one) == wanted)
+        wait_for_processes(
+            f"{node.name} uses {wanted}", lambda one=node: used(context, one) == wanted
+        )
     took = time.monotonic() - context.changed_at
     assert took <= seconds, took
 
@@ -382,7 +384,7 @@
     seeds = [context.nodes[0].listen["control"]]
     start_node(context, shut.address, bounds=context.bounds, seeds=seeds)
     node = context.nodes[-1]
-    wait_long("it is ready", node.ready)
+    wait_for_processes("it is ready", node.ready)
     assert used(context, node) == {"i-1"}
 
 
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -14,7 +14,7 @@
 from driftstall.exceptions import PlatformUnavailable, UpstreamError
 from driftstall.platform.names import KIND_CONFIG, KIND_UPSTREAMS, NAME_CONFIG
 from driftstall.platform.store import Store
-from features.steps.gateway_node_steps import start_node, wait_long
+from features.steps.gateway_node_steps import start_node, wait_for_processes
 from features.worlds.gateway_world import HOST, Received, document
 from features.worlds.upstream_samples import entry_spec
 from measures.bench import Bench
@@ -96,8 +96,8 @@
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
     fronts = {one.listen["front"] for one in context.nodes}
     for node in context.nodes:
-        wait_long(f"{node.name} is ready", node.ready)
-        wait_long(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
+        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
 
 
 def ask_again_and_again(context: Any, target: str, seconds: float) -> list[Received]:
@@ -181,7 +181,7 @@
 def asked_until_refused(context: Any, target: str) -> None:
     """Ask at each instance until it refuses."""
     for node in context.nodes:
-        wait_long(
+        wait_for_processes(
             f"{node.name} refuses",
             lambda one=node: refuses(one.ask(target, f"until-{next(NUMBERS)}")),
         )
@@ -198,7 +198,7 @@
         context.add_cleanup(node.process.wait)
         context.add_cleanup(node.process.kill)
     for node in nodes:
-        wait_long(f"{node.name} is ready again", node.ready)
+        wait_for_processes(f"{node.name} is ready again", node.ready)
 
 
 @when("the first instance is killed and starts anew")
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -26,7 +26,7 @@
 )
 from driftstall.platform.names import KIND_UPSTREAMS
 from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
-from features.steps.gateway_node_steps import wait_long
+from features.steps.gateway_node_steps import wait_for_processes
 from features.worlds.gateway_world import GatewayWorld, wait_for, world_of
 from features.worlds.upstream_samples import entry_spec, upstream_of
 from stand_ins.routed import RoutedUpstream
@@ -389,7 +389,7 @@
 def both_know(context: Any) -> None:
     """Look for the log line."""
     for node in context.nodes:
-        wait_long(
+        wait_for_processes(
             f"{node.name} knows",
             lambda one=node: "Upstream engine-1 is leaving" in one.log.read_text(),
         )
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -106,7 +106,7 @@
         return answer
 
 
-def wait_long(what: str, check: Any) -> None:
+def wait_for_processes(what: str, check: Any) -> None:
     """Wait for what starts processes."""
     with gevent.Timeout(PROCESS_WAIT_S, AssertionError(f"not reached: {what}")):
         while not check():
@@ -159,7 +159,7 @@
 def start_one(context: Any) -> None:
     """Start one process on the store, and wait until it serves."""
     start_node(context, context.store_address)
-    wait_long("it is ready", context.nodes[0].ready)
+    wait_for_processes("it is ready", context.nodes[0].ready)
 
 
 @given("one more that reaches the store through a gate that is shut")
@@ -176,8 +176,10 @@
     """Wait for readiness and the directory."""
     addresses = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
-        wait_long(f"{node.name} is ready", node.ready)
-        wait_long(f"{node.name} locates both", lambda one=node: one.located(HOST) == addresses)
+        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(
+            f"{node.name} locates both", lambda one=node: one.located(HOST) == addresses
+        )
 
 
 @then("both serve calls and show metrics")
@@ -232,7 +234,7 @@
 def new_route(context: Any) -> None:
     """Ask for the route that was added."""
     for index, node in enumerate(context.nodes):
-        wait_long(
+        wait_for_processes(
             f"{node.name} serves the new route",
             lambda one=node, n=index: one.ask("/added/a", f"added-{n}").status == 200,
         )
@@ -249,7 +251,7 @@
 def policy_in_force(context: Any) -> None:
     """Look for the log line."""
     for node in context.nodes:
-        wait_long(
+        wait_for_processes(
             f"{node.name} has the policy",
             lambda one=node: "Policy 'both' is in force" in one.log.read_text(),
         )
@@ -267,7 +269,9 @@
 def says_so(context: Any) -> None:
     """Look for the log line and ask."""
     node = context.nodes[0]
-    wait_long("it says so", lambda: "The changed settings are not used" in node.log.read_text())
+    wait_for_processes(
+        "it says so", lambda: "The changed settings are not used" in node.log.read_text()
+    )
     assert node.ask("/once/a", "after-hup").status == 200
 
 
@@ -283,7 +287,9 @@
     """Look at both."""
     first, second = context.nodes
     wait_for("it is not ready", lambda: not first.ready())
-    wait_long("the second locates itself", lambda: second.located(HOST) == {second.listen["front"]})
+    wait_for_processes(
+        "the second locates itself", lambda: second.located(HOST) == {second.listen["front"]}
+    )
 
 
 @then("it ends by itself with 0")
@@ -297,7 +303,7 @@
     """Remove one entry; the process behind the gate hears of it from its peer."""
     context.store.delete(KIND_UPSTREAMS, "i-1")
     for node in context.nodes:
-        wait_long(
+        wait_for_processes(
             f"{node.name} knows",
             lambda one=node: "Upstream i-1 is leaving" in one.log.read_text(),
         )
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -14,7 +14,7 @@
 
 from driftstall.exceptions import UpstreamError
 from driftstall.platform.names import KIND_CONFIG, NAME_CONFIG
-from features.steps.gateway_node_steps import Node, wait_long
+from features.steps.gateway_node_steps import Node, wait_for_processes
 from features.worlds.gateway_world import HOST, document, route
 
 START_WAIT_S = 60.0
@@ -126,4 +126,6 @@
 def others_serve(context: Any, seconds: int) -> None:
     """Ask the others."""
     assert_serve(context, context.nodes, "/further/a", seconds)
-    wait_long("there are collectors again", lambda: any(collects(one) for one in context.nodes))
+    wait_for_processes(
+        "there are collectors again", lambda: any(collects(one) for one in context.nodes)
+    )
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 
 from driftstall.platform.names import KIND_CONFIG, KIND_UPSTREAMS
-from features.steps.gateway_node_steps import StoreProxy, start_node, wait_long
+from features.steps.gateway_node_steps import StoreProxy, start_node, wait_for_processes
 
 POLL_S = 0.02
 KINDS = {"servers": KIND_UPSTREAMS, "config": KIND_CONFIG}
@@ -62,7 +62,7 @@
     context.add_cleanup(context.gate.stop)
     bounds = {"contactMs": 3000, "drainMs": 2000, "graceS": 2, "ttl_max_s": 1}
     start_node(context, context.gate.address, bounds=bounds)
-    wait_long("it is ready", context.nodes[0].ready)
+    wait_for_processes("it is ready", context.nodes[0].ready)
 
 
 @given("a time of {seconds:g} s in which an instance must have caught up after a disturbance")
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -14,7 +14,7 @@
 from driftstall.exceptions import UpstreamError
 from driftstall.platform.names import KIND_CONFIG, KIND_UPSTREAMS, NAME_CONFIG
 from driftstall.platform.store import Store
-from features.steps.gateway_node_steps import wait_long
+from features.steps.gateway_node_steps import wait_for_processes
 from features.worlds.gateway_world import Received, document
 from features.worlds.upstream_samples import entry_spec
 from measures.bench import Bench
@@ -150,7 +150,7 @@
         node.restart()
         context.add_cleanup(node.process.wait)
         context.add_cleanup(node.process.kill)
-        wait_long(f"{node.name} is ready again", node.ready)
+        wait_for_processes(f"{node.name} is ready again", node.ready)
         gevent.sleep(pause)
 
 
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -22,7 +22,7 @@
 )
 from driftstall.platform.policies import PolicyStore
 from driftstall.platform.store import Store
-from features.steps.gateway_node_steps import start_node, wait_long
+from features.steps.gateway_node_steps import start_node, wait_for_processes
 from features.worlds.gateway_world import HOST, document, route
 from features.worlds.upstream_samples import entry_spec
 from measures.bench import Bench
@@ -65,8 +65,8 @@
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
     fronts = {one.listen["front"] for one in context.nodes}
     for node in context.nodes:
-        wait_long(f"{node.name} is ready", node.ready)
-        wait_long(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
+        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
     control(context, {"copy": True})
 
 
@@ -135,7 +135,7 @@
     submit(context, EARLIER)
     has_policy_in(context, 5.0, "earlier")
     configure(context)
-    wait_long("it is in force", lambda: in_force(context))
+    wait_for_processes("it is in force", lambda: in_force(context))
 
 
 def change_entry(context: Any) -> None:
@@ -317,7 +317,9 @@
     """Take their entries away from the copy, which is taken anew without them."""
     names = [node.name for node in context.nodes]
     for name in names:
-        wait_long(f"{name} is listed", lambda one=name: context.store.get(KIND_INSTANCES, one))
+        wait_for_processes(
+            f"{name} is listed", lambda one=name: context.store.get(KIND_INSTANCES, one)
+        )
     specs = {name: context.store.get(KIND_INSTANCES, name).spec for name in names}
     for name in names:
         context.store.delete(KIND_INSTANCES, name)
--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -14,7 +14,7 @@
 from behave import given, then, when
 
 from driftstall.exceptions import UpstreamError
-from features.steps.gateway_node_steps import wait_long
+from features.steps.gateway_node_steps import wait_for_processes
 from features.worlds.gateway_world import Received
 from stand_ins.routed import RoutedUpstream, Signalled
 
@@ -318,7 +318,7 @@
     node.restart()
     context.add_cleanup(node.process.wait)
     context.add_cleanup(node.process.kill)
-    wait_long(f"{node.name} is ready again", node.ready)
+    wait_for_processes(f"{node.name} is ready again", node.ready)
 
 
 @then("{seconds:g} s later 20 calls there reach it no more")
