--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -263,7 +263,7 @@
         """Tell the machine that the stream broke."""
         if isinstance(fault, RunnerRejected):
             self._handle_signals(fault.signals)
-        gone = isinstance(fault, RunnerRejected) and fault.gone
+        gone = isinstance(fault, RunnerRejected) and fault.is_generation_unknown
         generation = self._machine.generation
         log_event(PREFIX_RELAY, f"The stream of {generation} broke: {fault}")
         self._drop_stream()
--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -76,7 +76,7 @@
         """
         refused = status in CLIENT_ERRORS or status == HTTPStatus.SERVICE_UNAVAILABLE
         super().__init__(f"the runner answered {status}", sent=not refused)
-        self.gone = status in HTTP_GONE
+        self.is_generation_unknown = status in HTTP_GONE
         self.signals = signals
         """The signals of the runner about itself."""
 
