--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -26,7 +26,7 @@
     GatewayWorld,
     assert_refused_with_retry_after,
     runs,
-    script_all,
+    script_upstreams,
     wait_for,
     world_of,
 )
@@ -241,7 +241,9 @@
     world = world_of(context)
     for number, one in enumerate(world.engines[:2]):
         world.state.loads.set_load(f"load-{number}", _share(one.upstream_id))
-    (context.script,) = script_all(world, "s1", [Script(events=8, pause_after=4, break_after=4)])
+    (context.script,) = script_upstreams(
+        world, "s1", [Script(events=8, pause_after=4, break_after=4)]
+    )
     context.asked = world.ask_later("/stream/a", "s1", Length_Hint="1500")
     wait_for("four events", lambda: any(run.events >= 4 for run in world.state.runs.all))
     (run,) = world.state.runs.all
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -29,7 +29,7 @@
     GatewayWorld,
     Received,
     runs,
-    script_all,
+    script_upstreams,
     wait_for,
     world_of,
 )
@@ -74,13 +74,13 @@
 def will_crash(context: Any, first: str, second: str) -> None:
     """Script a crash for each."""
     for request_id in (first, second):
-        script_all(world_of(context), request_id, [Script(crash=True)])
+        script_upstreams(world_of(context), request_id, [Script(crash=True)])
 
 
 @given('both upstreams that get "{request_id}" will crash as they run it')
 def each_will_crash(context: Any, request_id: str) -> None:
     """Script a crash for each upstream."""
-    script_all(world_of(context), request_id, [Script(crash=True), Script(crash=True)])
+    script_upstreams(world_of(context), request_id, [Script(crash=True), Script(crash=True)])
 
 
 @given('the upstreams of "r1", "r2" and "r3" will {end}')
@@ -89,12 +89,14 @@
     world = world_of(context)
     if end == "end as they had told the platform before":
         context.ends_as_told = True
-        scripts = [script_all(world, name, [Script(events=8, pause_after=2)])[0] for name in IDS]
+        scripts = [
+            script_upstreams(world, name, [Script(events=8, pause_after=2)])[0] for name in IDS
+        ]
         context.scripts = dict(zip(IDS, scripts, strict=True))
         return
     context.ends_as_told = False
     for name in IDS:
-        script_all(world, name, [Script(**BREAKS[end])])
+        script_upstreams(world, name, [Script(**BREAKS[end])])
 
 
 IDS: Final = ("r1", "r2", "r3")
--- a/features/steps/gateway_call_steps.py
+++ b/features/steps/gateway_call_steps.py
@@ -16,7 +16,7 @@
     assert_refused_with_retry_after,
     request_bytes,
     runs,
-    script_all,
+    script_upstreams,
     wait_for,
     world_of,
 )
@@ -155,14 +155,14 @@
 @given('the first upstream of "{request_id}" will answer 500')
 def one_failure(context: Any, request_id: str) -> None:
     """Let one upstream fail."""
-    script_all(world_of(context), request_id, [Script(status=500, body=b"failed")])
+    script_upstreams(world_of(context), request_id, [Script(status=500, body=b"failed")])
 
 
 @given('the first 2 upstreams of "{request_id}" will answer 500')
 def two_failures(context: Any, request_id: str) -> None:
     """Let two upstreams fail."""
     failures = [Script(status=500, body=b"failed"), Script(status=500, body=b"failed")]
-    script_all(world_of(context), request_id, failures)
+    script_upstreams(world_of(context), request_id, failures)
 
 
 FAULTS = {
@@ -184,20 +184,20 @@
     """Script one fault; the script is copied, as it holds the state of one request."""
     script = FAULTS[fault].fresh()
     context.script = script
-    script_all(world_of(context), request_id, [script])
+    script_upstreams(world_of(context), request_id, [script])
 
 
 @given('the first upstream of "{request_id}" will turn it away')
 @given('the first engine of "{request_id}" will turn it away')
 def turned_away_once(context: Any, request_id: str) -> None:
     """Let one upstream turn the request away."""
-    script_all(world_of(context), request_id, [Script(not_run=True)])
+    script_upstreams(world_of(context), request_id, [Script(not_run=True)])
 
 
 @given('all upstreams of "{request_id}" will turn it away')
 def turned_away(context: Any, request_id: str) -> None:
     """Let all upstreams turn the request away."""
-    script_all(world_of(context), request_id, [Script(not_run=True) for _ in range(8)])
+    script_upstreams(world_of(context), request_id, [Script(not_run=True) for _ in range(8)])
 
 
 @when('a caller asks "{path}" as "{request_id}" and leaves once it runs')
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.runs import RunRegistry, StreamRun
 from features.steps.gateway_stream_steps import memory_full
-from features.worlds.gateway_world import runs, script_all, wait_for, world_of
+from features.worlds.gateway_world import runs, script_upstreams, wait_for, world_of
 from stand_ins.routed import Script
 
 LOOKS = 3
@@ -51,7 +51,7 @@
     step = gevent.spawn(world.mover.copy, run, target)
     wait_for("the step is taken", lambda: not engine.move_answers)
     context.script.break_after = 8
-    script_all(world, "s1", [Script(events=9)])
+    script_upstreams(world, "s1", [Script(events=9)])
     context.script.gate.set()
     context.answer = context.asked.get(timeout=5.0)
     context.script.late.set()
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -18,7 +18,7 @@
     read_response,
     request_bytes,
     runs,
-    script_all,
+    script_upstreams,
     wait_for,
     world_of,
 )
@@ -31,7 +31,7 @@
 def stream_script(context: Any, request_id: str, script: Script) -> None:
     """Script the engine that gets a stream first."""
     context.script = script
-    script_all(world_of(context), request_id, [script])
+    script_upstreams(world_of(context), request_id, [script])
 
 
 def await_copy(context: Any, events: int, then: Callable[[], None] = lambda: None) -> None:
@@ -178,7 +178,7 @@
 @given('each engine of "{request_id}" will break off before its answer')
 def all_break_before(context: Any, request_id: str) -> None:
     """Break every connection before the answer's head."""
-    script_all(world_of(context), request_id, [Script(reset=True) for _ in range(9)])
+    script_upstreams(world_of(context), request_id, [Script(reset=True) for _ in range(9)])
 
 
 @given(
@@ -190,7 +190,7 @@
     context.script = Script(break_after=3)
     scripts = [context.script, Script(reset_after_head=True)]
     scripts += [Script(reset=True) for _ in range(7)]
-    script_all(world_of(context), request_id, scripts)
+    script_upstreams(world_of(context), request_id, scripts)
     await_copy(context, 3)
 
 
@@ -199,7 +199,7 @@
     """Break a stream off where a copy can be there, and again after more events."""
     context.script = Script(break_after=3)
     second = Script(break_after=6, events=9)
-    script_all(world_of(context), request_id, [context.script, second])
+    script_upstreams(world_of(context), request_id, [context.script, second])
     await_copy(context, 3)
     first, context.script = context.script, second
     await_copy(context, 6)
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -30,7 +30,7 @@
 from features.worlds.gateway_world import (
     GatewayWorld,
     runs,
-    script_all,
+    script_upstreams,
     wait_for,
     world_of,
 )
@@ -204,7 +204,7 @@
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     relist(context, {})
-    (context.script,) = script_all(
+    (context.script,) = script_upstreams(
         world, "s1", [Script(events=8, pause_after=3, event_pause_s=0.1)]
     )
     context.asked = world.ask_later("/stream/a", "s1", Length_Hint="1500")
@@ -218,7 +218,7 @@
     """Let the copy count, which takes a further event after a while."""
     assert context.run.backup is not None
     context.holder = holder_of(context, context.run.backup)
-    script_all(world_of(context), "s1", [Script(events=8)])
+    script_upstreams(world_of(context), "s1", [Script(events=8)])
     world_of(context).pass_time(BACKUP_READY_AFTER_S)
     context.script.gate.set()
     wait_for("one more event", lambda: context.run.events >= 4)
@@ -297,7 +297,7 @@
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     relist(context, {})
-    script_all(world, "c1", [Script(hang=True)])
+    script_upstreams(world, "c1", [Script(hang=True)])
     context.asked = world.ask_later("/once/a", "c1")
     wait_for("it runs", lambda: bool(runs(world, "c1")))
     (context.engine,) = runs(world, "c1")
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -8,13 +8,13 @@
 from behave import then, when
 from eliot import add_destinations, remove_destination
 
-from features.worlds.gateway_world import GatewayWorld, runs, script_all, wait_for, world_of
+from features.worlds.gateway_world import GatewayWorld, runs, script_upstreams, wait_for, world_of
 from stand_ins.routed import RoutedUpstream, Script
 
 
 def ask_call(world: GatewayWorld, script: Script | None = None) -> None:
     """Ask for a call, which may be answered in any way."""
-    script_all(world, "r1", [script] if script else [])
+    script_upstreams(world, "r1", [script] if script else [])
     world.ask("/once/a", "r1")
 
 
@@ -88,7 +88,7 @@
 def misdirected_leaves(context: Any) -> None:
     """Have another upstream respond at the address."""
     world = world_of(context)
-    script_all(world, "r1", [Script(misdirected=True)])
+    script_upstreams(world, "r1", [Script(misdirected=True)])
     for one in world.plain:
         one.leaves = True
     world.ask("/once/a", "r1")
@@ -107,7 +107,7 @@
 def engine_leaves(context: Any) -> None:
     """Hold a stream at its fourth event, have its engine signal, then let it go on."""
     world = world_of(context)
-    script = script_all(world, "s1", [Script(events=30, pause_after=4), Script(events=30)])[0]
+    script = script_upstreams(world, "s1", [Script(events=30, pause_after=4), Script(events=30)])[0]
     # Too short for a copy that its engine keeps up.
     context.asked = world.ask_later("/stream/a", "s1", X_Driftstall_Token_Count="1000,100")
     wait_for("the stream has begun", script.paused.is_set)
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from driftstall.decisions.sends import BACKUP_READY_AFTER_S, ReplicaKind, SendHistory, SendOutcome
-from features.worlds.gateway_world import GatewayWorld, Received, script_all, wait_for
+from features.worlds.gateway_world import GatewayWorld, Received, script_upstreams, wait_for
 from features.worlds.sends_world import UPSTREAMS, Behavior, Draw, SendsWorld
 from stand_ins.routed import Script, Seen, event_bytes
 
@@ -137,7 +137,7 @@
         for number in gone:
             upstreams[number % len(upstreams)].stop()
         gates = [gevent.spawn(open_gate, world, script) for script in scripts]
-        script_all(world, "r1", scripts)
+        script_upstreams(world, "r1", scripts)
         answer = world.ask(f"/{sort}/a", "r1")
         gevent.killall(gates)
         seen = [script for upstream in upstreams for script in upstream.seen]
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -26,7 +26,7 @@
 from driftstall.gateway.reports import PlatformStatus, Reporting
 from driftstall.gateway.state import GatewayState
 from driftstall.peers.gateway_messages import GatewayReport
-from features.worlds.gateway_world import WAIT_S, GatewayWorld, runs, script_all, world_of
+from features.worlds.gateway_world import WAIT_S, GatewayWorld, runs, script_upstreams, world_of
 from stand_ins.routed import Script
 
 STEADY_CLOCKS: Final = re.compile(r"\btime\.(monotonic|perf_counter)")
@@ -72,7 +72,7 @@
 def answers_nothing_more(context: Any, what: str) -> None:
     """Script the silence."""
     script = Script(hang=True) if what == "the head" else Script(pause_after=2)
-    script_all(world_of(context), "r1", [script])
+    script_upstreams(world_of(context), "r1", [script])
     context.script = script
 
 
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -18,7 +18,7 @@
 from driftstall.gateway.runs import Replica, ReplicaRef
 from driftstall.gateway.upstream_prober import UpstreamProber
 from driftstall.peers.gateway_messages import PlacementAsked
-from features.worlds.gateway_world import runs, script_all, wait_for, world_of
+from features.worlds.gateway_world import runs, script_upstreams, wait_for, world_of
 from stand_ins.routed import Script
 
 
@@ -103,7 +103,7 @@
 def start_stream(context: Any) -> None:
     """Start a stream and hold it at its fourth event."""
     world = world_of(context)
-    context.script = script_all(
+    context.script = script_upstreams(
         world, "s1", [Script(events=8, pause_after=4, break_after=4), Script(events=8)]
     )[0]
     context.asked = world.ask_later("/stream/a", "s1", Length_Hint="1500")
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -279,7 +279,7 @@
     return found
 
 
-def script_all(world: GatewayWorld, request_id: str, scripts: list[Script]) -> list[Script]:
+def script_upstreams(world: GatewayWorld, request_id: str, scripts: list[Script]) -> list[Script]:
     """Give the scripts to whichever upstreams get the request, in turn."""
     for one in (*world.plain, *world.engines):
         one.scripts[request_id] = scripts
