--- a/driftstall/decisions/retry.py
+++ b/driftstall/decisions/retry.py
@@ -17,7 +17,7 @@
         self._remaining = MIN_RETRIES
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Return the remaining retries."""
         return self._remaining
 
