--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -135,5 +135,5 @@
     """Let the first leave, and the second fail once."""
     world = world_of(context)
     leaving, failing = world.plain
-    world.signalled_leaving(leaving.upstream_id)
+    world.handle_leaving_signal(leaving.upstream_id)
     failing.scripts["r1"] = [Script(status=500, body=b"failed")]
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -63,7 +63,7 @@
     for one in (*world.plain, *world.engines):
         one.leaves = True
     context.leaving = []
-    usual = world.signalled_leaving
+    usual = world.handle_leaving_signal
 
     def first_only(upstream_id: str) -> None:
         if not context.leaving:
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -127,7 +127,7 @@
         self.state = GatewayState(settings, PlatformDialect(), default_policy())
         self._ahead_s = 0.0
         self.state.now = lambda: clock.now() + self._ahead_s  # type: ignore[method-assign]
-        self.state.signals.on_leaving = self.signalled_leaving
+        self.state.signals.on_leaving = self.handle_leaving_signal
         self.current = True
         self.mover = Mover(self.state)
         self.evacuation = Evacuation(self.state, self.mover)
@@ -177,7 +177,7 @@
         leaving = replace(self.entry(upstream), state=UpstreamState.LEAVING)
         self._tell_fleet(Changed(leaving, False))
 
-    def signalled_leaving(self, upstream_id: str) -> None:
+    def handle_leaving_signal(self, upstream_id: str) -> None:
         """Let the fleet know that an upstream has signalled that it leaves."""
         self._tell_fleet(SignalledLeaving(upstream_id))
 
