--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -193,12 +193,12 @@
         return self._allowances.get(upstream_id)
 
 
-def scaled_limit(per_s: float, known_now: int, lately: int) -> float:
+def scaled_limit(per_s: float, known_now: int, known_lately: int) -> float:
     """Return a limit scaled by the share of lately known instances that are heard from.
 
     So both sides of a network partition stay below the limit together.
     """
-    return per_s * min(1.0, known_now / max(1, lately))
+    return per_s * min(1.0, known_now / max(1, known_lately))
 
 
 class DenialTracker:
