--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -7,7 +7,7 @@
 from driftstall.controllers.grant_state import OpenGrant, RunnerState
 from driftstall.core import PrefixMark
 from driftstall.decisions.lengths import LengthModel
-from driftstall.decisions.memory import MemoryForecast, forecast_request, total
+from driftstall.decisions.memory import MemoryForecast, forecast_request, forecast_requests
 from driftstall.decisions.retry_schedule import ServiceRate
 
 REFRESH_INTERVAL_S: Final = 0.25
@@ -148,6 +148,6 @@
         """Recompute a runner's memory forecast and shrink its prefix cache model to fit."""
         running = (grant for grant in runner.grants.values() if not grant.paused)
         generations = ((grant.request, grant.produced) for grant in running)
-        self._set_hold(runner, total(self._lengths, generations))
+        self._set_hold(runner, forecast_requests(self._lengths, generations))
         runner.forecast_at = now
         runner.prefixes.shrink(runner.memory - runner.forecast.means[0] + runner.cached_tokens)
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -65,10 +65,12 @@
 
 def forecast_request(lengths: LengthModel, request: Request, produced: int) -> MemoryForecast:
     """Forecast the memory of one generation."""
-    return total(lengths, ((request, produced),))
+    return forecast_requests(lengths, ((request, produced),))
 
 
-def total(lengths: LengthModel, generations: Iterable[tuple[Request, int]]) -> MemoryForecast:
+def forecast_requests(
+    lengths: LengthModel, generations: Iterable[tuple[Request, int]]
+) -> MemoryForecast:
     """Forecast the memory of generations, each with the tokens it has produced."""
     means = [0.0] * len(HORIZONS)
     variances = [0.0] * len(HORIZONS)
