--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -1,8 +1,8 @@
-"""Model a fleet that shares what an upstream with a limit takes, without a network.
+"""Simulation of a fleet that shares the limit of one upstream, without a network.
 
-Each instance holds the real books, and a view of who lives that changes some time after the fleet
-does. Requests come to all; each is sent if its instance gets leave. Instances are killed and start
-anew, stand still, or are cut off from all others, but not from the upstream.
+Each instance has the product's allowances and denials, and a view of the live instances that
+follows the fleet with a delay. A request is sent if its instance acquires a permit. Instances are
+killed and restarted, paused, or partitioned from the others, but not from the upstream.
 """
 
 from __future__ import annotations
@@ -32,71 +32,71 @@
 
 UPSTREAM: Final = "u1"
 HOP_S: Final = (0.0007, 0.004)
-TEND_S: Final = 0.15
+UPDATE_INTERVAL_S: Final = 0.15
 SEEN_DEAD_S: Final = (1.0, 3.0)
-"""When an instance notices that another one answers no more."""
+"""Range of the delay until an instance detects that another one no longer answers."""
 SEEN_ALIVE_S: Final = (0.05, 0.5)
 FAULT_S: Final = (1.2, 5.5)
-"""How long a fault lasts."""
+"""Range of the duration of a fault."""
 WARM_UP_S: Final = 5.0
 CONNECTED: Final = 0
 SPLIT_OFF: Final = 1
 
 
 class SharingMode(StrEnum):
-    """Name a way in which a limit is shared."""
+    """Ways in which the instances share a limit."""
 
     ASKED = "one instance is asked"
     EVEN = "even parts"
 
 
 class Fault(StrEnum):
-    """Name what becomes of an instance."""
+    """Faults of instances."""
 
     NONE = "no fault"
     KILL = "kills"
     PAUSE = "pauses"
     CUT = "cuts"
     SPLIT = "splits"
-    """Every other instance is cut off from the rest; both halves reach the upstream."""
+    """Every second instance is partitioned from the rest; both halves reach the upstream."""
 
 
 @dataclass(frozen=True, slots=True)
 class PermitLoad:
-    """Say what a modelled fleet goes through."""
+    """The load and the faults of a simulated fleet."""
 
     instances: int = 8
     limit: float = 2.0
-    """Requests a second that the upstream takes."""
+    """The upstream's limit in requests a second."""
     per_s: float = 30.0
-    """Requests of the whole fleet in a second."""
+    """Requests a second to the whole fleet."""
     most_wait_s: float = 0.0
-    """How long each can wait for its turn; zero where peers of the upstream take it."""
+    """Maximum wait of a request for a permit; zero if other upstreams can serve it."""
     fault: Fault = Fault.NONE
     fault_every_s: float = 4.0
     way: SharingMode = SharingMode.ASKED
     seconds: float = 120.0
     falls_to: float = 0.0
-    """The limit falls to this in the middle; zero for never."""
+    """The limit changes to this at half time; zero for never."""
     urgent_share: float = 0.0
-    """Part of the requests that come first."""
+    """Share of the requests with the first rank."""
 
 
 @dataclass(slots=True)
 class PermitOutcome:
-    """Hold what became of a run of the model."""
+    """Results of a simulation run."""
 
     sent_at: list[float] = field(default_factory=list)
     ranks: list[int] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)
     uninformed_sends: int = 0
-    """Sends of instances that have just started and know of no limit yet; counted apart."""
+    """Sends of restarted instances that do not know the limit yet; not in sent_at."""
     permit_requests: int = 0
 
     def max_sends_within(
         self, window_s: float, since: float = 0.0, until: float = float("inf")
     ) -> int:
-        """Return the most sends within a window."""
+        """Return the highest number of sends within a window of time."""
         times = sorted(at for at in self.sent_at if since <= at < until)
         most, begin = 0, 0
         for end, at in enumerate(times):
@@ -106,15 +106,15 @@
         return most
 
     def per_s(self, since: float, until: float) -> float:
-        """Return the sends a second within a time."""
+        """Return the sends a second between two times."""
         return sum(since <= at < until for at in self.sent_at) / (until - since)
 
 
 class _Member:
-    """Hold one instance: its books, and whom it believes to live."""
+    """State of one instance, with its view of the live instances."""
 
     def __init__(self, name: str, source: random.Random) -> None:
-        """Start knowing nobody else."""
+        """Initialize with only this instance as live."""
         self.name = name
         self.allowances = Allowances()
         self.denied = DenialTracker()
@@ -124,21 +124,21 @@
         self.knows_limit = False
         self.is_up = True
         self.side = CONNECTED
-        """Instances of one side reach each other."""
+        """Instances with the same value reach each other."""
 
 
 class PermitWorld:
-    """Play one load from a seed."""
+    """Simulate one load with a random seed."""
 
     def __init__(self, load: PermitLoad, seed: int) -> None:
-        """Start with a fleet that knows itself and the limit."""
+        """Initialize with instances that all know each other and the limit."""
         self._load = load
         self._source = random.Random(seed)
         self._limit = load.limit
         names = [f"i{number}" for number in range(load.instances)]
         self._members = {name: _Member(name, self._source) for name in names}
-        for one in self._members.values():
-            one.live, one.knows_limit = set(names), True
+        for member in self._members.values():
+            member.live, member.knows_limit = set(names), True
         self._records = {name: Instance(name, "", "", "a") for name in names}
         self._owners: dict[frozenset[str], str] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -147,31 +147,34 @@
         self.outcome = PermitOutcome()
 
     def play(self) -> PermitOutcome:
-        """Play to the end."""
-        for one in self._members.values():
-            self._at(self._source.uniform(0.0, TEND_S), partial(self._tend, one))
+        """Run the simulation to the end."""
+        for member in self._members.values():
+            self._at(
+                self._source.uniform(0.0, UPDATE_INTERVAL_S),
+                partial(self._update_ownership, member),
+            )
         self._at(WARM_UP_S, self._arrive)
         if self._load.fault is not Fault.NONE:
-            self._at(WARM_UP_S + self._load.fault_every_s, self._harm)
+            self._at(WARM_UP_S + self._load.fault_every_s, self._inject_fault)
         if self._load.falls_to:
-            self._at(self._load.seconds / 2, self._fall)
+            self._at(self._load.seconds / 2, self._lower_limit)
         while self._queue and self._queue[0][0] <= self._load.seconds:
             self._now, _, act = heapq.heappop(self._queue)
             act()
         return self.outcome
 
     def _at(self, at: float, act: Callable[[], None]) -> None:
-        """Have something done at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self._queue, (at, self._source.getrandbits(62), act))
 
     def _later(self, within: tuple[float, float], act: Callable[[], None]) -> None:
-        """Have something done after a drawn time."""
+        """Schedule an action after a random delay."""
         self._at(self._now + self._source.uniform(*within), act)
 
-    # What each instance does.
+    # Work of the instances.
 
     def _owner(self, member: _Member) -> str:
-        """Return whom an instance asks."""
+        """Return the owner of the upstream in an instance's view."""
         live = frozenset(member.live)
         if live not in self._owners:
             found = owner_of(UPSTREAM, [self._records[name] for name in sorted(live)])
@@ -179,27 +182,27 @@
             self._owners[live] = found.instance_id
         return self._owners[live]
 
-    def _tend(self, member: _Member) -> None:
-        """Let an instance look at what it answers for."""
+    def _update_ownership(self, member: _Member) -> None:
+        """Update whether an instance owns the upstream, periodically."""
         if member.is_up:
             member.count.record(len(member.live), self._now)
-            mine = self._owner(member) == member.name and member.knows_limit
-            member.allowances.sync({UPSTREAM} if mine else set(), self._now)
+            is_owner = self._owner(member) == member.name and member.knows_limit
+            member.allowances.sync({UPSTREAM} if is_owner else set(), self._now)
         if self._members[member.name] is member:
-            self._at(self._now + TEND_S, lambda: self._tend(member))
+            self._at(self._now + UPDATE_INTERVAL_S, lambda: self._update_ownership(member))
 
     def _arrive(self) -> None:
-        """Let one request come to an instance that runs, then the next one."""
-        running = [one for one in self._members.values() if one.is_up]
+        """Send a request to a random running instance, and schedule the next one."""
+        running = [member for member in self._members.values() if member.is_up]
         if running:
             rank = 0 if self._source.random() < self._load.urgent_share else 3
             self._ask(self._source.choice(running), rank)
         self._at(self._now + self._source.expovariate(self._load.per_s), self._arrive)
 
     def _ask(self, member: _Member, rank: int) -> None:
-        """Let an instance get leave for a request."""
+        """Let an instance acquire a permit for a request."""
         if not member.knows_limit:
-            # It learns of the limit by the answer, or from others before.
+            # The instance gets the limit from the response, or from peers before.
             self.outcome.uninformed_sends += 1
             return
         if self._load.way is SharingMode.EVEN:
@@ -214,28 +217,28 @@
         owner = self._members[self._owner(member)]
         self.outcome.permit_requests += 1
         if owner is member:
-            self._take(member, self._verdict(owner, need), rank)
-        elif not self._reaches(member, owner):
-            self._take(member, Denial(NO_ANSWER_BACKOFF_S), rank)
+            self._handle_verdict(member, self._verdict(owner, need), rank)
+        elif not self._is_reachable(member, owner):
+            self._handle_verdict(member, Denial(NO_ANSWER_BACKOFF_S), rank)
         else:
             self._later(HOP_S, lambda: self._answer(member, owner, need, rank))
 
-    def _reaches(self, one: _Member, other: _Member) -> bool:
-        """Tell whether a question is answered."""
-        return other.is_up and one.side == other.side
+    def _is_reachable(self, member: _Member, other: _Member) -> bool:
+        """Return True if another instance answers an instance's messages."""
+        return other.is_up and member.side == other.side
 
     def _answer(self, member: _Member, owner: _Member, need: SendNeed, rank: int) -> None:
-        """Let the one that was asked answer."""
+        """Send the owner's verdict to an instance."""
         verdict = self._verdict(owner, need)
-        self._later(HOP_S, lambda: self._take(member, verdict, rank))
+        self._later(HOP_S, lambda: self._handle_verdict(member, verdict, rank))
 
     def _verdict(self, owner: _Member, need: SendNeed) -> Verdict:
-        """Return what the one that was asked says."""
+        """Return the owner's verdict on a permit request."""
         per_s = scaled_limit(self._limit, len(owner.live), owner.count.value)
         return owner.allowances.ask(UPSTREAM, need, per_s, self._now)
 
-    def _take(self, member: _Member, verdict: Verdict, rank: int) -> None:
-        """Let an instance send, or remember when to ask again."""
+    def _handle_verdict(self, member: _Member, verdict: Verdict, rank: int) -> None:
+        """Let an instance send its request, or record the denial."""
         if isinstance(verdict, Denial):
             member.denied.record(UPSTREAM, verdict, self._now)
         elif member.is_up:
@@ -248,17 +251,17 @@
         self.outcome.ranks.append(rank)
         self.outcome.waits.append(wait_s)
 
-    def _fall(self) -> None:
-        """Let the limit fall."""
+    def _lower_limit(self) -> None:
+        """Lower the upstream's limit."""
         self._limit = self._load.falls_to
 
     # Faults.
 
-    def _harm(self) -> None:
-        """Harm one instance, each second time the one that is asked, and mend it later."""
-        running = [one for one in self._members.values() if one.is_up and not one.side]
-        asked = [one for one in running if self._owner(one) == one.name]
-        chosen = self._source.choice(asked if asked and self._source.random() < 0.5 else running)
+    def _inject_fault(self) -> None:
+        """Inject a fault into one instance, half the time into the owner, and schedule the next."""
+        running = [member for member in self._members.values() if member.is_up and not member.side]
+        owners = [member for member in running if self._owner(member) == member.name]
+        chosen = self._source.choice(owners if owners and self._source.random() < 0.5 else running)
         if self._load.fault is Fault.KILL:
             self._kill(chosen)
         elif self._load.fault is Fault.PAUSE:
@@ -267,59 +270,59 @@
             self._cut([chosen], next(self._sides))
         elif len(running) == self._load.instances:
             self._cut(running[::2], SPLIT_OFF)
-        self._at(self._now + self._load.fault_every_s, self._harm)
+        self._at(self._now + self._load.fault_every_s, self._inject_fault)
 
     def _others(self, member: _Member) -> list[_Member]:
-        """Return all but one."""
-        return [one for one in self._members.values() if one.name != member.name]
+        """Return all other instances."""
+        return [other for other in self._members.values() if other.name != member.name]
 
-    def _look(self, one: _Member, name: str) -> None:
-        """Let an instance find out whether another one answers it."""
-        if self._reaches(one, self._members[name]):
-            one.live.add(name)
+    def _update_view(self, member: _Member, name: str) -> None:
+        """Update an instance's view of whether another one is live."""
+        if self._is_reachable(member, self._members[name]):
+            member.live.add(name)
         else:
-            one.live.discard(name)
+            member.live.discard(name)
 
-    def _notice(self, member: _Member, within: tuple[float, float]) -> None:
-        """Let the others find out about an instance, and it about them."""
+    def _update_views(self, member: _Member, within: tuple[float, float]) -> None:
+        """Schedule the updates of an instance's view of the others, and of theirs of it."""
         for other in self._others(member):
-            self._later(within, partial(self._look, other, member.name))
-            self._later(within, partial(self._look, member, other.name))
+            self._later(within, partial(self._update_view, other, member.name))
+            self._later(within, partial(self._update_view, member, other.name))
 
     def _kill(self, member: _Member) -> None:
-        """End an instance; it starts anew later."""
+        """Kill an instance, which is restarted later."""
         member.is_up = False
-        self._notice(member, SEEN_DEAD_S)
+        self._update_views(member, SEEN_DEAD_S)
         self._later(FAULT_S, lambda: self._start(member.name))
 
     def _start(self, name: str) -> None:
-        """Start an instance that knows only itself at first."""
+        """Start an instance, which knows neither its peers nor the limit at first."""
         member = self._members[name] = _Member(name, self._source)
-        self._tend(member)
+        self._update_ownership(member)
         self._later(SEEN_ALIVE_S, partial(setattr, member, "knows_limit", True))
-        self._notice(member, SEEN_ALIVE_S)
+        self._update_views(member, SEEN_ALIVE_S)
 
     def _pause(self, member: _Member) -> None:
-        """Let an instance stand still; what it knows stays as it was."""
+        """Pause an instance; it keeps its state and its view."""
         member.is_up = False
         for other in self._others(member):
-            self._later(SEEN_DEAD_S, partial(self._look, other, member.name))
+            self._later(SEEN_DEAD_S, partial(self._update_view, other, member.name))
 
         def resume() -> None:
             member.is_up = True
-            self._notice(member, SEEN_ALIVE_S)
+            self._update_views(member, SEEN_ALIVE_S)
 
         self._later(FAULT_S, resume)
 
     def _cut(self, members: list[_Member], side: int) -> None:
-        """Cut instances off from all others, though not from callers and the upstream."""
-        for one in members:
-            one.side = side
-            self._notice(one, SEEN_DEAD_S)
+        """Partition instances from all others, but not from callers and the upstream."""
+        for member in members:
+            member.side = side
+            self._update_views(member, SEEN_DEAD_S)
 
         def heal() -> None:
-            for one in members:
-                one.side = CONNECTED
-                self._notice(one, SEEN_ALIVE_S)
+            for member in members:
+                member.side = CONNECTED
+                self._update_views(member, SEEN_ALIVE_S)
 
         self._later(FAULT_S, heal)
--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -1,7 +1,7 @@
-"""Model a fleet in which some requests crash the engines that run them, without a network.
+"""Simulation of poison detection in a fleet in which some requests crash their engines.
 
-Callers ask again, at any instance, when their request breaks off. Each instance holds a book of its
-own and tells the others; some are killed and start anew, or are cut off for a while.
+Callers retry an interrupted request at a random instance. Each instance has its own evidence and
+publishes it to the others; instances are killed and restarted, or partitioned for a while.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 FATAL_FROM_S: Final = 2.0
 FIRST_EVENT_S: Final = 0.3
 CRASH_S: Final = (0.05, 0.4)
-"""How long after it has begun a fatal request crashes its engine."""
+"""Range of the time from the start of a fatal request to the crash of its engine."""
 BACK_S: Final = 2.5
 RETRY_S: Final = (0.1, 2.0)
 CHAT_S: Final = (3.0, 10.0)
@@ -31,45 +31,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Say what a modelled fleet goes through."""
+    """The load and the faults of a simulated fleet."""
 
     engines: int = 5
     instances: int = 8
     per_s: float = 10.0
-    """Ordinary requests in a second."""
+    """Ordinary requests a second."""
     distinct_requests: int = 0
-    """Different requests among the ordinary ones; zero for all different."""
+    """Number of distinct ordinary requests; zero if each one is distinct."""
     fatal: int = 1
-    """Fatal requests, each with a caller who comes again and again."""
+    """Number of fatal requests, each of which its caller repeats until the end."""
     fatal_gap_s: tuple[float, float] = (0.3, 4.0)
     kill_every_s: float = 0.0
-    """Pause after which an instance loses all it knows; zero for never."""
+    """Interval of restarts of an instance, which loses its evidence; zero for never."""
     cut_every_s: float = 0.0
-    """Pause after which an instance hears and tells nothing for four seconds."""
+    """Interval of partitions, each of one instance for four seconds; zero for never."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Count what became of a run of the model."""
+    """Results of a simulation run."""
 
     ordinary: int = 0
     broken: int = 0
-    """Ordinary runs that broke off."""
+    """Ordinary runs interrupted by a crash."""
     refused: int = 0
-    """Ordinary requests that were refused, each counted once an attempt."""
+    """Refused attempts of ordinary requests."""
     refused_requests: set[str] = field(default_factory=set)
     crashes: dict[str, list[float]] = field(default_factory=dict)
-    """When engines crashed, by fatal request."""
+    """Times of engine crashes, by fatal request."""
     sends: dict[str, list[float]] = field(default_factory=dict)
-    """When fatal requests were sent."""
+    """Times of sends, by fatal request."""
 
     @property
     def max_crashes(self) -> int:
-        """Return the most engines that one request has crashed."""
-        return max((len(one) for one in self.crashes.values()), default=0)
+        """Return the highest number of crashes caused by one request."""
+        return max((len(times) for times in self.crashes.values()), default=0)
 
     def late_sends(self, bound_s: float) -> int:
-        """Return the most sends of one request later than a time after its third crash."""
+        """Return the most sends of one request later than bound_s after its third crash."""
         late = [0]
         for name, times in self.crashes.items():
             if len(times) >= 3:
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class _Run:
-    """Hold one run on an engine."""
+    """A run of a request on an engine."""
 
     number: int
     fingerprint: str
@@ -92,16 +92,16 @@
 
 
 class PoisonWorld:
-    """Play one load from a seed."""
+    """Simulate one load with a random seed."""
 
     def __init__(
-        self, load: Load, seed: int, book: Callable[[], PoisonTracker] = PoisonTracker
+        self, load: Load, seed: int, new_tracker: Callable[[], PoisonTracker] = PoisonTracker
     ) -> None:
-        """Start with all engines and instances up; book makes an instance's book."""
+        """Initialize with all engines and instances up; new_tracker creates a tracker."""
         self._load = load
         self._source = random.Random(seed)
-        self._new_book = book
-        self._books = [book() for _ in range(load.instances)]
+        self._new_tracker = new_tracker
+        self._trackers = [new_tracker() for _ in range(load.instances)]
         self._cut_until = [0.0] * load.instances
         self._starts = [0] * load.engines
         self._down_until = [0.0] * load.engines
@@ -112,7 +112,7 @@
         self.outcome = Outcome()
 
     def play(self) -> Outcome:
-        """Play to the end."""
+        """Run the simulation to the end."""
         self._at(0.0, self._arrive)
         for number in range(self._load.fatal):
             self._at(FATAL_FROM_S + number, partial(self._ask_fatal, f"fatal-{number}"))
@@ -129,15 +129,15 @@
         return self.outcome
 
     def _at(self, at: float, act: Callable[[], None]) -> None:
-        """Have something done at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self._queue, (at, self._source.getrandbits(62), act))
 
     def _after(self, within: tuple[float, float], act: Callable[[], None]) -> None:
-        """Have something done after a drawn time."""
+        """Schedule an action after a random delay."""
         self._at(self._now + self._source.uniform(*within), act)
 
     def _repeat(self, every: float, act: Callable[[], None]) -> None:
-        """Do something again and again."""
+        """Schedule an action at a fixed interval."""
 
         def once() -> None:
             act()
@@ -146,7 +146,7 @@
         self._at(self._now + every, once)
 
     def _arrive(self) -> None:
-        """Let one ordinary request come, then the next."""
+        """Send an ordinary request and schedule the next one."""
         self.outcome.ordinary += 1
         number = self.outcome.ordinary
         name = (
@@ -159,9 +159,9 @@
         self._at(self._now + self._source.expovariate(self._load.per_s), self._arrive)
 
     def _ask(self, name: str, lasts_s: float) -> None:
-        """Let an ordinary request come to some instance."""
+        """Send an ordinary request to a random instance."""
         instance = self._source.randrange(self._load.instances)
-        if self._books[instance].verdict(name, self._now).wait_s:
+        if self._trackers[instance].verdict(name, self._now).wait_s:
             self.outcome.refused += 1
             self.outcome.refused_requests.add(name)
             return
@@ -170,9 +170,9 @@
             self._at(run.ends, lambda: self._end(run))
 
     def _ask_fatal(self, name: str) -> None:
-        """Let a fatal request come to some instance, and come again later."""
+        """Send a fatal request to a random instance, and schedule its repetition."""
         instance = self._source.randrange(self._load.instances)
-        if not self._books[instance].verdict(name, self._now).wait_s:
+        if not self._trackers[instance].verdict(name, self._now).wait_s:
             run = self._begin(name, instance, END_S)
             if run is not None:
                 self.outcome.sends.setdefault(name, []).append(self._now)
@@ -180,27 +180,29 @@
         self._after(self._load.fatal_gap_s, lambda: self._ask_fatal(name))
 
     def _begin(self, name: str, instance: int, lasts_s: float) -> _Run | None:
-        """Begin a run on the engine with the fewest runs."""
-        up = [one for one in range(self._load.engines) if self._down_until[one] <= self._now]
+        """Start a run on the engine with the fewest runs; return None if all engines are down."""
+        up = [
+            engine for engine in range(self._load.engines) if self._down_until[engine] <= self._now
+        ]
         if not up:
             return None
-        engine = min(up, key=lambda one: (len(self._runs[one]), self._source.random()))
+        engine = min(up, key=lambda index: (len(self._runs[index]), self._source.random()))
         run = _Run(len(self._all), name, instance, engine, self._now, self._now + lasts_s)
         self._runs[engine].add(run.number)
         self._all.append(run)
         return run
 
     def _end(self, run: _Run) -> None:
-        """End a run well, unless it has broken off."""
+        """End a run with success, unless it was interrupted."""
         if run.is_over:
             return
         run.is_over = True
         self._runs[run.engine].discard(run.number)
-        if self._books[run.instance].record_success(run.fingerprint, self._now):
-            self._tell(run.instance)
+        if self._trackers[run.instance].record_success(run.fingerprint, self._now):
+            self._publish(run.instance)
 
     def _crash(self, fatal: _Run) -> None:
-        """End an engine with all that runs there."""
+        """Crash an engine with all its runs."""
         if fatal.is_over:
             return
         engine = fatal.engine
@@ -208,41 +210,41 @@
         upstream_id = f"e{engine}-{self._starts[engine]}"
         self._starts[engine] += 1
         self._down_until[engine] = self._now + BACK_S
-        tellers = set()
+        witnesses = set()
         for index in self._runs[engine]:
             run = self._all[index]
             run.is_over = True
             under_way = self._now - run.began >= FIRST_EVENT_S + UNDER_WAY_S
             crash = Crash(upstream_id, self._now, under_way)
-            self._books[run.instance].record_crash(run.fingerprint, crash)
-            tellers.add(run.instance)
+            self._trackers[run.instance].record_crash(run.fingerprint, crash)
+            witnesses.add(run.instance)
             if run is not fatal and not run.fingerprint.startswith("fatal"):
                 self.outcome.broken += 1
                 lasts_s = run.ends - run.began
                 self._after(RETRY_S, partial(self._ask, run.fingerprint, lasts_s))
         self._runs[engine] = set()
-        for instance in tellers:
-            self._tell(instance)
+        for instance in witnesses:
+            self._publish(instance)
 
-    def _tell(self, instance: int) -> None:
-        """Tell all other instances what one knows."""
+    def _publish(self, instance: int) -> None:
+        """Send the evidence of an instance to all others."""
         for other in range(self._load.instances):
             if other != instance:
                 self._send(instance, other)
 
     def _send(self, sender: int, receiver: int) -> None:
-        """Tell one other instance; word from or to one that is cut off is lost."""
+        """Send evidence to one instance; messages from or to a partitioned one are lost."""
         if max(self._cut_until[sender], self._cut_until[receiver]) > self._now:
             return
-        told = self._books[sender].reports(self._now)
-        self._after(HOP_S, lambda: self._take(receiver, told))
+        reports = self._trackers[sender].reports(self._now)
+        self._after(HOP_S, lambda: self._receive(receiver, reports))
 
-    def _take(self, receiver: int, told: tuple[BlameTold, ...]) -> None:
-        """Let an instance hear of another one."""
-        self._books[receiver].merge(told, self._now)
+    def _receive(self, receiver: int, reports: tuple[BlameTold, ...]) -> None:
+        """Merge the evidence of another instance."""
+        self._trackers[receiver].merge(reports, self._now)
 
     def _exchange(self) -> None:
-        """Let each instance exchange what it knows with another one."""
+        """Let each instance exchange its evidence with a random one."""
         for instance in range(self._load.instances):
             other = self._source.randrange(self._load.instances)
             if other != instance:
@@ -251,9 +253,9 @@
         self._at(self._now + EXCHANGE_S, self._exchange)
 
     def _kill(self) -> None:
-        """Let an instance start anew; others tell it within a second."""
+        """Restart an instance without evidence; others send it theirs within a second."""
         instance = self._source.randrange(self._load.instances)
-        self._books[instance] = self._new_book()
+        self._trackers[instance] = self._new_tracker()
         for other in self._source.sample(range(self._load.instances), 2):
             if other != instance:
                 self._at(
@@ -262,5 +264,5 @@
                 )
 
     def _cut(self) -> None:
-        """Cut an instance off for four seconds."""
+        """Partition an instance from all others for four seconds."""
         self._cut_until[self._source.randrange(self._load.instances)] = self._now + 4.0
