--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from features.worlds.faults import Script, Strike, plans, walk
+from features.worlds.faults import PlannedFault, Script, plans, walk
 from features.worlds.paths import PATHS
 
 SOME_PAIRS = 150
@@ -35,8 +35,10 @@
         source = random.Random(fault)
         drawn = [
             (
-                Strike(source.choice(path.steps), fault, source.randint(1, 3)),
-                Strike(source.choice(path.steps), source.choice(path.faults), source.randint(1, 3)),
+                PlannedFault(source.choice(path.steps), fault, source.randint(1, 3)),
+                PlannedFault(
+                    source.choice(path.steps), source.choice(path.faults), source.randint(1, 3)
+                ),
             )
             for _ in range(SOME_PAIRS)
         ]
@@ -71,7 +73,7 @@
     """Draw sequences of faults; the same seed draws the same ones."""
     path = context.path
     strike = st.builds(
-        Strike, st.sampled_from(path.steps), st.sampled_from(path.faults), st.integers(1, 4)
+        PlannedFault, st.sampled_from(path.steps), st.sampled_from(path.faults), st.integers(1, 4)
     )
     shown = int(context.config.userdata.get("examples", 150))
     number = int(context.config.userdata.get("seed", number))
@@ -79,7 +81,7 @@
     @seed(number)
     @settings(max_examples=shown, deadline=None, database=None)
     @for_all(st.lists(strike, max_size=count))
-    def check(strikes: list[Strike]) -> None:
+    def check(strikes: list[PlannedFault]) -> None:
         path.run(Script(tuple(strikes)))
 
     check()
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
+class PlannedFault:
     """A fault to inject, with its step and the occurrence of the step, counted from 1."""
 
     step: str
@@ -20,7 +20,7 @@
 class Script:
     """The faults to inject in one run, and the steps seen so far."""
 
-    strikes: tuple[Strike, ...]
+    strikes: tuple[PlannedFault, ...]
     seen: dict[str, int] = field(default_factory=dict)
     struck: int = 0
 
@@ -38,19 +38,19 @@
 
 def plans(
     steps: Sequence[str], faults: Sequence[str], fault: str, *, pairs: bool
-) -> Iterator[tuple[Strike, ...]]:
+) -> Iterator[tuple[PlannedFault, ...]]:
     """Yield the plans of one fault at every step: alone, twice, and with every other fault."""
     for step in steps:
-        yield (Strike(step, fault),)
-        yield (Strike(step, fault), Strike(step, fault, 2))
+        yield (PlannedFault(step, fault),)
+        yield (PlannedFault(step, fault), PlannedFault(step, fault, 2))
         if not pairs:
             continue
         for other_step, other in itertools.product(steps, faults):
-            yield (Strike(step, fault), Strike(other_step, other))
+            yield (PlannedFault(step, fault), PlannedFault(other_step, other))
 
 
 def walk(
-    plans_of: Iterator[tuple[Strike, ...]],
+    plans_of: Iterator[tuple[PlannedFault, ...]],
     run: Callable[[Script], None],
 ) -> tuple[int, int]:
     """Run every plan; return the numbers of runs and of injected faults."""
