--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -169,7 +169,7 @@
         if paused is not None:
             paused.append(event)
             return
-        self._strike(type(event).__name__, index, event)
+        self._inject_faults(type(event).__name__, index, event)
         if self._holders[index] is not holder:
             return
         paused = self._paused[index]
@@ -177,10 +177,10 @@
             paused.append(event)
             return
         for action in holder.handle(event, 1000.0):
-            self._strike(type(action).__name__, index, event)
+            self._inject_faults(type(action).__name__, index, event)
             self._carry_out(index, holder, action)
 
-    def _strike(self, step: str, index: int, event: ClaimEvent) -> None:
+    def _inject_faults(self, step: str, index: int, event: ClaimEvent) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault, index, event)
--- a/features/worlds/config_world.py
+++ b/features/worlds/config_world.py
@@ -96,7 +96,7 @@
                 break
             event = self._carry_out(actions[0])
             actions = submission.handle(event)
-            self._strike(type(event).__name__)
+            self._inject_faults(type(event).__name__)
         else:
             raise AssertionError("the submission does not come to an end")
         self.states[name] = submission.state
@@ -104,7 +104,7 @@
             self._offer(0, submission.accepted)
             self._offer(1, submission.accepted)
 
-    def _strike(self, step: str) -> None:
+    def _inject_faults(self, step: str) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             if fault == "platform down":
@@ -154,7 +154,7 @@
 
     def _carry_out(self, action: SubmitAction) -> SubmitEvent:
         """Carry out one action, as the platform's faults allow."""
-        self._strike(type(action).__name__)
+        self._inject_faults(type(action).__name__)
         if self._late:
             self._apply(self._late.pop())
         if self._down:
--- a/features/worlds/grants_world.py
+++ b/features/worlds/grants_world.py
@@ -165,7 +165,7 @@
 
     def _feed(self, event: GrantEvent) -> None:
         """Pass an event to the owner, with faults, and handle its actions."""
-        self._strike(type(event).__name__, event)
+        self._inject_faults(type(event).__name__, event)
         if isinstance(event, RunnersChanged):
             event = RunnersChanged("g", self._runners())
         if isinstance(event, Ask) and event.request.request_id in self._done:
@@ -174,7 +174,7 @@
             self._lose_close = False
             return
         for action in self._owner.handle(event, self._now):
-            self._strike(type(action).__name__, event)
+            self._inject_faults(type(action).__name__, event)
             self._handle_action(action)
 
     def _handle_action(self, action: GrantAction) -> None:
@@ -210,7 +210,7 @@
         assert late <= slack_s, f"{name} waited {late:.1f} s past the bound"
         self._open[name] = (runner, 0)
 
-    def _strike(self, step: str, event: GrantEvent) -> None:
+    def _inject_faults(self, step: str, event: GrantEvent) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault, event)
--- a/features/worlds/membership_world.py
+++ b/features/worlds/membership_world.py
@@ -106,15 +106,15 @@
         """Pass an event to an instance and carry out its actions."""
         if name in self._dead or self._paused.get(name, -1.0) > self._now:
             return
-        self._strike(type(event).__name__, name)
+        self._inject_faults(type(event).__name__, name)
         if name in self._dead or self._paused.get(name, -1.0) > self._now:
             return
         for action in self._nodes[name].handle(event, self._now):
-            self._strike(type(action).__name__, name)
+            self._inject_faults(type(action).__name__, name)
             if isinstance(action, SendTo):
                 self._send(name, action)
 
-    def _strike(self, step: str, name: str) -> None:
+    def _inject_faults(self, step: str, name: str) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             if fault == "instance dies":
--- a/features/worlds/placement_world.py
+++ b/features/worlds/placement_world.py
@@ -104,7 +104,7 @@
     def _feed(self, index: int, event: PlacementEvent) -> None:
         """Pass an event to a holder and carry out its actions."""
         holder = self._holders[index]
-        paused = self._strike(type(event).__name__, index)
+        paused = self._inject_faults(type(event).__name__, index)
         if self._holders[index] is not holder:
             return
         if paused:
@@ -112,7 +112,7 @@
             return
         for action in holder.handle(event, self._now):
             # A holder that is paused right before a call makes it when it resumes.
-            paused = self._strike(type(action).__name__, index) or self._is_paused(index)
+            paused = self._inject_faults(type(action).__name__, index) or self._is_paused(index)
             if self._holders[index] is not holder:
                 return
             if paused:
@@ -126,7 +126,7 @@
         if follow_up is not None:
             self._feed(index, follow_up)
 
-    def _strike(self, step: str, index: int) -> bool:
+    def _inject_faults(self, step: str, index: int) -> bool:
         """Inject the faults planned for a step; return True if they pause the holder."""
         paused = False
         for fault in self._script.at(step):
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -95,11 +95,11 @@
                 return
             event = self._queue.popleft()
             machine = self._machine
-            self._strike(type(event).__name__)
+            self._inject_faults(type(event).__name__)
             if self._machine is not machine:
                 continue
             for action in self._handle(machine, event):
-                self._strike(type(action).__name__)
+                self._inject_faults(type(action).__name__)
                 if self._machine is not machine:
                     break
                 self._carry_out(action)
@@ -132,7 +132,7 @@
         """Return the generations whose engine died or forgot them."""
         return {name for name in self.runs if self._known.get(name) in (None, *self._dead)}
 
-    def _strike(self, step: str) -> None:
+    def _inject_faults(self, step: str) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
             self._fault(fault)
