--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -183,9 +183,9 @@
     def _inject_faults(self, step: str, index: int, event: ClaimEvent) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
-            self._fault(fault, index, event)
+            self._inject_fault(fault, index, event)
 
-    def _fault(self, fault: str, index: int, event: ClaimEvent) -> None:
+    def _inject_fault(self, fault: str, index: int, event: ClaimEvent) -> None:
         """Inject one fault."""
         if fault == "platform down":
             self._down = DOWN_CALLS
--- a/features/worlds/grants_world.py
+++ b/features/worlds/grants_world.py
@@ -213,9 +213,9 @@
     def _inject_faults(self, step: str, event: GrantEvent) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
-            self._fault(fault, event)
+            self._inject_fault(fault, event)
 
-    def _fault(self, fault: str, event: GrantEvent) -> None:
+    def _inject_fault(self, fault: str, event: GrantEvent) -> None:
         """Inject one fault."""
         if fault == "runner leaves":
             self._live.discard("engine-2")
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -135,9 +135,9 @@
     def _inject_faults(self, step: str) -> None:
         """Inject the faults planned for a step."""
         for fault in self._script.at(step):
-            self._fault(fault)
+            self._inject_fault(fault)
 
-    def _fault(self, fault: str) -> None:
+    def _inject_fault(self, fault: str) -> None:
         """Inject one fault."""
         generation, runner = self._machine.generation, self._machine.runner_id
         if fault == "engine dies" and runner:
