--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -81,7 +81,7 @@
     @seed(number)
     @settings(max_examples=shown, deadline=None, database=None)
     @for_all(st.lists(strike, max_size=count))
-    def check(strikes: list[PlannedFault]) -> None:
-        path.run(Script(tuple(strikes)))
+    def check(planned_faults: list[PlannedFault]) -> None:
+        path.run(Script(tuple(planned_faults)))
 
     check()
--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -74,7 +74,7 @@
     def __init__(self, script: Script) -> None:
         """Initialize with the faults to inject."""
         self._script = script
-        self._faults = {strike.fault for strike in script.strikes}
+        self._faults = {strike.fault for strike in script.planned_faults}
         self._work: deque[Callable[[], None]] = deque()
         self._holders = [self._new_holder(0), self._new_holder(1)]
         self._starts = 0
@@ -116,7 +116,7 @@
 
     def _heal(self) -> None:
         """End all faults; a new key must then be granted."""
-        self._script.strikes = ()
+        self._script.planned_faults = ()
         self._down = 0
         self._next_write = ""
         self._paused_turns_left = 0
--- a/features/worlds/config_world.py
+++ b/features/worlds/config_world.py
@@ -69,7 +69,7 @@
         """Submit a few changes with faults, then one without, and update all instances."""
         for number in range(SUBMISSIONS):
             self._submit(f"s{number}", f"policy {number}")
-        self._script.strikes = ()
+        self._script.planned_faults = ()
         self._down, self._next_write = 0, ""
         self._submit("last", "policy last")
         self._spread()
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -20,7 +20,7 @@
 class Script:
     """The faults to inject in one run, and the steps seen so far."""
 
-    strikes: tuple[PlannedFault, ...]
+    planned_faults: tuple[PlannedFault, ...]
     seen: dict[str, int] = field(default_factory=dict)
     struck: int = 0
 
@@ -29,7 +29,7 @@
         self.seen[step] = self.seen.get(step, 0) + 1
         due = [
             strike.fault
-            for strike in self.strikes
+            for strike in self.planned_faults
             if strike.step == step and strike.occurrence == self.seen[step]
         ]
         self.struck += len(due)
