--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -22,7 +22,7 @@
 
     planned_faults: tuple[PlannedFault, ...]
     seen: dict[str, int] = field(default_factory=dict)
-    struck: int = 0
+    injected: int = 0
 
     def at(self, step: str) -> list[str]:
         """Count an occurrence of a step and return the faults to inject there."""
@@ -32,7 +32,7 @@
             for strike in self.planned_faults
             if strike.step == step and strike.occurrence == self.seen[step]
         ]
-        self.struck += len(due)
+        self.injected += len(due)
         return due
 
 
@@ -54,7 +54,7 @@
     run: Callable[[Script], None],
 ) -> tuple[int, int]:
     """Run every plan; return the numbers of runs and of injected faults."""
-    runs = struck = 0
+    runs = injected = 0
     for plan in plans_of:
         script = Script(plan)
         try:
@@ -62,5 +62,5 @@
         except AssertionError as broken:
             raise AssertionError(f"{broken} under {plan}") from broken
         runs += 1
-        struck += script.struck
-    return runs, struck
+        injected += script.injected
+    return runs, injected
