--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -30,7 +30,7 @@
     """Walk the matrix for one fault; a broken promise raises with its plan."""
     path = context.path
     assert fault in path.faults, f"{fault} is not in the list"
-    runs, struck = walk(plans(path.steps, path.faults, fault, pairs=path.pairs), path.run)
+    runs, injected = walk(plans(path.steps, path.faults, fault, pairs=path.pairs), path.run)
     if not path.pairs:
         source = random.Random(fault)
         drawn = [
@@ -43,15 +43,17 @@
             for _ in range(SOME_PAIRS)
         ]
         more_runs, more_struck = walk(iter(drawn), path.run)
-        runs, struck = runs + more_runs, struck + more_struck
-    context.runs, context.struck = runs, struck
+        runs, injected = runs + more_runs, injected + more_struck
+    context.runs, context.injected = runs, injected
 
 
 @then("every promise of the path has held")
 def held(context: Any) -> None:
     """Check that the fault did strike; the promises were checked after each run."""
     assert context.runs >= len(context.path.steps), context.runs
-    assert context.struck >= context.runs // 2, f"{context.struck} strikes in {context.runs} runs"
+    assert context.injected >= context.runs // 2, (
+        f"{context.injected} strikes in {context.runs} runs"
+    )
 
 
 @then("its steps are all the events and actions of the code")
