--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from features.worlds.faults import PlannedFault, Script, plans, walk
+from features.worlds.faults import PlannedFault, Script, plans, run_plans
 from features.worlds.paths import PATHS
 
 SOME_PAIRS = 150
@@ -30,7 +30,7 @@
     """Walk the matrix for one fault; a broken promise raises with its plan."""
     path = context.path
     assert fault in path.faults, f"{fault} is not in the list"
-    runs, injected = walk(plans(path.steps, path.faults, fault, pairs=path.pairs), path.run)
+    runs, injected = run_plans(plans(path.steps, path.faults, fault, pairs=path.pairs), path.run)
     if not path.pairs:
         source = random.Random(fault)
         drawn = [
@@ -42,7 +42,7 @@
             )
             for _ in range(SOME_PAIRS)
         ]
-        more_runs, more_struck = walk(iter(drawn), path.run)
+        more_runs, more_struck = run_plans(iter(drawn), path.run)
         runs, injected = runs + more_runs, injected + more_struck
     context.runs, context.injected = runs, injected
 
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -49,7 +49,7 @@
             yield (PlannedFault(step, fault), PlannedFault(other_step, other))
 
 
-def walk(
+def run_plans(
     plans_of: Iterator[tuple[PlannedFault, ...]],
     run: Callable[[Script], None],
 ) -> tuple[int, int]:
