--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -25,7 +25,7 @@
     WatchDelegation,
 )
 from driftstall.platform.names import KIND_UPSTREAMS
-from features.steps.gateway_fleet_steps import takes_none, takes_some, tell
+from features.steps.gateway_fleet_steps import apply_event, takes_none, takes_some
 from features.steps.gateway_node_steps import wait_for_processes
 from features.worlds.gateway_world import GatewayWorld, wait_for, world_of
 from features.worlds.upstream_samples import entry_spec, upstream_of
@@ -41,28 +41,28 @@
 def says_itself(context: Any, name: str) -> None:
     """Tell the fleet twice, as two instances ask."""
     for _ in range(2):
-        tell(context, UpstreamSuspected(name), DOUBTED_AT)
+        apply_event(context, UpstreamSuspected(name), DOUBTED_AT)
 
 
 @when('the platform lists "{name}" as ready, with a newer revision')
 def listed_as_ready(context: Any, name: str) -> None:
     """Tell an entry that does not know of the notice."""
-    tell(context, Changed(upstream_of(name, 7), False), DOUBTED_AT + 1.0)
+    apply_event(context, Changed(upstream_of(name, 7), False), DOUBTED_AT + 1.0)
 
 
 @then('after {seconds:g} s of silence "{name}" takes requests again')
 def takes_again(context: Any, seconds: float, name: str) -> None:
     """Let a doubt run out."""
-    tell(context, Period(), DOUBTED_AT + seconds - 0.1)
+    apply_event(context, Period(), DOUBTED_AT + seconds - 0.1)
     takes_none(context, name)
-    tell(context, Period(), DOUBTED_AT + seconds)
+    apply_event(context, Period(), DOUBTED_AT + seconds)
     takes_some(context, name)
 
 
 @then('after {seconds:g} s of silence "{name}" takes no requests')
 def takes_none_again(context: Any, seconds: float, name: str) -> None:
     """Let the time of a doubt pass."""
-    tell(context, Period(), DOUBTED_AT + seconds)
+    apply_event(context, Period(), DOUBTED_AT + seconds)
     takes_none(context, name)
 
 
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -26,7 +26,7 @@
 DRAIN_S = 2.0
 
 
-def tell(context: Any, event: Any, at: float) -> None:
+def apply_event(context: Any, event: Any, at: float) -> None:
     """Hand the fleet an event and keep what it tells."""
     context.told += context.fleet.handle(event, at)
 
@@ -36,7 +36,7 @@
     """Start a fleet."""
     context.fleet = FleetController()
     context.told = []
-    tell(context, Listed(tuple(upstream_of(f"u{index}") for index in (1, 2, 3))), 0.0)
+    apply_event(context, Listed(tuple(upstream_of(f"u{index}") for index in (1, 2, 3))), 0.0)
 
 
 @when('upstream "{name}" gives notice twice')
@@ -44,16 +44,16 @@
     """Tell of a notice twice."""
     for revision in (5, 6):
         leaving = upstream_of(name, revision, UpstreamState.LEAVING)
-        tell(context, Changed(leaving, False), 1.0)
+        apply_event(context, Changed(leaving, False), 1.0)
 
 
 @when('upstream "{name}" gives notice, and {seconds:g} s later its entry is removed, twice')
 def notice_then_removal(context: Any, name: str, seconds: float) -> None:
     """Tell of a notice, then of the removal by the platform and by a peer."""
-    tell(context, Changed(upstream_of(name, 5, UpstreamState.LEAVING), False), NOTICE_AT)
+    apply_event(context, Changed(upstream_of(name, 5, UpstreamState.LEAVING), False), NOTICE_AT)
     for revision in (6, 7):
         gone = Changed(upstream_of(name, revision, UpstreamState.LEAVING), True)
-        tell(context, gone, NOTICE_AT + seconds)
+        apply_event(context, gone, NOTICE_AT + seconds)
 
 
 @then('{seconds:g} s after the notice "{name}" may be sent what has run there')
@@ -71,13 +71,13 @@
 @when('the entry of "{name}" is removed')
 def entry_removed(context: Any, name: str) -> None:
     """Remove an entry."""
-    tell(context, Changed(upstream_of(name, 5), True), 1.0)
+    apply_event(context, Changed(upstream_of(name, 5), True), 1.0)
 
 
 @when('old news say that "{name}" is ready')
 def old_news(context: Any, name: str) -> None:
     """Tell what was true before."""
-    tell(context, Changed(upstream_of(name, 4), False), 1.1)
+    apply_event(context, Changed(upstream_of(name, 4), False), 1.1)
 
 
 @then('it is told once that "{name}" is leaving')
@@ -103,40 +103,40 @@
 @when('the platform was away and lists only "{first}" and "{second}" on its return')
 def lists_less(context: Any, first: str, second: str) -> None:
     """Let an outage end."""
-    tell(context, PlatformUnreachable(), 1.0)
-    tell(context, PlatformReachable(), 6.0)
-    tell(context, Listed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0)
+    apply_event(context, PlatformUnreachable(), 1.0)
+    apply_event(context, PlatformReachable(), 6.0)
+    apply_event(context, Listed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0)
     context.back_at = 6.0
 
 
 @when('the platform is away and a peer tells that "{name}" is gone')
 def peer_tells(context: Any, name: str) -> None:
     """Let a peer pass a removal on during an outage."""
-    tell(context, PlatformUnreachable(), 1.0)
-    tell(context, Changed(upstream_of(name, 5), True, from_peer=True), 1.5)
+    apply_event(context, PlatformUnreachable(), 1.0)
+    apply_event(context, Changed(upstream_of(name, 5), True, from_peer=True), 1.5)
 
 
 @when('the entry of "{name}" is back after {seconds:g} s')
 def entry_back(context: Any, name: str, seconds: float) -> None:
     """List the entry again."""
-    tell(context, Changed(upstream_of(name, 9), False), context.back_at + seconds)
+    apply_event(context, Changed(upstream_of(name, 9), False), context.back_at + seconds)
 
 
 @when('the entry of "{name}" is removed {seconds:g} s after the return')
 def removed_late(context: Any, name: str, seconds: float) -> None:
     """Remove an entry once the platform is back."""
-    tell(context, Changed(upstream_of(name, 5), True), context.back_at + seconds)
+    apply_event(context, Changed(upstream_of(name, 5), True), context.back_at + seconds)
 
 
 @then('after {seconds:g} s without its entry "{name}" takes no requests')
 def missed(context: Any, seconds: float, name: str) -> None:
     """Let the grace time pass."""
-    tell(context, Period(), context.back_at + seconds)
+    apply_event(context, Period(), context.back_at + seconds)
     takes_none(context, name)
 
 
 @then('after {seconds:g} s "{name}" takes requests')
 def not_missed(context: Any, seconds: float, name: str) -> None:
     """Let the grace time pass."""
-    tell(context, Period(), context.back_at + seconds)
+    apply_event(context, Period(), context.back_at + seconds)
     takes_some(context, name)
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -22,7 +22,7 @@
     WatchDelegation,
 )
 from driftstall.peers.gateway_messages import FleetAsked, FleetOffered, ZoneSummary
-from features.steps.gateway_fleet_steps import tell
+from features.steps.gateway_fleet_steps import apply_event
 from features.worlds.gateway_world import GatewayWorld
 from features.worlds.upstream_samples import upstream_of
 
@@ -221,13 +221,15 @@
 @given('the platform tells of an upstream "{name}" at revision {revision:d}')
 def platform_tells(context: Any, name: str, revision: int) -> None:
     """Add an upstream."""
-    tell(context, Changed(upstream_of(name, revision), False), 2.0)
+    apply_event(context, Changed(upstream_of(name, revision), False), 2.0)
 
 
 @when('a collector that has seen revision {at:d} offers only "{first}" and "{second}"')
 def offers(context: Any, at: int, first: str, second: str) -> None:
     """Take in the collector's list."""
-    tell(context, ListedByPeer((upstream_of(first), upstream_of(second)), StoreVersion(at)), 3.0)
+    apply_event(
+        context, ListedByPeer((upstream_of(first), upstream_of(second)), StoreVersion(at)), 3.0
+    )
 
 
 @then("another fleet that learned of them in another order has the same digest")
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -19,7 +19,7 @@
     UpstreamSuspected,
 )
 from driftstall.gateway.model import UpstreamState
-from features.steps.gateway_fleet_steps import DRAIN_S, tell
+from features.steps.gateway_fleet_steps import DRAIN_S, apply_event
 from features.worlds.gateway_world import world_of
 from features.worlds.upstream_samples import upstream_of
 from stand_ins.routed import Script
@@ -55,7 +55,7 @@
 @given('"{name}" has signalled at {at:g} s that it leaves')
 def has_signalled(context: Any, name: str, at: float) -> None:
     """Hand over the signal."""
-    tell(context, SignalledLeaving(name), at)
+    apply_event(context, SignalledLeaving(name), at)
     context.digest = context.fleet.digest
 
 
@@ -63,33 +63,33 @@
 def takes_in(context: Any, news: str, at: float) -> None:
     """Hand over the news, and let time pass."""
     for event in events_of(news):
-        tell(context, event, at)
-    tell(context, Period(), at)
+        apply_event(context, event, at)
+    apply_event(context, Period(), at)
 
 
 @when('a probe finds "{name}" leaving at {at:g} s')
 def probe_finds(context: Any, name: str, at: float) -> None:
     """Hand over what a probe has found."""
-    tell(context, UpstreamSuspected(name), at)
+    apply_event(context, UpstreamSuspected(name), at)
 
 
 @when("time passes until {at:g} s")
 def time_passes(context: Any, at: float) -> None:
     """Let time pass, in steps."""
     for step in range(1, 5):
-        tell(context, Period(), at - 4 + step)
+        apply_event(context, Period(), at - 4 + step)
 
 
 @when('a later start of "u1" is listed at {at:g} s')
 def later_start(context: Any, at: float) -> None:
     """List a later start under the name."""
-    tell(context, Changed(LATER_START, False), at)
+    apply_event(context, Changed(LATER_START, False), at)
 
 
 @when('a peer tells at {at:g} s of the signal of "{name}", {ago:g} s old')
 def peer_tells(context: Any, at: float, name: str, ago: float) -> None:
     """Hand over an old signal."""
-    tell(context, SignalledLeaving(name, ago), at)
+    apply_event(context, SignalledLeaving(name, ago), at)
 
 
 @then('"{name}" may be sent what has run there at {before:g} s, and nothing at {after:g} s')
