--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import seed, settings
 from hypothesis import strategies as st
 
-from features.worlds.faults import PlannedFault, Script, plans, run_plans
+from features.worlds.faults import PlannedFault, Script, plans_for, run_plans
 from features.worlds.paths import PATHS
 
 SOME_PAIRS = 150
@@ -30,7 +30,9 @@
     """Walk the matrix for one fault; a broken promise raises with its plan."""
     path = context.path
     assert fault in path.faults, f"{fault} is not in the list"
-    runs, injected = run_plans(plans(path.steps, path.faults, fault, pairs=path.pairs), path.run)
+    runs, injected = run_plans(
+        plans_for(path.steps, path.faults, fault, pairs=path.pairs), path.run
+    )
     if not path.pairs:
         source = random.Random(fault)
         drawn = [
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -36,7 +36,7 @@
         return due
 
 
-def plans(
+def plans_for(
     steps: Sequence[str], faults: Sequence[str], fault: str, *, pairs: bool
 ) -> Iterator[tuple[PlannedFault, ...]]:
     """Yield the plans of one fault at every step: alone, twice, and with every other fault."""
