--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -105,7 +105,7 @@
                 if self._tries >= TRIES:
                     break
                 self._ask("key")
-        self._heal()
+        self._check_recovery()
 
     def _is_idle(self) -> bool:
         """Flush the holders, and return True if no work follows."""
@@ -114,7 +114,7 @@
                 self._feed(index, FlushDue(), holder)
         return not self._work
 
-    def _heal(self) -> None:
+    def _check_recovery(self) -> None:
         """End all faults; a new key must then be granted."""
         self._script.planned_faults = ()
         self._down = 0
