--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -120,11 +120,11 @@
         verdict: Verdict,
         payload: dict[str, Any],
         ticket: str,
-        caller_waits: Callable[[], bool],
+        is_caller_waiting: Callable[[], bool],
     ) -> Relay:
         """Return the relay of a new request."""
         machine = RelayMachine(request.request_id, self.budget)
-        relay = Relay(self, machine, request, verdict, payload, caller_waits)
+        relay = Relay(self, machine, request, verdict, payload, is_caller_waiting)
         relay.ticket = ticket
         relay.first = Started()
         return relay
@@ -134,11 +134,11 @@
         request: Request,
         verdict: Verdict,
         place: ResumeRequested,
-        caller_waits: Callable[[], bool],
+        is_caller_waiting: Callable[[], bool],
     ) -> Relay:
         """Return the relay that goes on with a generation from a resume token."""
         machine = RelayMachine(request.request_id, self.budget)
-        relay = Relay(self, machine, request, verdict, {}, caller_waits)
+        relay = Relay(self, machine, request, verdict, {}, is_caller_waiting)
         relay.first = place
         return relay
 
@@ -153,7 +153,7 @@
         request: Request,
         verdict: Verdict,
         payload: dict[str, Any],
-        caller_waits: Callable[[], bool],
+        is_caller_waiting: Callable[[], bool],
     ) -> None:
         """Take what describes the request."""
         self._service = service
@@ -162,7 +162,7 @@
         self._request = request
         self._verdict = verdict
         self._payload = payload
-        self._caller_waits = caller_waits
+        self._caller_waits = is_caller_waiting
         self._stream: EngineStream | None = None
         self._reply: PrefixMark | None = None
         self._out: list[RelayItem] = []
