--- a/driftstall/peers/codec.py
+++ b/driftstall/peers/codec.py
@@ -168,7 +168,7 @@
     return HEADER.pack(len(body) + MAC_BYTES) + mac(key, body) + body
 
 
-def decode(frame: bytes, key: bytes, kinds: MessageTypes) -> Envelope:
+def decode(frame: bytes, key: bytes, message_types: MessageTypes) -> Envelope:
     """Return the envelope of a frame, given without its length.
 
     Raises MessageError if the frame is not authentic, has another protocol version or is
@@ -183,7 +183,7 @@
         plain = zlib.decompressobj().decompress(body[len(PROTOCOL) :], MAX_PLAIN_BYTES)
         with _schema.Envelope.from_bytes(plain, traversal_limit_in_words=TRAVERSAL_WORDS) as reader:
             name = str(reader.which())
-            message = _from_wire(kinds[name], getattr(reader, name))
+            message = _from_wire(message_types[name], getattr(reader, name))
             return Envelope(reader.sender, reader.recipient, reader.sequence, message)
     except (capnp.KjException, zlib.error, KeyError, ValueError) as fault:
         raise MessageError(f"the message is malformed: {type(fault).__name__}") from fault
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -60,7 +60,7 @@
     """Send messages to peers and receive theirs."""
 
     def __init__(
-        self, own_id: str, listen: str, key: bytes, kinds: MessageTypes, receiver: Receiver
+        self, own_id: str, listen: str, key: bytes, message_types: MessageTypes, receiver: Receiver
     ) -> None:
         """Initialize the links.
 
@@ -68,7 +68,7 @@
         types. receiver: called with the sender's id and the message.
         """
         self._own_id = own_id
-        self._kinds = kinds
+        self._kinds = message_types
         self._key = key
         self._receiver = receiver
         self._queues: dict[str, Queue] = {}
