--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -1,4 +1,4 @@
-"""Refuse requests of which all upstreams have requested a back-off."""
+"""Refuse requests while all upstreams of their service are in a requested back-off."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def backoff_refusal(state: GatewayState, admitted: Admitted) -> Problem | None:
-    """Return what to answer where all upstreams of a service back off; None where one does not.
+    """Return a refusal with a Retry-After if all upstreams of a service are in back-off, else None.
 
-    Nothing of the request may have run.
+    Call this only while nothing of the request can have run.
     """
     now, service = state.now(), admitted.service.name
     ready = state.fleet.ready(service) or state.fleet.draining(
@@ -28,7 +28,7 @@
     state.stats.backoff_refused += 1
     log_event(
         PREFIX_ROUTING,
-        "A request is refused: all upstreams back off",
+        "Request rejected: all upstreams are in back-off",
         request=admitted.marks.request_id,
         service=service,
         upstreams=len(ready),
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Say what the gateway needs from the adapter that knows the platform's formats."""
+"""Interface of the adapter that translates between the platform's formats and the gateway."""
 
 from __future__ import annotations
 
@@ -19,46 +19,46 @@
 
 
 class BadHeaders(ValueError):
-    """Report headers that cannot be read; the request is answered 400."""
+    """Raised for headers that cannot be decoded; the request is answered with 400."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveDone:
-    """Tell that a run's memory was copied to another engine."""
+    """Result of a migration step that copied a run's memory to another engine."""
 
     copy_of: str
-    """Names the copy when the run goes on."""
+    """Name of the replica, used when the run resumes there."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveFailed:
-    """Tell that a run's memory was not copied."""
+    """Result of a migration step that copied nothing."""
 
     no_such_run: bool
     may_have_stopped: bool
-    """Whether a last step may have stopped the run all the same."""
+    """Whether a final copy may have stopped the run despite the failure."""
     copy_of: str
-    """Names the memory that the source kept; empty if the run goes on there."""
+    """Name of the memory that the source kept; empty if the run continues there."""
     detail: str
     target_refused: bool = False
-    """Whether the target took no copy: it has no room, or is about to leave."""
+    """Whether the target refused the replica: it has no room, or is about to leave."""
 
 
 MoveResult = MoveDone | MoveFailed
 
 SignalObserver = Callable[[Upstream, tuple[Signal, ...], float], None]
-"""Takes an upstream, what it has signalled with a response, and when that request was sent."""
+"""Called with an upstream, the signals of a response, and the time its request was sent."""
 
 
 def ignore_signals(_: Upstream, __: tuple[Signal, ...], ___: float) -> None:
-    """Take signals that nobody observes."""
+    """Ignore signals; the default observer."""
 
 
 class Dialect(Protocol):
-    """Translate between the platform's formats and the gateway's own types."""
+    """Translator between the platform's formats and the gateway's own types."""
 
     on_signals: SignalObserver
-    """Takes what engines signal with responses to the calls below."""
+    """Called with the signals in the engines' responses to the calls below."""
 
     def read_request(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
@@ -67,30 +67,30 @@
         """Return the headers of a request to an upstream."""
 
     def read_response(self, status: int, found: Headers) -> ResponseMetadata:
-        """Decode the status and headers of an upstream's answer."""
+        """Decode the status and headers of an upstream's response."""
 
     def read_routing(self, text: str) -> RoutingDocument:
-        """Decode a routing document as it is passed between instances."""
+        """Decode a routing document in the form that instances exchange."""
 
     def backup_copy(self, backup: Upstream, request_id: str) -> str:
-        """Name the copy that a backup engine keeps of a run."""
+        """Return the name of the replica that a backup engine keeps of a run."""
 
     def move(
         self, source: Upstream, request_id: str, target: Upstream, *, last: bool
     ) -> MoveResult:
-        """Copy a run's memory to another engine; with last, the run stops first."""
+        """Copy a run's memory to another engine; with last, stop the run first."""
 
     def probe_state(self, engine: Upstream) -> ReportedState:
         """Ask an engine whether it stays."""
 
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
-        """Free a copy's memory; where the holder is its source, at both engines."""
+        """Free a replica's memory, at both engines if the holder is the source of the copy."""
 
     def is_readiness_check(self, target: str) -> bool:
-        """Tell whether a request asks whether this instance is ready."""
+        """Return True if a request is a readiness check."""
 
     def located_zone(self, target: str) -> str | None:
-        """Return the zone of a caller that asks where to go; None for other requests."""
+        """Return the caller's zone in a request to locate instances; None for other requests."""
 
     def located_answer(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
-        """Return the body that tells a caller where to go."""
+        """Return the response body that lists the located instances."""
--- a/driftstall/gateway/events.py
+++ b/driftstall/gateway/events.py
@@ -1,4 +1,4 @@
-"""Split a stream into its events, and keep them whole, in order and only once."""
+"""Split a byte stream into whole events, and check that they are relayed in order and once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventContinuity(StrEnum):
-    """Tell how an event follows the last one."""
+    """How an event follows the previous one."""
 
     NEXT = "next"
     REPEATED = "repeated"
@@ -21,40 +21,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Hold one whole event as it came."""
+    """Hold the unchanged bytes and the id of one whole event."""
 
     data: bytes
     event_id: str
-    """Empty where the event has none."""
+    """Empty if the event has no id."""
 
 
 class EventSplitter:
-    """Collect bytes and give out whole events."""
+    """Buffer bytes and return whole events."""
 
     def __init__(self) -> None:
-        """Start with nothing collected."""
-        self._rest = b""
+        """Start with an empty buffer."""
+        self._buffer = b""
 
     @property
     def is_inside_event(self) -> bool:
-        """Tell whether part of an event was collected."""
-        return bool(self._rest)
+        """Return True if part of an event is buffered."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now."""
-        *whole, self._rest = (self._rest + data).split(EVENT_END)
-        return [Event(part + EVENT_END, _event_id(part)) for part in whole]
+        """Add bytes, and return the events that are now whole."""
+        *complete, self._buffer = (self._buffer + data).split(EVENT_END)
+        return [Event(part + EVENT_END, _event_id(part)) for part in complete]
 
 
 class EventSequence:
-    """Check that the ids of a stream rise one by one, across upstreams."""
+    """Check that the event ids of a stream are consecutive, also across upstreams."""
 
     def __init__(self) -> None:
         """Start before the first event."""
         self._last: int | None = None
 
     def check(self, event: Event) -> EventContinuity:
-        """Tell how an event follows the last one that was passed on."""
+        """Return how an event follows the last relayed one; NEXT if its id is not a number."""
         if not event.event_id.isdigit():
             return EventContinuity.NEXT
         number = int(event.event_id)
@@ -67,7 +67,7 @@
 
 
 def _event_id(part: bytes) -> str:
-    """Return the id that an event carries."""
+    """Return the id of an event, or an empty string."""
     for line in part.split(b"\n"):
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode("latin-1")
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -1,7 +1,7 @@
-"""Send one request to an upstream and read its answer piece by piece.
+"""Send one request to an upstream and read its response part by part.
 
-An exchange has a connection of its own, so no answer can stand in another's place
-and no rested connection can break under a request that may run only once.
+Each exchange has a connection of its own. A response can therefore not be taken for that of
+another request, and no idle pooled connection can break under a request that may run only once.
 """
 
 from __future__ import annotations
@@ -30,48 +30,48 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Hold the status and headers of an answer."""
+    """Hold the status and headers of a response."""
 
     status: int
     headers: Headers
     framed: bool
-    """Whether the answer tells where it ends; else it ends with its connection."""
+    """Whether the response is framed by its headers; otherwise it ends with its connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """Hold some bytes of an answer's body."""
+    """Hold some bytes of a response body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseEnd:
-    """Mark the end of an answer that has arrived whole."""
+    """Mark the end of a response that has arrived whole."""
 
 
-Item = ResponseHead | BodyChunk | ResponseEnd
+ResponsePart = ResponseHead | BodyChunk | ResponseEnd
 
 
 class _ResponseBuilder:
-    """Collect what the parser finds; httptools calls these methods."""
+    """Build response parts from the parser's callbacks; httptools calls the on_ methods."""
 
     def __init__(self) -> None:
-        """Start before the first answer."""
-        self.items: deque[Item] = deque()
+        """Start before the first response."""
+        self.items: deque[ResponsePart] = deque()
         self.new_heads: list[ResponseHead] = []
-        """Heads that no observer has been given."""
+        """Heads that the observer has not received yet."""
         self.parser: Any = None
         self._headers: list[Header] = []
         self._in_body = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header; what follows the body is no header of the answer."""
+        """Collect a header; trailers after the body are dropped."""
         if not self._in_body:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Pass on the head, unless it is only an interim one."""
+        """Add the head, unless it is an interim (1xx) response."""
         status = self.parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             return
@@ -83,11 +83,11 @@
         self._in_body = True
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Add a chunk of the body."""
         self.items.append(BodyChunk(data))
 
     def on_message_complete(self) -> None:
-        """Pass on the end."""
+        """Add the end, unless the message was an interim response."""
         if self._in_body:
             self.items.append(ResponseEnd())
         self._headers = []
@@ -95,10 +95,10 @@
 
 
 class UpstreamExchange:
-    """Hold one request to an upstream; reading raises UpstreamError when it breaks."""
+    """One request to an upstream; reading raises UpstreamError if the connection breaks."""
 
     def __init__(self, connection: socket.socket) -> None:
-        """Take the open connection."""
+        """Initialize with the open connection."""
         self._connection = connection
         self._builder = _ResponseBuilder()
         self._parser = httptools.HttpResponseParser(self._builder)
@@ -106,18 +106,18 @@
         self._framed = True
         self._at_end = False
         self.sent_at = 0.0
-        """When the first byte of the request left, in seconds."""
+        """Time when sending the request began, in seconds."""
         self.observe: Callable[[ResponseHead], None] = _ignore
-        """Takes each head as it arrives, also one of a response that nobody reads."""
+        """Called with each head as it arrives, even if no reader takes the response."""
 
     @property
     def framed(self) -> bool:
-        """Tell whether the answer says where it ends; else it ends with its connection."""
+        """Return True if the response is framed; otherwise it ends with its connection."""
         return self._framed
 
     @classmethod
     def connect(cls, address: str, timeout_s: float) -> UpstreamExchange:
-        """Open a connection; raise UpstreamError if it does not come up."""
+        """Open a connection; raise UpstreamError if it cannot be established in time."""
         try:
             connection = socket.create_connection(split_address(address), timeout_s)
             tune(connection)
@@ -129,7 +129,7 @@
     def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes, timeout_s: float
     ) -> None:
-        """Send the request; stop early where the upstream already answers."""
+        """Send the request; stop early if the upstream already responds."""
         lines = [method + b" " + target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in headers]
         if body or method not in (b"GET", b"HEAD", b"DELETE"):
@@ -139,12 +139,12 @@
         until = clock.now() + timeout_s
         self.sent_at = clock.now()
         try:
-            self._send_pieces(data, until)
+            self._send_data(data, until)
         except OSError as fault:
-            raise UpstreamError(f"the send broke: {type(fault).__name__}", sent=True) from fault
+            raise UpstreamError(f"sending failed: {type(fault).__name__}", sent=True) from fault
 
-    def _send_pieces(self, data: bytes, until: float) -> None:
-        """Send piece by piece, unless the answer comes before all is sent."""
+    def _send_data(self, data: bytes, until: float) -> None:
+        """Send the data, a large request in pieces until the upstream responds."""
         if len(data) <= SEND_PIECE_BYTES:
             self._connection.settimeout(max(0.001, until - clock.now()))
             self._connection.sendall(data)
@@ -152,10 +152,10 @@
         view = memoryview(data)
         self._connection.settimeout(0.0)
         while view:
-            left = until - clock.now()
-            if left <= 0:
-                raise TimeoutError("the upstream does not read")
-            wait_s = min(left, clock.LONGEST_WAIT_S)
+            remaining_s = until - clock.now()
+            if remaining_s <= 0:
+                raise TimeoutError("the upstream does not read the request")
+            wait_s = min(remaining_s, clock.LONGEST_WAIT_S)
             readable, writable, _ = select.select(
                 [self._connection], [self._connection], [], wait_s
             )
@@ -165,17 +165,17 @@
                 continue
             view = view[self._connection.send(view[:SEND_PIECE_BYTES]) :]
 
-    def next(self, timeout_s: float) -> Item:
-        """Return the next part of the answer; raise UpstreamError when it breaks.
+    def next(self, timeout_s: float) -> ResponsePart:
+        """Return the next part of the response; raise UpstreamError if the connection breaks.
 
-        A timeout raises TimeoutError and leaves the exchange as it was.
+        A timeout raises TimeoutError; the exchange can still be read afterwards.
         """
         until = clock.now() + timeout_s
         while not self._builder.items:
-            left = until - clock.now()
-            if left <= 0:
-                raise TimeoutError("nothing arrived in time")
-            self._connection.settimeout(min(left, clock.LONGEST_WAIT_S))
+            remaining_s = until - clock.now()
+            if remaining_s <= 0:
+                raise TimeoutError("the response timed out")
+            self._connection.settimeout(min(remaining_s, clock.LONGEST_WAIT_S))
             self._receive()
         item = self._builder.items.popleft()
         if isinstance(item, ResponseHead):
@@ -183,17 +183,17 @@
         return item
 
     def close(self) -> None:
-        """Close the connection; most upstreams then give the request up."""
+        """Close the connection; most upstreams then abort the request."""
         self._connection.close()
 
     def _receive(self) -> None:
-        """Read once and parse; nothing may have come in time."""
+        """Read once and parse the data; return without data after a timeout."""
         try:
             data = self._connection.recv(RECEIVE_BYTES)
         except TimeoutError:
             return
         except OSError as fault:
-            raise UpstreamError(f"the answer broke: {type(fault).__name__}", sent=True) from fault
+            raise UpstreamError(f"receiving failed: {type(fault).__name__}", sent=True) from fault
         if not data:
             self._ended()
             return
@@ -201,7 +201,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
             if not self._builder.items:
-                detail = f"the answer is none of the protocol: {type(fault).__name__}"
+                detail = f"invalid HTTP response: {type(fault).__name__}"
                 raise UpstreamError(detail, sent=True) from fault
         finally:
             heads, self._builder.new_heads = self._builder.new_heads, []
@@ -209,39 +209,39 @@
                 self.observe(head)
 
     def _ended(self) -> None:
-        """Take the connection's end for the answer's, where it says no other end.
+        """Handle the end of the connection: it ends an unframed response, and breaks a framed one.
 
-        A closed connection is read as empty again and again: it ends only one answer.
+        A closed connection returns empty reads forever, so it ends only one response.
         """
         if self._framed or self._at_end:
-            raise UpstreamError("the answer ended early", sent=True)
+            raise UpstreamError("the response ended early", sent=True)
         self._at_end = True
         self._builder.items.append(ResponseEnd())
 
 
 def _ignore(_: ResponseHead) -> None:
-    """Take a head that nobody observes."""
+    """Ignore a head; the default observer."""
 
 
 class OpenExchanges:
-    """Hold the open exchanges by upstream, so that all with one can be given up together."""
+    """Registry of open exchanges by upstream, so that all with one upstream can be closed."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no exchange."""
         self._open: dict[str, WeakSet[UpstreamExchange]] = {}
 
     def add(self, upstream_id: str, exchange: UpstreamExchange) -> None:
-        """Add an exchange; it is forgotten with its last user."""
+        """Add an exchange; it is held weakly and disappears with its last user."""
         self._open.setdefault(upstream_id, WeakSet()).add(exchange)
 
     def close_all(self, upstream_id: str) -> int:
-        """Close all exchanges with an upstream, so that their readers go on; return how many."""
-        found = list(self._open.pop(upstream_id, ()))
-        for one in found:
-            one.close()
-        return len(found)
+        """Close all exchanges with an upstream, which wakes their readers; return the number."""
+        exchanges = list(self._open.pop(upstream_id, ()))
+        for exchange in exchanges:
+            exchange.close()
+        return len(exchanges)
 
     def forget_ended(self) -> None:
-        """Forget upstreams with which there is no exchange any more."""
-        for upstream_id in [one for one, open_ones in self._open.items() if not open_ones]:
+        """Remove upstreams that have no open exchange."""
+        for upstream_id in [key for key, exchanges in self._open.items() if not exchanges]:
             del self._open[upstream_id]
--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -1,7 +1,8 @@
-"""Read callers' requests from a connection, strictly, and write answers.
+"""Read callers' HTTP requests from a connection, with strict parsing, and write responses.
 
-The parser refuses what two readers could take for different requests: two lengths,
-a length beside chunks, folded or malformed headers, wrong line ends.
+The parser rejects input that two HTTP implementations could interpret as different requests
+(request smuggling): two lengths, a length together with chunked coding, folded or malformed
+headers, wrong line ends.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK: Final = b"0\r\n\r\n"
 MIN_BODY_BYTES_PER_S: Final = 10_000.0
-"""A body slower than this is given up, so that slow senders hold no memory."""
+"""A body that arrives more slowly is rejected, so that slow senders do not occupy memory."""
 WRITE_TIMEOUT_S: Final = 10.0
-"""A caller that reads nothing for so long is given up."""
+"""A connection whose caller reads nothing for this time is closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold one whole request of a caller."""
+    """Hold one whole request from a caller."""
 
     method: bytes
     target: bytes
@@ -39,17 +40,17 @@
     body: bytes
     keep_alive: bool
     read_at: float
-    """When its last byte was read, in seconds."""
+    """Time when the last byte was read, in seconds on the monotonic clock."""
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the path without the query string."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """Describe input that is answered with an error, and the connection closed."""
+    """Describe malformed input: it is answered with an error and the connection is closed."""
 
     status: HTTPStatus
     detail: str
@@ -57,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """Tell that the connection has ended or rests for too long."""
+    """The connection has been closed or has been idle for too long."""
 
 
 class _RequestBuilder:
-    """Build requests from what the parser finds; httptools calls the on_ methods."""
+    """Build requests from the parser's callbacks; httptools calls the on_ methods."""
 
     def __init__(self, limits: Limits) -> None:
         """Start before the first request."""
@@ -85,11 +86,11 @@
         self.begun_at = None
 
     def on_message_begin(self) -> None:
-        """Note when a request began."""
+        """Record when a request began."""
         self.begun_at = clock.now()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Collect a part of the request target."""
         self._target += url
         self._count_head(len(url))
 
@@ -100,7 +101,7 @@
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Validate the head: Host, transfer coding and length."""
         self.head_done = True
         values: dict[bytes, list[bytes]] = {}
         for name, value in self._headers:
@@ -116,7 +117,7 @@
         self.wants_continue = [v.lower() for v in values.get(b"expect", ())] == [b"100-continue"]
 
     def on_body(self, data: bytes) -> None:
-        """Collect a piece of the body."""
+        """Collect a chunk of the body."""
         self.body_bytes += len(data)
         if self.body_bytes > self._limits.body_bytes:
             self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
@@ -124,7 +125,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand over a whole request."""
+        """Queue a whole request."""
         if self.fault is None:
             host = next(value for name, value in self._headers if name.lower() == b"host")
             request = CallerRequest(
@@ -141,21 +142,21 @@
         self._reset()
 
     def _count_head(self, size: int) -> None:
-        """Bound the head's size."""
+        """Enforce the size limit of the head."""
         self._head_bytes += size
         if self._head_bytes > self._limits.header_bytes:
             self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
 
     def _fail(self, status: HTTPStatus, detail: str) -> None:
-        """Keep the first fault."""
+        """Record the first error; later ones are ignored."""
         self.fault = self.fault or Malformed(status, detail)
 
 
 class CallerConnection:
-    """Read requests from one caller's connection, and write answers to it."""
+    """Read requests from one caller's connection, and write responses to it."""
 
     def __init__(self, connection: socket.socket, limits: Limits) -> None:
-        """Take the accepted connection."""
+        """Initialize with the accepted connection and the limits of its requests."""
         self._connection = connection
         self._limits = limits
         self._builder = _RequestBuilder(limits)
@@ -166,12 +167,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no byte of a next request has arrived."""
+        """Return True if no byte of a further request has arrived."""
         return self._builder.begun_at is None and not self._builder.requests
 
     def next(self) -> CallerRequest | Malformed | Closed:
-        """Wait for the next request."""
-        rest_until = clock.now() + self._limits.idle_timeout_s
+        """Wait for and return the next request, an error, or the end of the connection."""
+        idle_until = clock.now() + self._limits.idle_timeout_s
         while True:
             if self._builder.requests:
                 return self._builder.requests.popleft()
@@ -179,22 +180,22 @@
                 return self._builder.fault
             if self._broken:
                 return Closed()
-            self._continue_if_wanted()
-            late = self._wait(rest_until)
-            if late is not None:
-                return late
-
-    def _wait(self, rest_until: float) -> Malformed | Closed | None:
-        """Read once; return why to stop, if so."""
-        until = self._read_until(rest_until)
-        left = until - clock.now()
-        if left <= 0:
-            return self._too_slow()
-        self._connection.settimeout(left)
+            self._send_continue()
+            end = self._receive(idle_until)
+            if end is not None:
+                return end
+
+    def _receive(self, idle_until: float) -> Malformed | Closed | None:
+        """Read once; return an error or the end of the connection, or None to continue."""
+        until = self._read_deadline(idle_until)
+        remaining_s = until - clock.now()
+        if remaining_s <= 0:
+            return self._timeout_result()
+        self._connection.settimeout(remaining_s)
         try:
             data = self._connection.recv(RECEIVE_BYTES)
         except TimeoutError:
-            return self._too_slow()
+            return self._timeout_result()
         except OSError:
             return Closed()
         if not data:
@@ -202,42 +203,42 @@
         self._feed(data)
         return None
 
-    def _read_until(self, rest_until: float) -> float:
-        """Return until when the next bytes must arrive."""
+    def _read_deadline(self, idle_until: float) -> float:
+        """Return the time by which the next bytes must arrive."""
         begun_at = self._builder.begun_at
         if begun_at is None:
-            return rest_until
+            return idle_until
         until = begun_at + self._limits.header_timeout_s
         if self._builder.head_done:
             until += self._builder.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
         return until
 
-    def _too_slow(self) -> Malformed | Closed:
-        """Return what a caller gets that sends too slowly."""
+    def _timeout_result(self) -> Malformed | Closed:
+        """Return the result of a read timeout: an error only if a request had begun."""
         if self._builder.begun_at is None:
             return Closed()
         return Malformed(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in time")
 
     def _feed(self, data: bytes) -> None:
-        """Parse some bytes; a fault counts after the whole requests before it."""
+        """Parse some bytes; an error is reported after the whole requests before it."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is spoken here: the request is answered, the rest is not read.
+            # Upgrades are not supported: the request is answered, and nothing more is read.
             self._broken = True
         except (httptools.HttpParserError, httptools.HttpParserCallbackError) as fault:
             known = self._builder.fault
             detail = f"the request is malformed: {fault}"
             self._builder.fault = known or Malformed(HTTPStatus.BAD_REQUEST, detail)
 
-    def _continue_if_wanted(self) -> None:
-        """Ask for the body where the caller waits for that."""
+    def _send_continue(self) -> None:
+        """Send 100 Continue if the caller waits for it."""
         if self._builder.wants_continue and self._builder.head_done:
             self._builder.wants_continue = False
             self.write(CONTINUE)
 
     def write(self, data: bytes) -> bool:
-        """Write to the caller; return False if it is gone."""
+        """Write to the caller; return False if it has disconnected."""
         try:
             self._connection.settimeout(WRITE_TIMEOUT_S)
             self._connection.sendall(data)
@@ -250,47 +251,47 @@
         self._connection.close()
 
     def watch_disconnect(self) -> DisconnectWatch:
-        """Return a watch on whether the caller leaves."""
+        """Return a watch that detects a disconnect of the caller."""
         return DisconnectWatch(self._connection)
 
 
 class DisconnectWatch:
-    """Notice that a caller closes its connection while its request is served."""
+    """Detect that a caller closes its connection while its request is served."""
 
     def __init__(self, connection: socket.socket) -> None:
-        """Take the caller's connection."""
+        """Initialize with the caller's connection."""
         self._connection = connection
         self._watcher = gevent.get_hub().loop.io(connection.fileno(), 1)
-        self._on_gone: Any = None
+        self._on_disconnect: Any = None
         self.is_disconnected = False
 
-    def start(self, on_gone: Any) -> None:
-        """Call a function once when the caller is gone."""
-        self._on_gone = on_gone
-        self._watcher.start(self._readable)
+    def start(self, on_disconnect: Any) -> None:
+        """Watch the connection, and call the function once when the caller disconnects."""
+        self._on_disconnect = on_disconnect
+        self._watcher.start(self._handle_readable)
 
     def stop(self) -> None:
-        """Stop to watch."""
+        """Stop watching."""
         self._watcher.stop()
         self._watcher.close()
 
-    def _readable(self) -> None:
-        """Tell a close from the bytes of a next request."""
+    def _handle_readable(self) -> None:
+        """Distinguish a close from the first bytes of a further request."""
         try:
             raw = self._connection._sock
-            left = raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+            is_closed = raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
             return
         except OSError:
-            left = True
+            is_closed = True
         self._watcher.stop()
-        if left:
+        if is_closed:
             self.is_disconnected = True
-            self._on_gone()
+            self._on_disconnect()
 
 
 def encode_head(status: int, headers: Headers, extra: tuple[bytes, ...]) -> bytes:
-    """Return the head of an answer."""
+    """Return the bytes of a response head; extra holds further header lines."""
     reason = HTTPStatus(status).phrase if status in _KNOWN else "Status"
     lines = [b"HTTP/1.1 %d %s" % (status, reason.encode())]
     lines += [name + b": " + value for name, value in headers]
@@ -299,7 +300,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return one chunk of a body of unknown length."""
+    """Return one chunk of a body in chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""Listen for callers, for checks of readiness and for callers that ask where to go."""
+"""Listeners for callers' requests, readiness checks, metrics and locate requests."""
 
 from __future__ import annotations
 
@@ -35,27 +35,28 @@
 from driftstall.util.fingerprint import fingerprint
 
 BACKLOG: Final = 512
-"""Connections that wait to be accepted; a full queue costs its callers seconds."""
+"""Connections that may wait to be accepted; a full queue delays callers by seconds."""
 LOCATE_KEEP_S: Final = 2.0
 """How long callers keep a located address; some keep it three times as long."""
 MIN_ZONE_INSTANCES: Final = 2
-"""Ready instances in the caller's zone from which on no other zone is named."""
+"""With this many ready instances in the caller's zone, no other zone is listed."""
 MAX_LOCATED_INSTANCES: Final = 64
 NOT_READY_RETRY_S: Final = 0.5
 START_WAIT_S: Final = 0.3
-"""How long a request waits for a fresh instance's first configuration; reading it takes less."""
+"""How long a request waits for the first configuration of a new instance; reading it takes
+less."""
 CRASHES_PATH: Final = "/crashes"
 AUXILIARY_LIMITS: Final = Limits(header_bytes=8_192, body_bytes=1_024)
-"""Limits of the listeners that take no requests of callers."""
+"""Limits of the listeners that take no generation requests."""
 
 
 class CallerListener:
-    """Serve callers' requests."""
+    """Listener that serves callers' requests."""
 
     def __init__(
         self, state: GatewayState, mover: Mover, drain: Drain, current: Callable[[], bool]
     ) -> None:
-        """Take the shared state; current tells whether the routing is the newest."""
+        """Initialize with the shared state; current returns whether the routing is the newest."""
         self._state = state
         self._mover = mover
         self._drain = drain
@@ -64,11 +65,11 @@
         self._server = StreamServer(address, self._serve, backlog=BACKLOG)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.close()
 
     def _serve(self, raw: socket.socket, _: tuple[str, int]) -> None:
@@ -81,18 +82,18 @@
                 if isinstance(call, Closed):
                     return
                 if isinstance(call, Malformed):
-                    self._refuse(connection, call)
+                    self._reject(connection, call)
                     return
                 if not self._answer(connection, call):
                     return
         finally:
             connection.close()
 
-    def _refuse(self, connection: CallerConnection, fault: Malformed) -> None:
-        """Answer input that cannot be read."""
+    def _reject(self, connection: CallerConnection, fault: Malformed) -> None:
+        """Answer malformed input with an error."""
         self._state.stats.malformed += 1
         problem = Problem(CODE_BAD_REQUEST, int(fault.status), fault.detail, Ran.NOT_RUN)
-        log_event(PREFIX_RELAY, f"A request is answered {problem.status}: {problem.detail}")
+        log_event(PREFIX_RELAY, f"Request answered with {problem.status}: {problem.detail}")
         connection.write(encode_problem(problem, keep=False))
 
     def _answer(self, connection: CallerConnection, call: CallerRequest) -> bool:
@@ -102,8 +103,8 @@
         try:
             return self._answer_counted(connection, call)
         except Exception as fault:
-            # A defect must not take the connection's other requests with it unseen.
-            log_event(PREFIX_RELAY, f"A request failed with {type(fault).__name__}: {fault}")
+            # A defect closes the connection, which also holds further requests, so it is logged.
+            log_event(PREFIX_RELAY, f"Request failed with {type(fault).__name__}: {fault}")
             self._state.stats.failed += 1
             return False
         finally:
@@ -118,12 +119,12 @@
             if refusal is None:
                 return self._serve_admitted(connection, call, admitted, keep=keep)
             admitted = refusal
-        # Where headers contradict themselves, what follows cannot be trusted either.
+        # After contradictory headers, the bytes that follow cannot be trusted either.
         keep = keep and admitted.code != CODE_BAD_REQUEST
         return self._answer_problem(connection, admitted, keep=keep)
 
     def _admit(self, call: CallerRequest) -> Admitted | Problem:
-        """Find out what the request is."""
+        """Decode the request's headers and run the admission filters."""
         self._state.configured.wait(START_WAIT_S)
         table = self._state.route_table
         if table is None or not self._state.fleet.is_loaded:
@@ -149,28 +150,28 @@
     def _serve_admitted(
         self, connection: CallerConnection, call: CallerRequest, admitted: Admitted, *, keep: bool
     ) -> bool:
-        """Serve an admitted request while watching whether its caller leaves."""
+        """Serve an admitted request, and cancel it if its caller disconnects."""
         if admitted.route.repeat is Repeat.STREAM:
             relay = StreamRelay(self._state, self._mover, connection, call, admitted, keep=keep)
-            return self._watched(connection, relay.handle_disconnect, relay.serve)
+            return self._serve_watched(connection, relay.handle_disconnect, relay.serve)
         call_relay = CallRelay(self._state, call, admitted)
-        return self._watched(
+        return self._serve_watched(
             connection,
             call_relay.handle_disconnect,
             lambda: self._answer_call(connection, call_relay.serve(), admitted, keep=keep),
         )
 
-    def _watched(
-        self, connection: CallerConnection, left: Callable[[], None], serve: Callable[[], bool]
+    def _serve_watched(
+        self, connection: CallerConnection, cancel: Callable[[], None], serve: Callable[[], bool]
     ) -> bool:
-        """Serve, and have the request given up when its caller leaves."""
+        """Serve a request, and call the cancel function if its caller disconnects."""
         watch = connection.watch_disconnect()
 
-        def gone() -> None:
+        def on_disconnect() -> None:
             self._state.stats.callers_gone += 1
-            left()
+            cancel()
 
-        watch.start(gone)
+        watch.start(on_disconnect)
         try:
             return serve() and not watch.is_disconnected
         finally:
@@ -184,11 +185,11 @@
         *,
         keep: bool,
     ) -> bool:
-        """Write the answer of a plain call."""
+        """Write the response to a plain call."""
         if isinstance(result, Problem):
             log_event(
                 PREFIX_RELAY,
-                f"A call is answered {result.status}: {result.detail}",
+                f"Call answered with {result.status}: {result.detail}",
                 request=admitted.marks.request_id,
                 route=admitted.route.name,
                 ran=result.ran.value,
@@ -202,7 +203,7 @@
     def _answer_problem(
         self, connection: CallerConnection, problem: Problem, *, keep: bool
     ) -> bool:
-        """Write a problem."""
+        """Write a problem response, and count it."""
         if problem.retry_after_s is not None:
             self._state.stats.refused += 1
         else:
@@ -211,20 +212,20 @@
 
 
 def request_fingerprint(call: CallerRequest, workspace: str) -> str:
-    """Return what stands for a request's path, caller and body."""
+    """Return the fingerprint of a request's method, host, target, workspace and body."""
     return fingerprint(call.method, call.host.encode(), call.target, workspace.encode(), call.body)
 
 
 class AuxiliaryListener:
-    """Answer small questions on a listener of their own."""
+    """Listener for small requests outside the callers' interface."""
 
     def __init__(self, address: str, answer: Callable[[CallerRequest], bytes]) -> None:
-        """Take the address and what answers a request."""
+        """Initialize with the address and the handler that answers a request."""
         self._answer = answer
         self._server = StreamServer(split_address(address), self._serve, backlog=BACKLOG)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def _serve(self, raw: socket.socket, _: tuple[str, int]) -> None:
@@ -242,14 +243,14 @@
 
 
 class ReadinessHandler:
-    """Tell the platform whether this instance is ready."""
+    """Handler of the platform's readiness checks."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Take the shared state."""
+        """Initialize with the shared state."""
         self._state = state
 
     def __call__(self, call: CallerRequest) -> bytes:
-        """Answer one check."""
+        """Return the response to one readiness check."""
         target = call.target.decode("latin-1")
         if not self._state.dialect.is_readiness_check(target):
             return encode_response(404, (), b"", keep=call.keep_alive)
@@ -258,18 +259,18 @@
 
 
 class MetricsHandler:
-    """Show the counters and histograms, and which requests are refused for crashes.
+    """Handler of metrics and of the requests that are quarantined for crashes.
 
-    An operator clears such a request here: DELETE of the path with its fingerprint.
+    An operator clears a quarantined request with a DELETE of CRASHES_PATH/<fingerprint>.
     """
 
     def __init__(self, state: GatewayState, gauges: Callable[[], dict[str, float]]) -> None:
-        """Take the shared state and a reader of what has a value now."""
+        """Initialize with the shared state and a reader of the current gauges."""
         self._state = state
         self._gauges = gauges
 
     def __call__(self, call: CallerRequest) -> bytes:
-        """Answer one question."""
+        """Return the response to one request: metrics, quarantined requests or clearing one."""
         if call.path == CRASHES_PATH:
             return self._crashes(call)
         if call.path.startswith(f"{CRASHES_PATH}/") and call.method == b"DELETE":
@@ -278,7 +279,7 @@
         return encode_response(200, ((b"Content-Type", b"text/plain"),), body, keep=call.keep_alive)
 
     def _crashes(self, call: CallerRequest) -> bytes:
-        """Name the requests that are sent to no upstream."""
+        """List the quarantined requests, which are sent to no upstream."""
         found = self._state.poison_tracker.quarantined(self._state.now())
         rows = [
             {
@@ -292,25 +293,25 @@
         return encode_response(200, headers, orjson.dumps(rows), keep=call.keep_alive)
 
     def _clear(self, call: CallerRequest) -> bytes:
-        """Hold nothing more against a request, here and at the other instances."""
+        """Clear a quarantined request, here and at the other instances."""
         fingerprint = call.path.rpartition("/")[2]
         is_known = self._state.poison_tracker.verdict(fingerprint, self._state.now()).is_poison
         if is_known:
-            log_event(PREFIX_ROUTING, f"Request {fingerprint} is cleared by an operator")
+            log_event(PREFIX_ROUTING, f"Request {fingerprint} cleared by an operator")
             self._state.record_success(fingerprint)
         return encode_response(200 if is_known else 404, (), b"", keep=call.keep_alive)
 
 
 class LocateHandler:
-    """Tell callers which instances to use."""
+    """Handler of locate requests: lists the instances that callers should use."""
 
     def __init__(self, state: GatewayState, located: Callable[[], tuple[Instance, ...]]) -> None:
-        """Take the shared state and a reader of the instances that callers may use."""
+        """Initialize with the shared state and a reader of the instances open to callers."""
         self._state = state
         self._located = located
 
     def __call__(self, call: CallerRequest) -> bytes:
-        """Answer one question."""
+        """Return the response to one locate request; 503 if no instance is ready."""
         zone = self._state.dialect.located_zone(call.target.decode("latin-1"))
         if zone is None:
             return encode_response(404, (), b"", keep=call.keep_alive)
@@ -320,13 +321,15 @@
             problem = Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
             return encode_problem(problem, keep=call.keep_alive)
         keep_s = min(LOCATE_KEEP_S, self._state.settings.bounds.locate_keep_s)
-        body = self._state.dialect.located_answer(tuple(one.address for one in chosen), keep_s)
-        log_event(PREFIX_LOCATE, f"A caller of {zone} is sent to {len(chosen)} instances")
+        body = self._state.dialect.located_answer(
+            tuple(instance.address for instance in chosen), keep_s
+        )
+        log_event(PREFIX_LOCATE, f"Caller in zone {zone} directed to {len(chosen)} instances")
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
         return encode_response(200, headers, body, keep=call.keep_alive)
 
     def _choose(self, zone: str) -> tuple[Instance, ...]:
-        """Return the ready instances of the caller's zone if they suffice, else all."""
+        """Return the ready instances of the caller's zone if there are enough, else all."""
         ready = self._located()
-        near = tuple(one for one in ready if one.zone == zone)
+        near = tuple(instance for instance in ready if instance.zone == zone)
         return (near if len(near) >= MIN_ZONE_INSTANCES else ready)[:MAX_LOCATED_INSTANCES]
--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Write the gateway's own answers, and whole answers of upstreams."""
+"""Encode the gateway's own responses and whole responses of upstreams."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def encode_response(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
-    """Return a whole answer."""
+    """Return the bytes of a whole response."""
     extra = (b"Content-Length: %d" % len(body), KEEP if keep else CLOSE)
     return encode_head(status, headers, extra) + body
 
 
 def encode_problem(problem: Problem, *, keep: bool) -> bytes:
-    """Return the answer that carries a problem; it tells when to come back."""
+    """Return the bytes of a problem response, with Retry-After if the problem has one."""
     headers: list[tuple[bytes, bytes]] = [(b"Content-Type", PROBLEM_TYPE.encode())]
     if problem.retry_after_s is not None:
         seconds = max(MIN_RETRY_S, problem.retry_after_s)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -1,8 +1,8 @@
-"""Pass event streams on, from the upstream that takes them to their end.
+"""Relay event streams from upstreams to callers.
 
-A stream runs at most once. When its upstream is gone it goes on at a copy of its
-memory, from the last event that the caller got; without a copy it is visibly broken
-off. Events are passed on whole, in order and only once.
+A stream runs at most once. When its upstream fails or leaves, the stream resumes at a replica of
+its memory, from the last event that the caller received. Without a replica it is broken off
+visibly: the last chunk is missing. Events are relayed whole, in order and exactly once.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 from driftstall.helpers.log import log_event
 
 SILENCE_S: Final = 1.2
-"""A running stream that says nothing for so long goes on at its copy, if it has one."""
+"""A running stream without an event for this time resumes at its backup, if it has one."""
 ACCOUNT_TOKENS: Final = 128
-"""Tokens after which the books are told of a run's growth: about once a second."""
+"""Tokens after which a run's load is updated: about once a second."""
 
 
 class StreamRelay:
-    """Serve one stream."""
+    """Relay one stream to its caller."""
 
     def __init__(
         self,
@@ -52,7 +52,10 @@
         *,
         keep: bool,
     ) -> None:
-        """Take the caller's connection and its request; keep tells whether it may go on."""
+        """Initialize with the caller's connection and request.
+
+        With keep, the connection may serve further requests afterwards.
+        """
         self._state = state
         self._connection = connection
         self._admitted = admitted
@@ -65,7 +68,7 @@
         self._keep = keep
 
     def handle_disconnect(self) -> None:
-        """Give the stream up: its upstream stops when the connection closes."""
+        """Abandon the stream: closing the connection makes its upstream stop."""
         self._context.handle_disconnect()
 
     def serve(self) -> bool:
@@ -79,7 +82,7 @@
             self._context.finish()
 
     def _relay(self, opened: OpenedResponse) -> bool:
-        """Pass the answer on; return whether the caller's connection can be kept."""
+        """Relay the response; return whether the caller's connection can be kept."""
         run = self._context.run
         assert run is not None
         if opened.head.status != OK:
@@ -100,7 +103,7 @@
             run = self._context.run
 
     def _relay_failure(self, run: StreamRun, opened: OpenedResponse) -> bool:
-        """Pass on an answer that is no stream."""
+        """Relay an error response, which is not a stream."""
         assert run.exchange is not None
         parts: list[bytes] = []
         try:
@@ -111,7 +114,7 @@
                 if isinstance(item, BodyChunk):
                     parts.append(item.data)
         except (UpstreamError, TimeoutError) as fault:
-            log_event(PREFIX_RELAY, f"A failure's body broke off: {fault}", request=run.request_id)
+            log_event(PREFIX_RELAY, f"Error response broke off: {fault}", request=run.request_id)
             self._context.handle_break(run, fault)
             problem = Problem(CODE_RUNNER_FAILED, 502, "the answer broke off", Ran.UNKNOWN)
             return self._answer_problem(problem)
@@ -124,7 +127,7 @@
         return self._connection.write(data) and self._keep
 
     def _send_head(self, opened: OpenedResponse) -> bool:
-        """Send the answer's head to the caller."""
+        """Send the response head to the caller."""
         extra = (b"Transfer-Encoding: chunked", KEEP if self._keep else CLOSE)
         self._head_sent = True
         return self._connection.write(
@@ -132,13 +135,13 @@
         )
 
     def _relay_events(self, run: StreamRun) -> Exception | None:
-        """Pass events on; return None at the end, or what broke the stream."""
+        """Relay events; return None at the end of the stream, or the error that broke it."""
         assert run.exchange is not None
         splitter = EventSplitter()
         while True:
             waits_since = self._state.now()
             try:
-                item = run.exchange.next(self._patience(run))
+                item = run.exchange.next(self._max_wait_s(run))
             except UpstreamError as fault:
                 return fault
             except TimeoutError as fault:
@@ -146,13 +149,13 @@
                     self._context.remaining_s() > 0
                     and not self._context.replicas.has_current_backup(run)
                 ):
-                    # The copy's engine has left meanwhile: to wait is all there is.
+                    # The backup engine has left meanwhile, so waiting is the only option.
                     continue
                 return fault
             finally:
                 run.waited_s += self._state.now() - waits_since
             if isinstance(item, BodyChunk):
-                fault_or_none = self._pass_on(run, splitter.feed(item.data))
+                fault_or_none = self._forward(run, splitter.feed(item.data))
                 if fault_or_none is not None:
                     return fault_or_none
             elif isinstance(item, ResponseEnd):
@@ -161,39 +164,40 @@
                 if not run.exchange.framed and self._context.replicas.may_have_stopped(
                     run, self._context.remaining_s()
                 ):
-                    # A run that is stopped for a move closes its connection just like this.
-                    return UpstreamError("the stream ended while it was moved", sent=True)
+                    # A run that a final copy has stopped closes its connection in the same way.
+                    return UpstreamError("the stream ended during its migration", sent=True)
                 return None
 
-    def _patience(self, run: StreamRun) -> float:
+    def _max_wait_s(self, run: StreamRun) -> float:
         """Return how long to wait for the next event, in seconds."""
-        left = max(0.0, self._context.remaining_s())
+        remaining_s = max(0.0, self._context.remaining_s())
         if self._context.replicas.has_current_backup(run):
-            return min(left, SILENCE_S)
-        return left
+            return min(remaining_s, SILENCE_S)
+        return remaining_s
 
-    def _pass_on(self, run: StreamRun, events: list[Event]) -> Exception | None:
-        """Write events to the caller; return what is wrong with them, if anything."""
+    def _forward(self, run: StreamRun, events: list[Event]) -> Exception | None:
+        """Write events to the caller; return an error if one is missing or the caller left."""
         wanted: list[bytes] = []
         fault: UpstreamError | None = None
         for event in events:
             order = self._order.check(event)
             if order is EventContinuity.GAP:
-                fault = UpstreamError("an event is missing", sent=True)
+                fault = UpstreamError("an event of the stream is missing", sent=True)
                 break
             if order is EventContinuity.NEXT:
                 wanted.append(event.data)
                 run.last_event_id = event.event_id or run.last_event_id
-        # What came before a gap counts as passed on, so it is, or a resumed stream lacks it.
+        # Events before a gap are already counted as relayed: if they were not written, a resumed
+        # stream would lack them.
         if wanted:
             self._count(run, len(wanted))
             if not self._connection.write(encode_chunk(b"".join(wanted))):
                 self._context.is_caller_disconnected = True
-                return UpstreamError("the caller has left", sent=True)
+                return UpstreamError("the caller has disconnected", sent=True)
         return fault
 
     def _count(self, run: StreamRun, events: int) -> None:
-        """Take in that events have arrived."""
+        """Update progress, times and load after the arrival of events."""
         now = self._state.now()
         if run.generating_s is None:
             run.waited_s = 0.0
@@ -211,10 +215,11 @@
             self._state.record_run_load(run)
 
     def _complete(self, run: StreamRun) -> bool:
-        """End a whole stream."""
+        """Finish a stream that is complete."""
         self._context.record_outcome(run, Outcome.GOOD)
         if run.exchange is not None and run.exchange.framed:
-            # An answer without a length ends with its connection, as a crash does.
+            # A response without framing ends with its connection, exactly as a crash does, so its
+            # end is no evidence against a crash.
             self._state.record_success(self._admitted.fingerprint)
         self._state.lengths.record_finish(self._context.request, run.tokens)
         self._state.stats.completed += 1
@@ -231,12 +236,12 @@
         return self._connection.write(LAST_CHUNK) and self._keep
 
     def _break_off(self, run: StreamRun, cause: str) -> bool:
-        """End a stream that cannot go on; without its last chunk it is visibly broken."""
+        """End a stream that cannot resume; the missing last chunk tells the caller."""
         self._context.record_outcome(run, Outcome.BROKEN)
         self._state.stats.streams_broken += 1
         log_event(
             PREFIX_RELAY,
-            f"A stream broke off for good: {cause}",
+            f"Stream broke off and cannot resume: {cause}",
             request=run.request_id,
             fingerprint=self._admitted.fingerprint,
             upstream=run.upstream.upstream_id,
@@ -247,7 +252,7 @@
         return False
 
     def _answer_problem(self, problem: Problem) -> bool:
-        """Answer with a problem; return whether the connection can be kept."""
+        """Send a problem response; return whether the connection can be kept."""
         if self._head_sent or self._context.is_caller_disconnected:
             return False
         if problem.ran is Ran.NOT_RUN and problem.retry_after_s is not None:
@@ -256,7 +261,7 @@
             self._state.stats.failed += 1
         log_event(
             PREFIX_RELAY,
-            f"A stream is answered {problem.status}: {problem.detail}",
+            f"Stream request answered with {problem.status}: {problem.detail}",
             request=self._admitted.marks.request_id,
             fingerprint=self._admitted.fingerprint,
             route=self._admitted.route.name,
--- a/driftstall/gateway/upstream_signals.py
+++ b/driftstall/gateway/upstream_signals.py
@@ -1,4 +1,4 @@
-"""Handle what upstreams signal about themselves: one place for the responses to all requests."""
+"""Handle the signals that upstreams send about themselves in the headers of any response."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from driftstall.helpers.rate_limiting import RateLimiter
 
 MAX_UNKNOWN_NAMES: Final = 32
-"""Unknown signals logged by name; an upstream may make names up."""
+"""Maximum number of unknown signal names logged; an upstream may invent any number of names."""
 
 
 class UpstreamSignals:
-    """Dispatch signals to the parts that decide by them."""
+    """Dispatch signals to the components that act on them."""
 
     def __init__(
         self,
@@ -37,35 +37,35 @@
         backoff: UpstreamBackoff,
         now: Callable[[], float],
     ) -> None:
-        """Take the counters, the rate limits, the fleet, the back-offs, and the steady clock."""
+        """Initialize with the counters, rate limiter, registry, back-offs and monotonic clock."""
         self._stats = stats
         self._rate_limiting = rate_limiting
         self._fleet = fleet
         self._backoff = backoff
         self._now = now
         self.on_leaving: Callable[[str], None] = _ignore
-        """Takes the id of an upstream that signals that it leaves."""
+        """Called with the id of an upstream that signals that it leaves."""
         self._unknown: set[str] = set()
 
     def handle_response(
         self, upstream: Upstream, signals: Iterable[Signal], sent_at: float
     ) -> None:
-        """Handle the signals of one response to a request that was sent then."""
+        """Handle the signals of one response; sent_at is when its request was sent."""
         for signal in signals:
             self._handle(signal, upstream, sent_at)
 
     def handle_own_call(
         self, upstream: Upstream, signals: Iterable[Signal], sent_at: float
     ) -> None:
-        """Handle the signals of a response to a call of this instance's own.
+        """Handle the signals of a response to this instance's own call, such as a probe.
 
-        Such responses need not repeat a limit, so its absence is no end of it.
+        Such responses need not repeat a rate limit, so a missing limit does not lift it.
         """
-        ended = RateLimitSignal(None)
-        self.handle_response(upstream, [one for one in signals if one != ended], sent_at)
+        lifted = RateLimitSignal(None)
+        self.handle_response(upstream, [signal for signal in signals if signal != lifted], sent_at)
 
     def log_send(self, upstream: Upstream, request_id: str) -> None:
-        """Log a request that is sent although its upstream leaves or wants none."""
+        """Log a request that is sent although its upstream is leaving or in back-off."""
         upstream_id = upstream.upstream_id
         is_leaving = self._fleet.has_signalled_leaving(upstream_id)
         backoff_s = self._backoff.remaining_s(upstream_id, self._now())
@@ -73,7 +73,7 @@
             return
         log_event(
             PREFIX_ROUTING,
-            f"A request is sent to {upstream_id} despite its signals",
+            f"Request sent to {upstream_id} despite its signals",
             request=request_id,
             is_leaving=is_leaving,
             backoff_s=round(backoff_s, 3),
@@ -119,7 +119,7 @@
         self._stats.unreadable_signals += 1
         log_event(
             PREFIX_ROUTING,
-            f"Upstream {upstream.upstream_id} sends a signal that can't be decoded",
+            f"Upstream {upstream.upstream_id} sends a malformed signal",
             header=signal.name,
             value=signal.value,
         )
@@ -132,10 +132,10 @@
         self._unknown.add(signal.name)
         log_event(
             PREFIX_ROUTING,
-            f"Upstream {upstream.upstream_id} sends a header that is not known",
+            f"Upstream {upstream.upstream_id} sends an unknown signal",
             header=signal.name,
         )
 
 
 def _ignore(_: str) -> None:
-    """Take an upstream that nobody asks about."""
+    """Ignore a leaving upstream; the default observer."""
