--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -68,7 +68,7 @@
         types. receiver: called with the sender's id and the message.
         """
         self._own_id = own_id
-        self._kinds = message_types
+        self._message_types = message_types
         self._key = key
         self._receiver = receiver
         self._queues: dict[str, Queue] = {}
@@ -182,7 +182,7 @@
 
     def _receive(self, frame: bytes) -> None:
         """Verify a frame and deliver its message; reject wrong recipients and replays."""
-        envelope = decode(frame, self._key, self._kinds)
+        envelope = decode(frame, self._key, self._message_types)
         if envelope.recipient not in (self._own_id, ANY_RECIPIENT):
             # This address was reassigned: the message is meant for its previous instance.
             self.rejected += 1
