--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -50,7 +50,7 @@
     def check(order: list[Draw]) -> None:
         world = SendsWorld(SendHistory(context.most))
         for draw in order:
-            world.take(draw)
+            world.send(draw)
 
     check()
 
