--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -245,15 +245,15 @@
     def handle(self, event: ClaimEvent, wall: float) -> list[ClaimAction]:
         """Apply one event and return the resulting actions; wall is the wall-clock time."""
         self._actions = []
-        self._on(event, wall)
+        self._handle_event(event, wall)
         return self._actions
 
     @singledispatchmethod
-    def _on(self, event: ClaimEvent, wall: float) -> None:
+    def _handle_event(self, event: ClaimEvent, wall: float) -> None:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ClaimAsked, wall: float) -> None:
         known = self._claims.get(event.key)
         if known is not None and self._phase is not _Phase.COLD:
@@ -269,25 +269,25 @@
         if self._phase is _Phase.COLD:
             self._load()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ClaimSettled, wall: float) -> None:
         self._staged.settled.append(event)
         if self._phase is _Phase.COLD:
             self._load()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: FlushDue, wall: float) -> None:
         if self.should_flush:
             self._flush(wall)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ReadDone, wall: float) -> None:
         if self._phase is _Phase.SETTLING:
             self._settle_lost_write(event, wall)
         elif self._phase is _Phase.READING:
             self._take_over(event, wall)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ReadFailed, wall: float) -> None:
         if self._phase is _Phase.READING:
             self._release_shard()
@@ -295,14 +295,14 @@
             # The write may have taken effect, so no claim is granted and none is answered.
             self._release_shard()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: WriteDone, wall: float) -> None:
         write = self._write
         if write is None or write.write_id != event.write_id:
             return
         self._confirm(write, event.version, wall)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: WriteConflicted, wall: float) -> None:
         if self._write is None or self._write.write_id != event.write_id:
             return
@@ -310,14 +310,14 @@
         self._restage(self._write)
         self._load()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: WriteUnknown, wall: float) -> None:
         if self._write is None or self._write.write_id != event.write_id:
             return
         self._phase = _Phase.SETTLING
         self._actions.append(ReadShard(self._shard))
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: WriteRefused, wall: float) -> None:
         if self._write is not None and self._write.write_id == event.write_id:
             self._restage(self._write)
--- a/driftstall/controllers/configuration.py
+++ b/driftstall/controllers/configuration.py
@@ -180,14 +180,14 @@
 
     def handle(self, event: SubmitEvent) -> list[SubmitAction]:
         """Apply one event and return the resulting actions."""
-        return self._on(event)
+        return self._handle_event(event)
 
     @singledispatchmethod
-    def _on(self, event: SubmitEvent) -> list[SubmitAction]:
+    def _handle_event(self, event: SubmitEvent) -> list[SubmitAction]:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ConfigRead) -> list[SubmitAction]:
         self._current = self._newer_document(event.document)
         if self._change.submission in event.document.submissions:
@@ -204,24 +204,24 @@
             return []
         return self._write(event)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ConfigReadFailed) -> list[SubmitAction]:
         settled = self._state is SubmitState.READING
         self._state = SubmitState.UNREACHABLE if settled else SubmitState.UNKNOWN
         return []
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ConfigWritten) -> list[SubmitAction]:
         self._state = SubmitState.ACCEPTED
         return []
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ConfigConflicted) -> list[SubmitAction]:
         # After a lost response, the conflicting write may be this submission's own first one.
         self._state = SubmitState.SETTLING
         return [ReadConfig()]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ConfigWriteUnknown) -> list[SubmitAction]:
         self._state = SubmitState.SETTLING
         return [ReadConfig()]
--- a/driftstall/controllers/drain.py
+++ b/driftstall/controllers/drain.py
@@ -67,14 +67,14 @@
 
     def handle(self, event: DrainEvent, now: float) -> list[DrainAction]:
         """Apply one event and return the resulting actions."""
-        return self._on(event, now)
+        return self._handle_event(event, now)
 
     @singledispatchmethod
-    def _on(self, event: DrainEvent, now: float) -> list[DrainAction]:
+    def _handle_event(self, event: DrainEvent, now: float) -> list[DrainAction]:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: StopAsked, now: float) -> list[DrainAction]:
         if self._phase is not DrainPhase.SERVING:
             return []
@@ -82,7 +82,7 @@
         self._since = now
         return [AnnounceLeaving()]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: DrainPeriod, now: float) -> list[DrainAction]:
         if self._phase is DrainPhase.WITHDRAWN and now - self._since >= self._keep_s:
             self._phase = DrainPhase.FINISHING
--- a/driftstall/controllers/membership.py
+++ b/driftstall/controllers/membership.py
@@ -203,15 +203,15 @@
     def handle(self, event: MembershipEvent, now: float) -> list[MembershipAction]:
         """Apply one event and return the resulting actions."""
         self._actions = []
-        self._on(event, now)
+        self._handle_event(event, now)
         return self._actions
 
     @singledispatchmethod
-    def _on(self, event: MembershipEvent, now: float) -> None:
+    def _handle_event(self, event: MembershipEvent, now: float) -> None:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Ping, now: float) -> None:
         self._merge_all(event.changes, now)
         sender = self._members.get(event.sender)
@@ -219,7 +219,7 @@
         ack = Ack(self._own_id, event.number, event.on_behalf, changes)
         self._actions.append(SendTo(event.sender, ack))
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Ack, now: float) -> None:
         self._merge_all(event.changes, now)
         if event.on_behalf and event.on_behalf != self._own_id:
@@ -229,13 +229,13 @@
         if probe is not None:
             self._clear_suspicion(probe.target, now)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: PingRequest, now: float) -> None:
         self._merge_all(event.changes, now)
         ping = Ping(self._own_id, event.number, event.sender, self._changes_to_send())
         self._actions.append(SendTo(event.target, ping))
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Seeds, now: float) -> None:
         for seed in event.instances:
             if seed.instance_id in self._members:
@@ -247,7 +247,7 @@
             self._live = None
             self._actions.append(MembersChanged(seed.instance_id, Health.ALIVE.value))
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Period, now: float) -> None:
         self._check_probes(now)
         self._check_suspects(now)
@@ -255,7 +255,7 @@
             self._last_probe_at = now
             self._probe(now)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Leave, now: float) -> None:
         own = self._members[self._own_id]
         self._store(replace(own.change, health=Health.LEAVING.value), now)
--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -117,14 +117,14 @@
 
     def handle(self, event: PlacementEvent, now: float) -> list[PlacementAction]:
         """Apply one event and return the resulting actions."""
-        return self._on(event, now)
+        return self._handle_event(event, now)
 
     @singledispatchmethod
-    def _on(self, event: PlacementEvent, now: float) -> list[PlacementAction]:
+    def _handle_event(self, event: PlacementEvent, now: float) -> list[PlacementAction]:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: PlacementPeriod, now: float) -> list[PlacementAction]:
         actions: list[PlacementAction] = []
         if event.first and not self._has_pending_io and now >= self._held_until - LEASE_S + RENEW_S:
@@ -134,7 +134,7 @@
             actions += self._pending_orders(event.wanted, now)
         return actions
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: LeaseRead, now: float) -> list[PlacementAction]:
         self._has_pending_io = False
         lease = event.lease
@@ -156,7 +156,7 @@
         self._has_pending_io = True
         return [WriteLease(event.version, LeaseObject(self._holder, self._term, LEASE_S))]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: LeaseWritten, now: float) -> list[PlacementAction]:
         self._has_pending_io = False
         self._version = event.version
@@ -166,7 +166,7 @@
         self._held_until = self._lease_requested_at + LEASE_S
         return []
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: LeaseLost, now: float) -> list[PlacementAction]:
         self._has_pending_io = False
         return []
--- a/driftstall/controllers/relay.py
+++ b/driftstall/controllers/relay.py
@@ -92,7 +92,7 @@
         """Apply one event and return the resulting actions."""
         if self._done:
             return self._handle_late(event)
-        return self._on(event)
+        return self._handle_event(event)
 
     def accept_token(self, generation: str, index: int) -> bool:
         """Count a token if it is the next one; return False otherwise.
@@ -113,16 +113,16 @@
         return []
 
     @singledispatchmethod
-    def _on(self, event: RelayEvent) -> list[RelayAction]:
+    def _handle_event(self, event: RelayEvent) -> list[RelayAction]:
         """Handle one event."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Started) -> list[RelayAction]:
         self._budget.earn()
         return self._request_grant()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ResumeRequested) -> list[RelayAction]:
         self._runner_id = event.runner_id
         self._generation = event.generation
@@ -131,7 +131,7 @@
         self._maybe_ran = True
         return [ResumeStream(event.runner_id, event.generation, event.next_index)]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: GrantReceived) -> list[RelayAction]:
         if self._generation:
             return []
@@ -139,7 +139,7 @@
         self._generation = self._grant_id
         return [OpenStream(event.runner_id, self._generation, event.rank)]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: GrantRefused) -> list[RelayAction]:
         if self._generation:
             # The group has two owners for a moment: one granted before the other refused.
@@ -150,7 +150,7 @@
             problem = self._build_problem(CODE_RUNNER_FAILED, 502, problem.detail)
         return [Fail(problem)]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: TokenArrived) -> list[RelayAction]:
         if event.generation != self._generation or event.index < self._next_index:
             return []
@@ -159,7 +159,7 @@
         self.accept_token(event.generation, event.index)
         return [Deliver(event.generation, event.index, event.data)]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: StreamEnded) -> list[RelayAction]:
         if event.generation != self._generation:
             return []
@@ -168,7 +168,7 @@
         self._done = True
         return [CloseGrant(self._grant_id, self._next_index, finished=True), Complete(event.data)]
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: StreamFailed) -> list[RelayAction]:
         if event.generation != self._generation:
             return []
@@ -179,12 +179,12 @@
             return self._resume(event.detail)
         return self._restart(event)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: DeadlinePassed) -> list[RelayAction]:
         self._maybe_ran = self._maybe_ran or bool(self._generation)
         return self._fail(CODE_DEADLINE, 504, "the deadline passed")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: CallerDisconnected) -> list[RelayAction]:
         self._done = True
         return self._release_attempt()
