--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -21,7 +21,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from driftstall.gateway.ingress import CallerConnection, CallerRequest, chunk, encode_head
+from driftstall.gateway.ingress import CallerConnection, CallerRequest, encode_chunk, encode_head
 from driftstall.gateway.model import Limits
 
 STREAM_TYPE: Final = (b"Content-Type", b"text/event-stream")
@@ -303,7 +303,7 @@
             return
         first = int(headers.get("last-event-id") or 0) + 1
         extra = () if script.unframed else (b"Transfer-Encoding: chunked",)
-        framed = _as_it_is if script.unframed else chunk
+        framed = _as_it_is if script.unframed else encode_chunk
         answer = (_id(request_id), SEAL, STREAM_TYPE, *self._named())
         if not connection.write(encode_head(script.status, answer, extra)):
             return
