--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -95,7 +95,7 @@
         self._last_silence_check_at = 0.0
         self._actions: list[GrantAction] = []
         # Looking up a singledispatchmethod on each call costs more than most events do.
-        self._handler: Callable[[GrantEvent, float], None] = self._apply
+        self._handler: Callable[[GrantEvent, float], None] = self._handle_event
 
     @property
     def waiting(self) -> int:
@@ -134,11 +134,11 @@
     # Events
 
     @singledispatchmethod
-    def _apply(self, event: GrantEvent, now: float) -> None:
+    def _handle_event(self, event: GrantEvent, now: float) -> None:
         """Apply one event to the state."""
         raise TypeError(f"no handler for {type(event).__name__}")
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: Ask, now: float) -> None:
         request, verdict = event.request, event.verdict
         if request.request_id in self._queues_by_rank:
@@ -180,7 +180,7 @@
         item = WaitingRequest(event.entry, request, verdict, cost, now, output, hold, event.avoid)
         self._queues_by_rank.push(item)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: Announce, now: float) -> None:
         runner = self._runners.get(event.runner_id)
         if runner is None or event.request.request_id in self._grants:
@@ -191,7 +191,7 @@
         addition = forecast_request(self._lengths, event.request, event.produced)
         self._open(runner, grant, addition, now)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: Progress, now: float) -> None:
         grant = self._grants.get(event.request_id)
         if grant is None:
@@ -202,7 +202,7 @@
         self._lengths.record_progress(grant.request, grant.produced, event.produced)
         grant.produced = event.produced
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: Close, now: float) -> None:
         item = self._queues_by_rank.discard(event.request_id)
         if item is not None:
@@ -213,13 +213,13 @@
             return
         self._close(grant, event, now)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: RunnerReport, now: float) -> None:
         runner = self._runners.get(event.runner_id)
         if runner is not None:
             runner.apply_report(event.used_tokens, event.memory_tokens)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: CacheEvents, now: float) -> None:
         runner = self._runners.get(event.runner_id)
         if runner is None:
@@ -229,7 +229,7 @@
         for prefix in event.stored:
             runner.prefixes.store(prefix)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: RunnersChanged, now: float) -> None:
         wanted = {runner_id for runner_id, _, _ in event.runners}
         for runner_id in [known for known in self._runners if known not in wanted]:
@@ -237,7 +237,7 @@
         for runner_id, memory, zone in event.runners:
             self._registry.add_runner(runner_id, memory, zone, now)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: RunnersLimited, now: float) -> None:
         limits = dict(event.limits)
         for runner in self._runners.values():
@@ -252,14 +252,14 @@
                 reason = "its runner is leaving"
                 self._actions.append(ResumeAsked(grant.entry, request_id, grant.runner_id, reason))
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: EntryLost, now: float) -> None:
         lost = [grant_id for grant_id, grant in self._grants.items() if grant.entry == event.entry]
         lost += self._queues_by_rank.requests_of_entry(event.entry)
         for request_id in lost:
-            self._apply(Close(self.group, request_id, 0, finished=False), now)
+            self._handle_event(Close(self.group, request_id, 0, finished=False), now)
 
-    @_apply.register
+    @_handle_event.register
     def _(self, event: Tick, now: float) -> None:
         """Refresh due forecasts and close grants without recent progress reports."""
         self._registry.refresh_due(now)
@@ -268,7 +268,7 @@
         self._last_silence_check_at = now
         for request_id, grant in list(self._grants.items()):
             if now - grant.last_report_at >= GRANT_TIMEOUT_S:
-                self._apply(Close(self.group, request_id, 0, finished=False), now)
+                self._handle_event(Close(self.group, request_id, 0, finished=False), now)
 
     # Admission
 
