--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -62,7 +62,7 @@
     """The instance that made the choice."""
 
 
-class StreamPlacement:
+class PlacementChooser:
     """Choose the engines of one stream."""
 
     def __init__(
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -13,7 +13,7 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
-from driftstall.gateway.placement import StreamPlacement
+from driftstall.gateway.placement import PlacementChooser
 from driftstall.gateway.replica_finder import ReplicaFinder
 from driftstall.gateway.runs import BrokenRun, StreamRun
 from driftstall.gateway.sending import OpenedResponse, StreamSender
@@ -32,7 +32,7 @@
         self.admitted = admitted
         self.request = build_request(admitted)
         self.request_id = admitted.marks.request_id
-        self.placement = StreamPlacement(state, call, admitted, self.request)
+        self.placement = PlacementChooser(state, call, admitted, self.request)
         self.history = SendHistory(admitted.route.max_runs)
         self.sender = StreamSender(
             state, call, admitted, self.history, lambda: self.is_caller_disconnected
