--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -96,9 +96,9 @@
             self._log_changed(upstream_id)
             self.publish()
 
-    def record_peer_limits(self, told: Iterable[RateLimit], peer: str = "") -> bool:
+    def record_peer_limits(self, limits: Iterable[RateLimit], peer: str = "") -> bool:
         """Merge the limits known to a peer; return True if any was new."""
-        changed = self._tracker.merge(told, self._now())
+        changed = self._tracker.merge(limits, self._now())
         for limit in changed:
             self._log_changed(limit.upstream_id, peer=peer)
         return bool(changed)
@@ -109,21 +109,21 @@
         """Return True if an upstream has a rate limit."""
         return self._tracker.per_s(upstream_id) is not None
 
-    def denied_upstreams(self, upstream_ids: Iterable[str], most_wait_s: float) -> frozenset[str]:
+    def denied_upstreams(self, upstream_ids: Iterable[str], max_wait_s: float) -> frozenset[str]:
         """Return the upstreams whose next permit comes later than a request can wait."""
         now = self._now()
         return frozenset(
             upstream_id
             for upstream_id in upstream_ids
             if self.is_limited(upstream_id)
-            and self._denied.retry_in_s(upstream_id, now) > most_wait_s
+            and self._denied.retry_in_s(upstream_id, now) > max_wait_s
         )
 
-    def permit_wait_s(self, upstream_ids: Iterable[str], most_wait_s: float) -> float:
+    def permit_wait_s(self, upstream_ids: Iterable[str], max_wait_s: float) -> float:
         """Return how long a request waits for a permit: zero if any upstream has no limit."""
         if any(not self.is_limited(upstream_id) for upstream_id in upstream_ids):
             return 0.0
-        return max(0.0, most_wait_s)
+        return max(0.0, max_wait_s)
 
     def choose_permitted(
         self,
--- a/driftstall/peers/envelope.py
+++ b/driftstall/peers/envelope.py
@@ -15,4 +15,4 @@
     sequence: int
     """Starts at a clock reading, so that it also grows across restarts of the sender."""
     message: Any
-    """One of the messages that the link carries (see codec.kinds_of)."""
+    """A message of one of the link's message types (see codec.message_types_of)."""
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -64,8 +64,8 @@
     ) -> None:
         """Initialize the links.
 
-        listen: address to listen on. key: shared key of the MAC. kinds: accepted message
-        types. receiver: called with the sender's id and the message.
+        listen: address to listen on. key: shared key of the MAC. receiver: called with the
+        sender's id and the message.
         """
         self._own_id = own_id
         self._message_types = message_types
--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -88,7 +88,7 @@
         self._tries = 0
         self.runs: Counter[str] = Counter()
         self.ran_nonces: Counter[str] = Counter()
-        self.told_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
         self.answers: list[str] = []
 
     def _new_holder(self, index: int) -> ClaimsHolder:
@@ -133,7 +133,7 @@
     def check(self) -> None:
         """Check the guarantees of claims."""
         assert self.runs["key"] <= 1, f"the call ran {self.runs['key']} times"
-        both = self.told_not_run & set(self.ran_nonces)
+        both = self.reported_not_run & set(self.ran_nonces)
         assert not both, f"told 'not run', but it was run: {both}"
         if self._faults <= PLATFORM_FAULTS:
             assert self.runs["key"] == 1, "nobody died, yet the key is lost"
@@ -209,7 +209,7 @@
     def _time_out(self) -> None:
         """Let the entry time out: it reports 'not run' and releases the key."""
         for nonce in sorted(self._pending):
-            self.told_not_run.add(nonce)
+            self.reported_not_run.add(nonce)
             key = nonce.rpartition("-")[0]
             self._to_holder(ClaimSettled(0, key, nonce, False, 0, "", ""))
         self._pending.clear()
@@ -282,7 +282,7 @@
         self.answers.append(answer.kind)
         key = answer.nonce.rpartition("-")[0]
         if answer.kind == ClaimAnswerKind.UNAVAILABLE:
-            self.told_not_run.add(answer.nonce)
+            self.reported_not_run.add(answer.nonce)
         elif answer.kind == ClaimAnswerKind.GRANTED:
             self.runs[key] += 1
             self.ran_nonces[answer.nonce] += 1
--- a/features/worlds/faults.py
+++ b/features/worlds/faults.py
@@ -28,9 +28,9 @@
         """Count an occurrence of a step and return the faults to inject there."""
         self.seen[step] = self.seen.get(step, 0) + 1
         due = [
-            strike.fault
-            for strike in self.planned_faults
-            if strike.step == step and strike.occurrence == self.seen[step]
+            planned.fault
+            for planned in self.planned_faults
+            if planned.step == step and planned.occurrence == self.seen[step]
         ]
         self.injected += len(due)
         return due
@@ -50,12 +50,12 @@
 
 
 def run_plans(
-    plans_of: Iterator[tuple[PlannedFault, ...]],
+    plans: Iterator[tuple[PlannedFault, ...]],
     run: Callable[[Script], None],
 ) -> tuple[int, int]:
     """Run every plan; return the numbers of runs and of injected faults."""
     runs = injected = 0
-    for plan in plans_of:
+    for plan in plans:
         script = Script(plan)
         try:
             run(script)
--- a/features/worlds/membership_world.py
+++ b/features/worlds/membership_world.py
@@ -95,7 +95,7 @@
                 assert live[self._leaving], f"{name} does not know that one is leaving"
 
     def _leave(self) -> None:
-        """Let the first live instance leave."""
+        """Let the first live instance that is not paused announce that it is leaving."""
         awake = [name for name in self._nodes if self._paused.get(name, -1.0) <= self._now]
         self._leaving = next(name for name in awake if name not in self._dead)
         self._feed(self._leaving, Leave())
--- a/features/worlds/placement_world.py
+++ b/features/worlds/placement_world.py
@@ -116,7 +116,7 @@
             if self._holders[index] is not holder:
                 return
             if paused:
-                self._deferred.append(lambda one=action: self._act(index, one))  # type: ignore[misc]
+                self._deferred.append(lambda deferred=action: self._act(index, deferred))  # type: ignore[misc]
             else:
                 self._act(index, action)
 
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -85,7 +85,7 @@
         self.open_grants: set[str] = set()
         self.delivered: list[tuple[str, int]] = []
         self.end: Complete | Fail | None = None
-        self.gone = False
+        self.is_caller_gone = False
         self.refused_before_run = False
 
     def run(self) -> None:
@@ -122,7 +122,7 @@
             assert len(indexes) == TOKENS, f"the answer is not whole: {indexes}"
         if isinstance(self.end, Fail) and self.end.problem.ran is Ran.NOT_RUN:
             assert not self.runs, "told 'not run', but it was run"
-        assert self.end is not None or self.gone, "the caller has no final answer"
+        assert self.end is not None or self.is_caller_gone, "the caller has no final answer"
         assert not self.open_grants, f"grants are left open: {self.open_grants}"
         finished = next(iter(generations), "") if isinstance(self.end, Complete) else ""
         leaked = set(self.runs) - self.cancelled - {finished} - self._ended_elsewhere()
@@ -156,7 +156,7 @@
         elif fault == "entry dies":
             self._move_entry()
         elif fault == "caller gone":
-            self.gone = True
+            self.is_caller_gone = True
             self._queue.append(CallerDisconnected())
         elif fault == "deadline passes":
             self._queue.append(DeadlinePassed())
@@ -176,7 +176,7 @@
 
     def _move_entry(self) -> None:
         """Let the entry die; the caller resumes at another entry after its last token."""
-        if self.end is not None or self.gone or self._machine.is_done:
+        if self.end is not None or self.is_caller_gone or self._machine.is_done:
             return
         # The owner closes a dead entry's grants; engines cancel streams without a reader.
         self.open_grants.clear()
