--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """Hold an admitted request with all that is needed to serve it."""
 
     marks: CallerMetadata
@@ -80,7 +80,7 @@
         self._current = current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
-    def admit(self, passage: RequestProgress, wall: float) -> Admitted | Problem:
+    def admit(self, passage: RequestProgress, wall: float) -> AdmittedRequest | Problem:
         """Return the admitted request, or a problem; wall is the Unix time in seconds."""
         hour = datetime.fromtimestamp(wall, UTC).hour
         self._hour = hour
@@ -91,7 +91,7 @@
         allowed_s = passed.route.timeout_s
         if passed.marks.deadline_s is not None:
             allowed_s = min(allowed_s, passed.marks.deadline_s)
-        return Admitted(
+        return AdmittedRequest(
             passed.marks,
             passed.route,
             passed.service,
@@ -149,7 +149,7 @@
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
 
 
-def build_request(admitted: Admitted) -> Request:
+def build_request(admitted: AdmittedRequest) -> Request:
     """Return the request in the form that forecasts use."""
     marks = admitted.marks
     prefix = tuple(
--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -5,12 +5,12 @@
 from driftstall.const import CODE_NO_RUNNER, PREFIX_ROUTING
 from driftstall.core import Problem, Ran
 from driftstall.decisions.upstream_backoff import CALLS_PER_SLOT_S
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
 
-def backoff_refusal(state: GatewayState, admitted: Admitted) -> Problem | None:
+def backoff_refusal(state: GatewayState, admitted: AdmittedRequest) -> Problem | None:
     """Return a refusal with a Retry-After if all upstreams of a service are in back-off, else None.
 
     Call this only while nothing of the request can have run.
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -22,7 +22,7 @@
 from driftstall.decisions.permits import SendNeed
 from driftstall.decisions.sends import SendHistory, SendOutcome
 from driftstall.exceptions import UpstreamError
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.backoff_refusal import backoff_refusal
 from driftstall.gateway.crash_refusal import crash_refusal
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd, ResponseHead, UpstreamExchange
@@ -85,7 +85,7 @@
 class CallRelay:
     """Serve one plain call."""
 
-    def __init__(self, state: GatewayState, call: CallerRequest, admitted: Admitted) -> None:
+    def __init__(self, state: GatewayState, call: CallerRequest, admitted: AdmittedRequest) -> None:
         """Initialize with the shared state and the admitted request."""
         self._state = state
         self._call = call
--- a/driftstall/gateway/crash_refusal.py
+++ b/driftstall/gateway/crash_refusal.py
@@ -4,12 +4,12 @@
 
 from driftstall.const import CODE_CRASHES_RUNNERS, PREFIX_ADMISSION
 from driftstall.core import Problem, Ran
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
 
-def crash_refusal(state: GatewayState, admitted: Admitted, ran: Ran) -> Problem | None:
+def crash_refusal(state: GatewayState, admitted: AdmittedRequest, ran: Ran) -> Problem | None:
     """Return the problem to answer with if the request is quarantined, otherwise None.
 
     The argument ran states what is known of earlier sends. Each crash breaks a dozen streams of
--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -10,7 +10,7 @@
 
 from driftstall.const import CODE_LEAVING, PREFIX_DRAIN
 from driftstall.core import Problem, Ran
-from driftstall.gateway.admission import Admitted, build_request
+from driftstall.gateway.admission import AdmittedRequest, build_request
 from driftstall.gateway.model import Repeat
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
@@ -40,7 +40,7 @@
             self._state.stopping_since = self._state.now()
             log_event(PREFIX_DRAIN, "Stop requested", open=self._state.open_requests)
 
-    def refusal(self, admitted: Admitted) -> Problem | None:
+    def refusal(self, admitted: AdmittedRequest) -> Problem | None:
         """Return the problem with which a request is refused, or None if it is accepted."""
         since = self._state.stopping_since
         if since is None:
@@ -51,7 +51,7 @@
         detail = "this instance is stopping; ask another one"
         return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, RETRY_ELSEWHERE_S)
 
-    def _expected_s(self, admitted: Admitted) -> float:
+    def _expected_s(self, admitted: AdmittedRequest) -> float:
         """Return the expected duration of a request, in seconds."""
         if admitted.route.repeat is not Repeat.STREAM:
             return EXPECTED_CALL_S
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -19,7 +19,7 @@
 )
 from driftstall.core import Instance, Problem, Ran
 from driftstall.daemon.answers import JSON_TYPE
-from driftstall.gateway.admission import Admission, Admitted, RequestProgress
+from driftstall.gateway.admission import Admission, AdmittedRequest, RequestProgress
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
@@ -114,7 +114,7 @@
         """Admit one request and serve it."""
         keep = call.keep_alive and self._state.stopping_since is None
         admitted = self._admit(call)
-        if isinstance(admitted, Admitted):
+        if isinstance(admitted, AdmittedRequest):
             refusal = self._drain.refusal(admitted)
             if refusal is None:
                 return self._serve_admitted(connection, call, admitted, keep=keep)
@@ -123,7 +123,7 @@
         keep = keep and admitted.code != CODE_BAD_REQUEST
         return self._answer_problem(connection, admitted, keep=keep)
 
-    def _admit(self, call: CallerRequest) -> Admitted | Problem:
+    def _admit(self, call: CallerRequest) -> AdmittedRequest | Problem:
         """Decode the request's headers and run the admission filters."""
         self._state.configured.wait(START_WAIT_S)
         table = self._state.route_table
@@ -148,7 +148,12 @@
         return replace(admitted, fingerprint=request_fingerprint(call, admitted.workspace))
 
     def _serve_admitted(
-        self, connection: CallerConnection, call: CallerRequest, admitted: Admitted, *, keep: bool
+        self,
+        connection: CallerConnection,
+        call: CallerRequest,
+        admitted: AdmittedRequest,
+        *,
+        keep: bool,
     ) -> bool:
         """Serve an admitted request, and cancel it if its caller disconnects."""
         if admitted.route.repeat is Repeat.STREAM:
@@ -181,7 +186,7 @@
         self,
         connection: CallerConnection,
         result: UpstreamResponse | Problem,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         *,
         keep: bool,
     ) -> bool:
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -13,7 +13,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Request
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.drain import EXPECTED_FIRST_EVENT_S, EXPECTED_TOKEN_S
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Engine, Upstream
@@ -66,7 +66,7 @@
     """Choose the engines of one stream."""
 
     def __init__(
-        self, state: GatewayState, call: CallerRequest, admitted: Admitted, request: Request
+        self, state: GatewayState, call: CallerRequest, admitted: AdmittedRequest, request: Request
     ) -> None:
         """Initialize with the caller's request, its admission and its form for forecasts."""
         self._state = state
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -8,7 +8,7 @@
 
 from driftstall.core import Request
 from driftstall.decisions.sends import ReplicaKind
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.exchange import UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Upstream
@@ -60,7 +60,7 @@
     """Hold the state of one open stream on its current upstream."""
 
     call: CallerRequest
-    admitted: Admitted
+    admitted: AdmittedRequest
     request: Request
     """The request in the form that forecasts use."""
     upstream: Upstream
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -7,7 +7,7 @@
 
 from driftstall.decisions.sends import SendHistory, SendOutcome
 from driftstall.exceptions import UpstreamError
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.calls import CONNECT_TIMEOUT_S
 from driftstall.gateway.exchange import ResponseHead, UpstreamExchange
 from driftstall.gateway.ingress import CallerRequest
@@ -31,7 +31,7 @@
         self,
         state: GatewayState,
         call: CallerRequest,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         history: SendHistory,
         is_caller_disconnected: Callable[[], bool],
     ) -> None:
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -7,7 +7,7 @@
 from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.sends import SendHistory
 from driftstall.exceptions import UpstreamError
-from driftstall.gateway.admission import Admitted, build_request
+from driftstall.gateway.admission import AdmittedRequest, build_request
 from driftstall.gateway.crash_refusal import crash_refusal
 from driftstall.gateway.ingress import CallerRequest
 from driftstall.gateway.model import Upstream
@@ -24,7 +24,7 @@
     """State and helpers that the opener, the relay and the resumer of one stream share."""
 
     def __init__(
-        self, state: GatewayState, mover: Mover, call: CallerRequest, admitted: Admitted
+        self, state: GatewayState, mover: Mover, call: CallerRequest, admitted: AdmittedRequest
     ) -> None:
         """Initialize with the shared state, the mover, and the admitted request."""
         self.state = state
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -12,7 +12,7 @@
 from driftstall.const import CODE_RUNNER_FAILED, PREFIX_RELAY
 from driftstall.core import Problem, Ran
 from driftstall.exceptions import UpstreamError
-from driftstall.gateway.admission import Admitted
+from driftstall.gateway.admission import AdmittedRequest
 from driftstall.gateway.events import Event, EventContinuity, EventSequence, EventSplitter
 from driftstall.gateway.exchange import BodyChunk, ResponseEnd
 from driftstall.gateway.ingress import (
@@ -48,7 +48,7 @@
         mover: Mover,
         connection: CallerConnection,
         call: CallerRequest,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         *,
         keep: bool,
     ) -> None:
