--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -12,11 +12,11 @@
     StopAsked,
 )
 from driftstall.core import Instance
-from driftstall.daemon.asking_service import AskingService
 from driftstall.daemon.blame_service import BlameService
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.config_service import ConfigService
 from driftstall.daemon.fleet_service import FleetService
+from driftstall.daemon.grant_client import AskingService
 from driftstall.daemon.grants_service import GrantsService
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.limit_service import LimitService
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -35,9 +35,9 @@
     TokenArrived,
 )
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
-from driftstall.daemon.asking_service import AskingService, with_id
 from driftstall.daemon.blame_service import BlameService
 from driftstall.daemon.fleet_service import FleetService
+from driftstall.daemon.grant_client import AskingService, with_id
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.poison_detection import UNDER_WAY_S
