--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedRequest:
     """Describe malformed input: it is answered with an error and the connection is closed."""
 
     status: HTTPStatus
@@ -68,7 +68,7 @@
         """Start before the first request."""
         self._limits = limits
         self.requests: deque[CallerRequest] = deque()
-        self.fault: Malformed | None = None
+        self.fault: MalformedRequest | None = None
         self.parser: Any = None
         self.wants_continue = False
         self.begun_at: float | None = None
@@ -149,7 +149,7 @@
 
     def _fail(self, status: HTTPStatus, detail: str) -> None:
         """Record the first error; later ones are ignored."""
-        self.fault = self.fault or Malformed(status, detail)
+        self.fault = self.fault or MalformedRequest(status, detail)
 
 
 class CallerConnection:
@@ -170,7 +170,7 @@
         """Return True if no byte of a further request has arrived."""
         return self._builder.begun_at is None and not self._builder.requests
 
-    def next(self) -> CallerRequest | Malformed | Closed:
+    def next(self) -> CallerRequest | MalformedRequest | Closed:
         """Wait for and return the next request, an error, or the end of the connection."""
         idle_until = clock.now() + self._limits.idle_timeout_s
         while True:
@@ -185,7 +185,7 @@
             if end is not None:
                 return end
 
-    def _receive(self, idle_until: float) -> Malformed | Closed | None:
+    def _receive(self, idle_until: float) -> MalformedRequest | Closed | None:
         """Read once; return an error or the end of the connection, or None to continue."""
         until = self._read_deadline(idle_until)
         remaining_s = until - clock.now()
@@ -213,11 +213,11 @@
             until += self._builder.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
         return until
 
-    def _timeout_result(self) -> Malformed | Closed:
+    def _timeout_result(self) -> MalformedRequest | Closed:
         """Return the result of a read timeout: an error only if a request had begun."""
         if self._builder.begun_at is None:
             return Closed()
-        return Malformed(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in time")
+        return MalformedRequest(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in time")
 
     def _feed(self, data: bytes) -> None:
         """Parse some bytes; an error is reported after the whole requests before it."""
@@ -229,7 +229,7 @@
         except (httptools.HttpParserError, httptools.HttpParserCallbackError) as fault:
             known = self._builder.fault
             detail = f"the request is malformed: {fault}"
-            self._builder.fault = known or Malformed(HTTPStatus.BAD_REQUEST, detail)
+            self._builder.fault = known or MalformedRequest(HTTPStatus.BAD_REQUEST, detail)
 
     def _send_continue(self) -> None:
         """Send 100 Continue if the caller waits for it."""
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -23,7 +23,7 @@
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
-from driftstall.gateway.ingress import CallerConnection, CallerRequest, Closed, Malformed
+from driftstall.gateway.ingress import CallerConnection, CallerRequest, Closed, MalformedRequest
 from driftstall.gateway.model import Limits, Repeat
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.responses import encode_problem, encode_response
@@ -81,7 +81,7 @@
                 call = connection.next()
                 if isinstance(call, Closed):
                     return
-                if isinstance(call, Malformed):
+                if isinstance(call, MalformedRequest):
                     self._reject(connection, call)
                     return
                 if not self._answer(connection, call):
@@ -89,7 +89,7 @@
         finally:
             connection.close()
 
-    def _reject(self, connection: CallerConnection, fault: Malformed) -> None:
+    def _reject(self, connection: CallerConnection, fault: MalformedRequest) -> None:
         """Answer malformed input with an error."""
         self._state.stats.malformed += 1
         problem = Problem(CODE_BAD_REQUEST, int(fault.status), fault.detail, Ran.NOT_RUN)
