--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -53,7 +53,7 @@
     paused: bool = False
 
 
-class AskingService:
+class GrantClient:
     """Hold the grants, and the waits for them, of this instance's requests."""
 
     def __init__(
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -16,7 +16,7 @@
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.config_service import ConfigService
 from driftstall.daemon.fleet_service import FleetService
-from driftstall.daemon.grant_client import AskingService
+from driftstall.daemon.grant_client import GrantClient
 from driftstall.daemon.grants_service import GrantsService
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.limit_service import LimitService
@@ -47,7 +47,7 @@
         self.grants = GrantsService(
             self.hub, self.members, self.config, self.fleet, self.ownership, self.limits
         )
-        self.asking = AskingService(self.hub, self.members, self.fleet, self.ownership)
+        self.asking = GrantClient(self.hub, self.members, self.fleet, self.ownership)
         self.claims = ClaimsService(self.hub, self.members)
         self.placement = PlacementService(self.hub, self.members, self.fleet)
         self.blame = BlameService(self.hub, self.members)
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -37,7 +37,7 @@
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
 from driftstall.daemon.blame_service import BlameService
 from driftstall.daemon.fleet_service import FleetService
-from driftstall.daemon.grant_client import AskingService, with_id
+from driftstall.daemon.grant_client import GrantClient, with_id
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.poison_detection import UNDER_WAY_S
@@ -102,7 +102,7 @@
         self,
         hub: Hub,
         fleet: FleetService,
-        asking: AskingService,
+        asking: GrantClient,
         blame: BlameService,
         signals: SignalService,
     ) -> None:
