--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
+class ConnectionClosed:
     """The connection has been closed or has been idle for too long."""
 
 
@@ -170,7 +170,7 @@
         """Return True if no byte of a further request has arrived."""
         return self._builder.begun_at is None and not self._builder.requests
 
-    def next(self) -> CallerRequest | MalformedRequest | Closed:
+    def next(self) -> CallerRequest | MalformedRequest | ConnectionClosed:
         """Wait for and return the next request, an error, or the end of the connection."""
         idle_until = clock.now() + self._limits.idle_timeout_s
         while True:
@@ -179,13 +179,13 @@
             if self._builder.fault is not None:
                 return self._builder.fault
             if self._broken:
-                return Closed()
+                return ConnectionClosed()
             self._send_continue()
             end = self._receive(idle_until)
             if end is not None:
                 return end
 
-    def _receive(self, idle_until: float) -> MalformedRequest | Closed | None:
+    def _receive(self, idle_until: float) -> MalformedRequest | ConnectionClosed | None:
         """Read once; return an error or the end of the connection, or None to continue."""
         until = self._read_deadline(idle_until)
         remaining_s = until - clock.now()
@@ -197,9 +197,9 @@
         except TimeoutError:
             return self._timeout_result()
         except OSError:
-            return Closed()
+            return ConnectionClosed()
         if not data:
-            return Closed()
+            return ConnectionClosed()
         self._feed(data)
         return None
 
@@ -213,10 +213,10 @@
             until += self._builder.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
         return until
 
-    def _timeout_result(self) -> MalformedRequest | Closed:
+    def _timeout_result(self) -> MalformedRequest | ConnectionClosed:
         """Return the result of a read timeout: an error only if a request had begun."""
         if self._builder.begun_at is None:
-            return Closed()
+            return ConnectionClosed()
         return MalformedRequest(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in time")
 
     def _feed(self, data: bytes) -> None:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -23,7 +23,12 @@
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
 from driftstall.gateway.drain import Drain
-from driftstall.gateway.ingress import CallerConnection, CallerRequest, Closed, MalformedRequest
+from driftstall.gateway.ingress import (
+    CallerConnection,
+    CallerRequest,
+    ConnectionClosed,
+    MalformedRequest,
+)
 from driftstall.gateway.model import Limits, Repeat
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.responses import encode_problem, encode_response
@@ -79,7 +84,7 @@
         try:
             while True:
                 call = connection.next()
-                if isinstance(call, Closed):
+                if isinstance(call, ConnectionClosed):
                     return
                 if isinstance(call, MalformedRequest):
                     self._reject(connection, call)
