--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -29,9 +29,9 @@
     send_json,
     send_problem,
 )
-from driftstall.daemon.blame_service import request_fingerprint
 from driftstall.daemon.http_server import ENVIRON_SOCKET, peer_is_there
 from driftstall.daemon.node import Node
+from driftstall.daemon.poison_service import request_fingerprint
 from driftstall.daemon.relay_service import (
     Ended,
     Relay,
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -12,7 +12,6 @@
     StopAsked,
 )
 from driftstall.core import Instance
-from driftstall.daemon.blame_service import BlameService
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.config_service import ConfigService
 from driftstall.daemon.fleet_service import FleetService
@@ -23,6 +22,7 @@
 from driftstall.daemon.membership_service import MembershipService
 from driftstall.daemon.ownership import Ownership
 from driftstall.daemon.placement_service import PlacementService
+from driftstall.daemon.poison_service import BlameService
 from driftstall.daemon.relay_service import RelayService
 from driftstall.daemon.service_calls import ServiceCalls
 from driftstall.daemon.settings import Settings
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -35,10 +35,10 @@
     TokenArrived,
 )
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
-from driftstall.daemon.blame_service import BlameService
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.grant_client import GrantClient, with_id
 from driftstall.daemon.hub import Hub
+from driftstall.daemon.poison_service import BlameService
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.retry import RetryBudget
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -18,10 +18,10 @@
 )
 from driftstall.controllers.claims import ClaimAnswer, ClaimAnswerKind
 from driftstall.core import Problem, Ran, Runner
-from driftstall.daemon.blame_service import BlameService, request_fingerprint
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.hub import Hub
+from driftstall.daemon.poison_service import BlameService, request_fingerprint
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.permits import SendNeed
 from driftstall.decisions.retry import RetryBudget
