--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -111,7 +111,7 @@
         """Called with each head as it arrives, even if no reader takes the response."""
 
     @property
-    def framed(self) -> bool:
+    def is_framed(self) -> bool:
         """Return True if the response is framed; otherwise it ends with its connection."""
         return self._framed
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -161,7 +161,7 @@
             elif isinstance(item, ResponseEnd):
                 if splitter.is_inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
-                if not run.exchange.framed and self._context.replicas.may_have_stopped(
+                if not run.exchange.is_framed and self._context.replicas.may_have_stopped(
                     run, self._context.remaining_s()
                 ):
                     # A run that a final copy has stopped closes its connection in the same way.
@@ -217,7 +217,7 @@
     def _complete(self, run: StreamRun) -> bool:
         """Finish a stream that is complete."""
         self._context.record_outcome(run, Outcome.GOOD)
-        if run.exchange is not None and run.exchange.framed:
+        if run.exchange is not None and run.exchange.is_framed:
             # A response without framing ends with its connection, exactly as a crash does, so its
             # end is no evidence against a crash.
             self._state.record_success(self._admitted.fingerprint)
