--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -22,7 +22,7 @@
 from driftstall.daemon.membership_service import MembershipService
 from driftstall.daemon.ownership import Ownership
 from driftstall.daemon.placement_service import PlacementService
-from driftstall.daemon.poison_service import BlameService
+from driftstall.daemon.poison_service import PoisonService
 from driftstall.daemon.relay_service import RelayService
 from driftstall.daemon.service_calls import ServiceCalls
 from driftstall.daemon.settings import Settings
@@ -50,7 +50,7 @@
         self.asking = GrantClient(self.hub, self.members, self.fleet, self.ownership)
         self.claims = ClaimsService(self.hub, self.members)
         self.placement = PlacementService(self.hub, self.members, self.fleet)
-        self.blame = BlameService(self.hub, self.members)
+        self.blame = PoisonService(self.hub, self.members)
         self.signals = SignalService(self.hub, self.fleet, self.limits.limits)
         self.relay = RelayService(self.hub, self.fleet, self.asking, self.blame, self.signals)
         self.services = ServiceCalls(
--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -24,7 +24,7 @@
 """Pause after which a runner that still listened is asked once more."""
 
 
-class BlameService:
+class PoisonService:
     """Know which requests have crashed runners, here and at peers."""
 
     def __init__(self, hub: Hub, members: MembershipService) -> None:
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -38,7 +38,7 @@
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.grant_client import GrantClient, with_id
 from driftstall.daemon.hub import Hub
-from driftstall.daemon.poison_service import BlameService
+from driftstall.daemon.poison_service import PoisonService
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.poison_detection import UNDER_WAY_S
 from driftstall.decisions.retry import RetryBudget
@@ -103,7 +103,7 @@
         hub: Hub,
         fleet: FleetService,
         asking: GrantClient,
-        blame: BlameService,
+        blame: PoisonService,
         signals: SignalService,
     ) -> None:
         """Start with a fresh retry budget."""
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -21,7 +21,7 @@
 from driftstall.daemon.claims_service import ClaimsService
 from driftstall.daemon.fleet_service import FleetService
 from driftstall.daemon.hub import Hub
-from driftstall.daemon.poison_service import BlameService, request_fingerprint
+from driftstall.daemon.poison_service import PoisonService, request_fingerprint
 from driftstall.daemon.signal_service import SignalService
 from driftstall.decisions.permits import SendNeed
 from driftstall.decisions.retry import RetryBudget
@@ -62,7 +62,7 @@
         hub: Hub,
         fleet: FleetService,
         claims: ClaimsService,
-        blame: BlameService,
+        blame: PoisonService,
         limits: RateLimiter,
         signals: SignalService,
     ) -> None:
