--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -34,7 +34,7 @@
 
     status: int
     headers: Headers
-    framed: bool
+    is_framed: bool
     """Whether the response is framed by its headers; otherwise it ends with its connection."""
 
 
@@ -179,7 +179,7 @@
             self._receive()
         item = self._builder.items.popleft()
         if isinstance(item, ResponseHead):
-            self._framed = item.framed
+            self._framed = item.is_framed
         return item
 
     def close(self) -> None:
