--- a/features/steps/gateway_budget_steps.py
+++ b/features/steps/gateway_budget_steps.py
@@ -1,4 +1,4 @@
-"""Check the retry budget that all instances share."""
+"""Check the retry budget shared by all instances."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @given("8 instances that share a budget of 50 repeats and a fifth of the requests")
 def shared_budget(context: Any) -> None:
-    """Start the budgets."""
+    """Create one budget per instance."""
     context.budgets = []
     for _ in range(8):
         count = InstanceCount()
@@ -25,23 +25,23 @@
 
 
 def send_requests(context: Any) -> None:
-    """Let each instance send ten requests."""
+    """Record ten requests at each instance."""
     for budget in context.budgets:
         for index in range(10):
             budget.record_request(float(index) / 2)
 
 
-def hear(group: list[SharedRetryBudget], now: float) -> None:
-    """Let each of a group hear of the others."""
-    for listener in group:
+def exchange_reports(group: list[SharedRetryBudget], now: float) -> None:
+    """Deliver each instance's count to all others of its group."""
+    for receiver in group:
         for index, budget in enumerate(group):
-            if budget is not listener:
-                listener.record_peer(f"peer-{index}", budget.count(now), now)
+            if budget is not receiver:
+                receiver.record_peer(f"peer-{index}", budget.count(now), now)
 
 
 @when("each has 10 requests and wants 100 repeats within 10 s, and none hears of others")
 def want_repeats(context: Any) -> None:
-    """Ask for more than is allowed."""
+    """Request more retries than are allowed, at each instance."""
     send_requests(context)
     context.made = 0
     for budget in context.budgets:
@@ -50,48 +50,48 @@
 
 @when("each has 10 requests and hears of the others, and one wants 100 repeats")
 def one_wants(context: Any) -> None:
-    """Let one instance need all repeats."""
+    """Request all retries at one instance."""
     send_requests(context)
-    hear(context.budgets, 5.0)
+    exchange_reports(context.budgets, 5.0)
     context.made = sum(context.budgets[0].try_take(5.1) for _ in range(100))
 
 
 @then("it makes more than twice its even part")
 def more_than_even(context: Any) -> None:
-    """Compare with an eighth of the budget."""
+    """Check that an instance may exceed an eighth of the budget."""
     assert context.made > 2 * 66 / 8, context.made
 
 
 @then("the others, once they hear of it, make no more than the budget in all")
 def others_keep(context: Any) -> None:
-    """Let the others ask in turn, each hearing of those before."""
+    """Request retries at the other instances in turn, with reports in between."""
     for budget in context.budgets[1:]:
-        hear(context.budgets, 5.2)
+        exchange_reports(context.budgets, 5.2)
         context.made += sum(budget.try_take(5.2) for _ in range(100))
     assert context.made <= 66, context.made
 
 
 @when("each half hears only of itself and all want 100 repeats")
 def halves(context: Any) -> None:
-    """Cut the instances into two halves; within each, reports come after every repeat."""
+    """Partition the instances into halves; within each, reports follow every retry."""
     send_requests(context)
     context.made = 0
     for half in (context.budgets[:4], context.budgets[4:]):
         for index in range(100):
             for budget in half:
-                hear(half, 5.0 + index / 25)
+                exchange_reports(half, 5.0 + index / 25)
                 context.made += budget.try_take(5.0 + index / 25)
 
 
 @then("at most 66 repeats are made in all")
 def repeats_bounded(context: Any) -> None:
-    """Compare with a fifth of 80 requests and 50 besides."""
+    """Check the bound: a fifth of 80 requests plus 50."""
     assert 20 <= context.made <= 66, context.made
 
 
 @given("8 instances are known and then 1")
 def fewer_known(context: Any) -> None:
-    """Let seven vanish."""
+    """Record that seven of eight instances have disappeared."""
     context.count = InstanceCount()
     context.count.record(8, 0.0)
     context.count.record(1, 1.0)
@@ -99,7 +99,7 @@
 
 @then("the budget is still divided by 8, and by 1 after 31 s")
 def divided(context: Any) -> None:
-    """Compare at both times."""
+    """Check the number of instances at both times."""
     assert context.count.value == 8
     context.count.record(1, 31.0)
     assert context.count.value == 1
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -1,4 +1,8 @@
-"""Model what the platform holds of upstreams, and tell one fleet of it in any order."""
+"""Model the platform's history of upstreams and deliver it to one fleet in any order.
+
+A model-based test draws the steps. After each one, no upstream may accept requests that is known
+to have left, and none that is known to be ready may be excluded.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 
 
 class StoredState(StrEnum):
-    """Name what the platform holds of an upstream."""
+    """Name the state of an upstream in the platform's store."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,230 +39,235 @@
 
 
 class StepKind(StrEnum):
-    """Name what happens in one step."""
+    """Name the kind of one step."""
 
     WRITE = "an entry changes"
-    WATCH = "the platform tells all changes"
-    LIST = "the platform lists all"
-    NEWS = "a peer tells of a change"
-    OFFER = "a peer gives its list"
-    LOST = "the platform is lost"
-    BACK = "the platform is back"
-    DOUBT = "an upstream says itself that it leaves"
-    TIME = "time passes"
+    WATCH = "a watch delivers all changes"
+    LIST = "the platform lists all entries"
+    PEER_UPDATE = "a peer publishes a change"
+    PEER_LIST = "a peer sends its list"
+    DISCONNECT = "the platform becomes unreachable"
+    RECONNECT = "the platform is reachable again"
+    SUSPECT = "a probed upstream reports to be leaving"
+    WAIT = "time passes"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Hold one drawn step."""
+    """Hold the kind and the parameters of one step."""
 
-    tell: StepKind
+    kind: StepKind
     name: str
-    back: int
-    """How many changes ago a peer knew what it tells."""
+    lag: int
+    """Number of changes by which a peer's state lags behind the platform."""
     seconds: float
-    other_way: bool
-    """Whether it comes in the less usual of its two forms."""
+    is_variant: bool
+    """Whether the step takes the less usual of its two forms."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """Hold one change that the platform has taken."""
+    """Hold one change that the platform has stored."""
 
     revision: int
     name: str
-    held: StoredState
+    state: StoredState
 
 
 class FleetWorld:
-    """Hold the platform's history, and a fleet that is told of it."""
+    """Hold the platform's history and a fleet that learns of it."""
 
     def __init__(self, past: Iterable[Step], *, knows_past: bool) -> None:
-        """Start with all upstreams ready, and some changes; the first list comes before or after.
+        """Start with all upstreams ready, then apply the changes of the past.
 
-        After: the fleet has never known what has left by then.
+        The fleet gets its first list before these changes if `knows_past`, else after them. In
+        that case it never knew the upstreams that have left by then.
         """
         self._writes = [
             _Write(number, name, StoredState.READY) for number, name in enumerate(NAMES, start=1)
         ]
         self.fleet = FleetController()
         self._now = 100.0
-        self._told_to = 0
-        self._down = False
-        self._back_at = float("-inf")
-        self._doubted_at: dict[str, float] = {}
-        self._told_ready = dict.fromkeys(NAMES, 0)
-        """The newest revision at which anyone told that an upstream is ready."""
-        self._told_left = dict.fromkeys(NAMES, -1)
-        """The newest revision of which anyone told that an upstream had left by then."""
+        self._delivered_revision = 0
+        self._is_down = False
+        self._reachable_since = float("-inf")
+        self._suspected_at: dict[str, float] = {}
+        self._ready_revision = dict.fromkeys(NAMES, 0)
+        """The newest revision with which an upstream was reported as ready, by any source."""
+        self._left_revision = dict.fromkeys(NAMES, -1)
+        """The newest revision by which an upstream was reported to have left, by any source."""
         if knows_past:
-            self._tell_list()
-        for drawn in past:
-            self._write(drawn)
+            self._deliver_list()
+        for step in past:
+            self._write(step)
         if not knows_past:
-            self._tell_list()
+            self._deliver_list()
 
-    def run_step(self, drawn: Step) -> None:
-        """Take one step and check what the fleet makes of it."""
+    def run_step(self, step: Step) -> None:
+        """Run one step and check the invariants of the fleet."""
         {
             StepKind.WRITE: self._write,
-            StepKind.WATCH: lambda _: self._tell_changes(),
-            StepKind.LIST: lambda _: self._tell_list(),
-            StepKind.NEWS: self._tell_news,
-            StepKind.OFFER: self._tell_offer,
-            StepKind.LOST: lambda _: self._lose(),
-            StepKind.BACK: lambda _: self._return(),
-            StepKind.DOUBT: self._doubt,
-            StepKind.TIME: self._pass_time,
-        }[drawn.tell](drawn)
+            StepKind.WATCH: lambda _: self._deliver_changes(),
+            StepKind.LIST: lambda _: self._deliver_list(),
+            StepKind.PEER_UPDATE: self._deliver_peer_update,
+            StepKind.PEER_LIST: self._deliver_peer_list,
+            StepKind.DISCONNECT: lambda _: self._disconnect(),
+            StepKind.RECONNECT: lambda _: self._reconnect(),
+            StepKind.SUSPECT: self._suspect,
+            StepKind.WAIT: self._pass_time,
+        }[step.kind](step)
         self._check()
 
-    # The platform.
+    # The platform's history
 
     @property
     def _newest(self) -> int:
         return self._writes[-1].revision
 
-    def _write(self, drawn: Step) -> None:
-        """Change an entry; what is gone comes back only as one that had lapsed."""
-        held = self._held(drawn.name, self._newest)
-        if held is StoredState.READY and not drawn.other_way:
+    def _write(self, step: Step) -> None:
+        """Change an entry; a removed one is restored, as after a lapse of its lease."""
+        old_state = self._state(step.name, self._newest)
+        if old_state is StoredState.READY and not step.is_variant:
             to = StoredState.DRAINING
         else:
-            to = StoredState.READY if held is StoredState.GONE else StoredState.GONE
-        self._writes.append(_Write(self._newest + 1, drawn.name, to))
+            to = StoredState.READY if old_state is StoredState.GONE else StoredState.GONE
+        self._writes.append(_Write(self._newest + 1, step.name, to))
 
     def _last(self, name: str, at: int) -> _Write:
         """Return an entry's newest change up to a revision."""
-        return [one for one in self._writes if one.name == name and one.revision <= at][-1]
+        return [write for write in self._writes if write.name == name and write.revision <= at][-1]
 
-    def _held(self, name: str, at: int) -> StoredState:
-        """Return what was held of an upstream as of a revision."""
-        return self._last(name, at).held
+    def _state(self, name: str, at: int) -> StoredState:
+        """Return the state of an upstream as of a revision."""
+        return self._last(name, at).state
 
     def _entries(self, at: int, *, only_ready: bool = False) -> tuple[Upstream, ...]:
-        """Return the whole list as of a revision."""
-        held = [
-            self._last(name, at) for name in NAMES if self._held(name, at) is not StoredState.GONE
+        """Return the full list as of a revision."""
+        present = [
+            self._last(name, at) for name in NAMES if self._state(name, at) is not StoredState.GONE
         ]
-        return tuple(_entry(one) for one in held if one.held is StoredState.READY or not only_ready)
+        return tuple(
+            _entry(write) for write in present if write.state is StoredState.READY or not only_ready
+        )
 
-    # What the fleet is told.
+    # Delivery to the fleet
 
     def _handle(self, event: FleetEvent) -> None:
         self.fleet.handle(event, self._now)
 
-    def _note(self, name: str, held: StoredState, revision: int) -> None:
-        """Note what was told."""
-        told = self._told_ready if held is StoredState.READY else self._told_left
-        told[name] = max(told[name], revision)
+    def _note(self, name: str, state: StoredState, revision: int) -> None:
+        """Note a delivered state for the checks."""
+        noted = self._ready_revision if state is StoredState.READY else self._left_revision
+        noted[name] = max(noted[name], revision)
 
-    def _tell_changes(self) -> None:
-        """Tell all changes since the last ones, as a watch does."""
-        if self._down:
+    def _deliver_changes(self) -> None:
+        """Deliver all changes since the last delivery, as a watch does."""
+        if self._is_down:
             return
-        for one in self._writes:
-            if one.revision > self._told_to:
-                self._handle(Changed(_entry(one), one.held is StoredState.GONE))
-                if one.held is not StoredState.GONE or not self._in_grace:
-                    self._note(one.name, one.held, one.revision)
-        self._told_to = self._newest
-
-    def _tell_list(self) -> None:
-        """Tell the whole list."""
-        if self._down:
+        for write in self._writes:
+            if write.revision > self._delivered_revision:
+                self._handle(Changed(_entry(write), write.state is StoredState.GONE))
+                if write.state is not StoredState.GONE or not self._in_grace:
+                    self._note(write.name, write.state, write.revision)
+        self._delivered_revision = self._newest
+
+    def _deliver_list(self) -> None:
+        """Deliver the full list."""
+        if self._is_down:
             return
         self._handle(Listed(self._entries(self._newest), StoreVersion(self._newest)))
-        self._told_to = self._newest
+        self._delivered_revision = self._newest
         for name in NAMES:
-            held = self._held(name, self._newest)
-            if held is not StoredState.GONE or not self._in_grace:
+            state = self._state(name, self._newest)
+            if state is not StoredState.GONE or not self._in_grace:
                 revision = self._last(name, self._newest).revision
-                self._note(name, held, revision)
-
-    def _past(self, back: int) -> int:
-        """Return a revision of the past."""
-        return max(len(NAMES), self._newest - back)
-
-    def _tell_news(self, drawn: Step) -> None:
-        """Let a peer tell of any change, in one of the forms in which peers do."""
-        one = self._writes[self._past(drawn.back) - 1]
-        entry = _entry(one)
-        if one.held is StoredState.GONE and drawn.other_way:
-            # A peer that took it for leaving names the entry as it knew it.
-            entry = _entry(self._last(one.name, one.revision - 1))
-        self._handle(Changed(entry, one.held is StoredState.GONE, from_peer=True))
-        self._note(one.name, one.held, entry.revision)
-
-    def _tell_offer(self, drawn: Step) -> None:
-        """Let a peer give its list of any time."""
-        at = self._past(drawn.back)
+                self._note(name, state, revision)
+
+    def _past_revision(self, lag: int) -> int:
+        """Return the revision that lags behind the newest one by a number of changes."""
+        return max(len(NAMES), self._newest - lag)
+
+    def _deliver_peer_update(self, step: Step) -> None:
+        """Deliver any past change from a peer, in one of the two forms that peers send."""
+        write = self._writes[self._past_revision(step.lag) - 1]
+        entry = _entry(write)
+        if write.state is StoredState.GONE and step.is_variant:
+            # A peer that derived the removal sends the entry that it knew before.
+            entry = _entry(self._last(write.name, write.revision - 1))
+        self._handle(Changed(entry, write.state is StoredState.GONE, from_peer=True))
+        self._note(write.name, write.state, entry.revision)
+
+    def _deliver_peer_list(self, step: Step) -> None:
+        """Deliver a peer's list as of any past revision."""
+        at = self._past_revision(step.lag)
         ready = self._entries(at, only_ready=True)
-        if drawn.other_way:
-            # The peer has read this list, and seen no change since.
-            at = max((one.revision for one in self._entries(at)), default=0)
+        if step.is_variant:
+            # The peer has read this list and has seen no change since.
+            at = max((entry.revision for entry in self._entries(at)), default=0)
         self._handle(ListedByPeer(ready, StoreVersion(at)))
-        offered = {one.upstream_id: one.revision for one in ready}
+        offered = {entry.upstream_id: entry.revision for entry in ready}
         for name in NAMES:
             if name in offered:
                 self._note(name, StoredState.READY, offered[name])
             else:
                 self._note(name, StoredState.GONE, at)
 
-    def _lose(self) -> None:
-        if not self._down:
-            self._down = True
+    def _disconnect(self) -> None:
+        if not self._is_down:
+            self._is_down = True
             self._handle(PlatformUnreachable())
 
-    def _return(self) -> None:
-        if self._down:
-            self._down, self._back_at = False, self._now
+    def _reconnect(self) -> None:
+        if self._is_down:
+            self._is_down, self._reachable_since = False, self._now
             self._handle(PlatformReachable())
 
-    def _doubt(self, drawn: Step) -> None:
-        self._doubted_at[drawn.name] = self._now
-        self._handle(UpstreamSuspected(drawn.name))
+    def _suspect(self, step: Step) -> None:
+        self._suspected_at[step.name] = self._now
+        self._handle(UpstreamSuspected(step.name))
 
-    def _pass_time(self, drawn: Step) -> None:
-        self._now += drawn.seconds
+    def _pass_time(self, step: Step) -> None:
+        self._now += step.seconds
         self._handle(Period())
 
-    # What must hold.
+    # Invariants
 
     def _check(self) -> None:
-        """Check each upstream."""
+        """Check each upstream's state in the fleet."""
         for name in NAMES:
             if self.fleet.accepts_requests(name):
-                self._check_may_take(name)
+                self._check_may_accept(name)
             else:
-                self._check_need_not_take(name)
+                self._check_may_exclude(name)
 
     @property
     def _in_grace(self) -> bool:
-        """Tell whether what is gone may only have lapsed."""
-        return self._down or self._now - self._back_at < LAPSE_GRACE_S
+        """Return True while a missing entry may only have lapsed in an outage."""
+        return self._is_down or self._now - self._reachable_since < LAPSE_GRACE_S
 
-    def _check_may_take(self, name: str) -> None:
-        """Nothing takes requests of which anyone has told that it left, unless newer word is there.
+    def _check_may_accept(self, name: str) -> None:
+        """Check that the newest report of an upstream that accepts requests says it is ready.
 
-        A word of its end that names the entry as it was holds for that entry.
+        A removal that carries the upstream's previous entry applies to that entry's revision.
         """
-        ready, left = self._told_ready[name], self._told_left[name]
-        assert ready > left, f"{name} takes requests at {ready}, and has left by {left}"
+        ready, left = self._ready_revision[name], self._left_revision[name]
+        assert ready > left, f"{name} accepts requests as of {ready}, but has left by {left}"
         if not self._in_grace:
-            held = self._held(name, self._told_to)
-            is_known = held is StoredState.READY or ready > self._told_to
-            assert is_known, f"{name} takes requests, but the platform has told that it is {held}"
+            state = self._state(name, self._delivered_revision)
+            is_known = state is StoredState.READY or ready > self._delivered_revision
+            assert is_known, f"{name} accepts requests, but the platform has it as {state}"
 
-    def _check_need_not_take(self, name: str) -> None:
-        """Whatever is ready and was told to be so takes requests."""
+    def _check_may_exclude(self, name: str) -> None:
+        """Check that an excluded upstream is not known as ready, unless it is suspected."""
         last = self._last(name, self._newest)
-        is_doubted = self._now - self._doubted_at.get(name, float("-inf")) <= SUSPICION_S
-        was_told = last.held is StoredState.READY and last.revision <= self._told_to
-        assert not was_told or is_doubted, f"{name} is ready, was told to be so, and is left out"
+        is_suspected = self._now - self._suspected_at.get(name, float("-inf")) <= SUSPICION_S
+        is_known_ready = (
+            last.state is StoredState.READY and last.revision <= self._delivered_revision
+        )
+        assert not is_known_ready or is_suspected, f"{name} is ready and known, but excluded"
 
 
-def _entry(one: _Write) -> Upstream:
-    """Return an entry as the platform tells of it."""
-    state = UpstreamState.READY if one.held is StoredState.READY else UpstreamState.LEAVING
-    return upstream_of(one.name, one.revision, state)
+def _entry(write: _Write) -> Upstream:
+    """Return an entry as the platform reports it."""
+    state = UpstreamState.READY if write.state is StoredState.READY else UpstreamState.LEAVING
+    return upstream_of(write.name, write.revision, state)
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -1,4 +1,4 @@
-"""Run one gateway inside the test process, before stand-ins of its upstreams."""
+"""Run one gateway inside the test process, with stand-ins as its upstreams."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 KEY: Final = "key-of-north"
 WAIT_S: Final = 5.0
 WORLDS: Final = itertools.count(1)
-"""Numbers the worlds of this process."""
+"""Sequence numbers of the worlds in this process."""
 ENGINE: Final = {
     "slots": 64,
     "kvCacheTokens": 34_545,
@@ -51,7 +51,7 @@
 
 
 def route(name: str, prefix: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return a route as the platform holds it."""
+    """Return a route in the platform's format."""
     fields = {
         "name": name,
         "hostname": HOST,
@@ -67,7 +67,7 @@
 
 
 def document(version: int = 1, **more: Any) -> dict[str, Any]:
-    """Return a routing document as the platform holds it."""
+    """Return a routing document in the platform's format."""
     fields = {
         "version": version,
         "routes": [
@@ -89,13 +89,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Hold what a caller has received."""
+    """Hold a response as a caller received it."""
 
     status: int
     headers: dict[str, str]
     body: bytes
     whole: bool
-    """Whether the answer told its end and came to it."""
+    """Whether the response is complete by its length or its final chunk."""
 
 
 class GatewayWorld:
@@ -103,13 +103,13 @@
 
     def __init__(self) -> None:
         """Start a gateway with two plain upstreams and three engines."""
-        # A world elsewhere may take the port of an upstream that has ended here; names of
-        # their own let it turn away what was meant for the other.
-        own = f"{os.getpid()}-{next(WORLDS)}"
-        self.plain = [RoutedUpstream(f"plain-{own}-{index}") for index in (1, 2)]
-        self.engines = [RoutedUpstream(f"engine-{own}-{index}") for index in (1, 2, 3)]
-        for one in self.engines:
-            one.peers = {other.address: other for other in self.engines}
+        # Another test process may reuse the port of an upstream that has stopped here. Unique
+        # names let that upstream reject requests that were meant for this one.
+        suffix = f"{os.getpid()}-{next(WORLDS)}"
+        self.plain = [RoutedUpstream(f"plain-{suffix}-{index}") for index in (1, 2)]
+        self.engines = [RoutedUpstream(f"engine-{suffix}-{index}") for index in (1, 2, 3)]
+        for engine in self.engines:
+            engine.peers = {other.address: other for other in self.engines}
         settings = GatewaySettings(
             instance_id="instance-1",
             zone="a",
@@ -140,21 +140,21 @@
         self.listener.start()
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop the gateway and all upstreams."""
         self.listener.stop()
-        for one in (*self.plain, *self.engines):
-            one.stop()
+        for upstream in (*self.plain, *self.engines):
+            upstream.stop()
 
     def pass_time(self, seconds: float) -> None:
-        """Let the gateway's clock jump ahead."""
+        """Advance the gateway's clock."""
         self._ahead_s += seconds
 
     def use(self, raw: dict[str, Any]) -> None:
-        """Put a routing document in force."""
+        """Apply a routing document."""
         self.state.route_table = RouteTable.from_document(read_routing(raw))
 
     def entry(self, upstream: RoutedUpstream) -> Upstream:
-        """Return an upstream's entry."""
+        """Return the platform's entry of an upstream, with a new revision."""
         self.revision += 1
         service = "engines" if upstream in self.engines else "portal"
         return Upstream(
@@ -168,32 +168,32 @@
         )
 
     def list_upstreams(self) -> None:
-        """Let the fleet know all upstreams."""
-        entries = tuple(self.entry(one) for one in (*self.plain, *self.engines))
+        """Send the fleet a list of all upstreams."""
+        entries = tuple(self.entry(upstream) for upstream in (*self.plain, *self.engines))
         self.state.fleet.handle(Listed(entries), self.state.now())
 
     def give_notice(self, upstream: RoutedUpstream) -> None:
-        """Let an upstream be leaving, and have its streams moved."""
+        """Set an upstream to leaving in the platform's list, which starts its evacuation."""
         leaving = replace(self.entry(upstream), state=UpstreamState.LEAVING)
-        self._tell_fleet(Changed(leaving, False))
+        self._apply_fleet_event(Changed(leaving, False))
 
     def handle_leaving_signal(self, upstream_id: str) -> None:
-        """Let the fleet know that an upstream has signalled that it leaves."""
-        self._tell_fleet(SignalledLeaving(upstream_id))
+        """Apply the signal of an upstream that it leaves."""
+        self._apply_fleet_event(SignalledLeaving(upstream_id))
 
-    def _tell_fleet(self, event: FleetEvent) -> None:
-        """Hand the fleet an event, and have streams moved that are to be."""
+    def _apply_fleet_event(self, event: FleetEvent) -> None:
+        """Apply an event to the fleet and evacuate upstreams that leave."""
         for action in self.state.fleet.handle(event, self.state.now()):
             if isinstance(action, UpstreamLeaving):
                 self.evacuation.start(action.upstream)
 
     def connect(self) -> socket.socket:
-        """Open a caller's connection."""
+        """Open a connection as a caller."""
         host, port = self.state.settings.caller_listen.split(":")
         return socket.create_connection((host, int(port)), WAIT_S)
 
     def ask(self, path: str, request_id: str, **more: str) -> Received:
-        """Send one request on a connection of its own, and read the answer."""
+        """Send one request on a new connection and return the response."""
         connection = self.connect()
         try:
             connection.sendall(request_bytes(path, request_id, **more))
@@ -225,7 +225,7 @@
 
 
 def read_response(connection: socket.socket) -> Received:
-    """Read one answer up to the connection's end."""
+    """Read one response until the connection is closed."""
     data = b""
     connection.settimeout(WAIT_S)
     try:
@@ -237,7 +237,7 @@
 
 
 def parse_answer(data: bytes) -> Received:
-    """Take an answer apart."""
+    """Parse an HTTP response; an empty one has status 0."""
     head, _, body = data.partition(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     if not first:
@@ -254,19 +254,19 @@
 
 
 def _unchunked(body: bytes) -> tuple[bytes, bool]:
-    """Return the content of a chunked body, and whether its end was there."""
+    """Return the content of a chunked body, and whether it has its final chunk."""
     content = b""
     while body:
-        size_text, _, rest = body.partition(b"\r\n")
+        size_text, _, following = body.partition(b"\r\n")
         size = int(size_text, 16)
         if size == 0:
             return content, True
-        content, body = content + rest[:size], rest[size + 2 :]
+        content, body = content + following[:size], following[size + 2 :]
     return content, False
 
 
 def wait_for(what: str, check: Callable[[], bool]) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; fail after WAIT_S seconds."""
     until = time.monotonic() + WAIT_S
     while not check():
         assert time.monotonic() < until, f"not reached in {WAIT_S:g} s: {what}"
@@ -275,23 +275,27 @@
 
 def world_of(context: Any) -> GatewayWorld:
     """Return the scenario's world."""
-    found: GatewayWorld = context.world
-    return found
+    world: GatewayWorld = context.world
+    return world
 
 
 def script_upstreams(world: GatewayWorld, request_id: str, scripts: list[Script]) -> list[Script]:
-    """Give the scripts to whichever upstreams get the request, in turn."""
-    for one in (*world.plain, *world.engines):
-        one.scripts[request_id] = scripts
+    """Share the scripts of a request among all upstreams; each run consumes the next one."""
+    for upstream in (*world.plain, *world.engines):
+        upstream.scripts[request_id] = scripts
     return scripts
 
 
 def runs(world: GatewayWorld, request_id: str) -> list[RoutedUpstream]:
-    """Return the upstreams that have run a request, once for each run."""
-    return [one for one in (*world.plain, *world.engines) for _ in range(one.runs(request_id))]
+    """Return the upstreams that have run a request, once per run."""
+    return [
+        upstream
+        for upstream in (*world.plain, *world.engines)
+        for _ in range(upstream.runs(request_id))
+    ]
 
 
 def assert_refused_with_retry_after(answer: Received) -> None:
-    """Check a refusal that names a time."""
+    """Check that a request was refused with 503 and a Retry-After below 2 s."""
     assert answer.status == 503, answer
     assert 0 < float(answer.headers["retry-after"]) < 2, answer
