--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -21,7 +21,7 @@
 )
 from driftstall.controllers.relay_messages import ResumeRequested
 from driftstall.core import Problem, Ran, Request
-from driftstall.daemon.answers import (
+from driftstall.daemon.http_responses import (
     EVENT_STREAM,
     StartResponse,
     problem_fields,
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -18,7 +18,7 @@
     WorkspaceConfig,
 )
 from driftstall.core import Problem, Ran
-from driftstall.daemon.answers import StartResponse, send, send_json, send_problem
+from driftstall.daemon.http_responses import StartResponse, send, send_json, send_problem
 from driftstall.daemon.node import Node
 from driftstall.daemon.stats import COUNTERS, render
 from driftstall.daemon.wire import config_to_json
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -18,7 +18,7 @@
     PREFIX_ROUTING,
 )
 from driftstall.core import Instance, Problem, Ran
-from driftstall.daemon.answers import JSON_TYPE
+from driftstall.daemon.http_responses import JSON_TYPE
 from driftstall.gateway.admission import Admission, AdmittedRequest, RequestProgress
 from driftstall.gateway.calls import CallRelay, UpstreamResponse
 from driftstall.gateway.dialect import BadHeaders
--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -7,7 +7,7 @@
 import orjson
 
 from driftstall.core import Problem
-from driftstall.daemon.answers import PROBLEM_TYPE, problem_fields
+from driftstall.daemon.http_responses import PROBLEM_TYPE, problem_fields
 from driftstall.gateway.ingress import encode_head
 from driftstall.gateway.model import Headers
 
