--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -74,7 +74,7 @@
     def __init__(self, script: Script) -> None:
         """Initialize with the faults to inject."""
         self._script = script
-        self._faults = {strike.fault for strike in script.planned_faults}
+        self._faults = {planned.fault for planned in script.planned_faults}
         self._work: deque[Callable[[], None]] = deque()
         self._holders = [self._new_holder(0), self._new_holder(1)]
         self._starts = 0
--- a/features/worlds/grants_world.py
+++ b/features/worlds/grants_world.py
@@ -76,7 +76,7 @@
     def __init__(self, script: Script) -> None:
         """Initialize with the faults to inject."""
         self._script = script
-        self._delaying = bool(DELAYING & {strike.fault for strike in script.planned_faults})
+        self._delaying = bool(DELAYING & {planned.fault for planned in script.planned_faults})
         self._now = 100.0
         self._live = {"engine-1", "engine-2"}
         self._left_at: dict[str, float] = {}
