--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -1,4 +1,4 @@
-"""Check that one instance of a zone places its streams, and what happens when it does not."""
+"""Test the placement of streams by one placer, and its failures."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def asked_by(sender: str, request_id: str, **more: Any) -> PlacementAsked:
-    """Return a question for a place."""
+    """Return a placement request."""
     asked = PlacementAsked(
         sender, request_id, "engines", PROMPT_TOKENS, OUTPUT_TOKENS, False, (), False, "a"
     )
@@ -60,7 +60,7 @@
 
 @given("an instance that places for its zone, with 5 engines there and 5 in another")
 def placing_instance(context: Any) -> None:
-    """Make an instance that places, with nothing running anywhere."""
+    """Create a placer without any running streams."""
     context.at = 100.0
     context.sent = []
     state = context.state = GatewayState(settings_of(PLACER), PlatformDialect(), default_policy())
@@ -80,13 +80,13 @@
 
 @given("all engines are full")
 def engines_full(context: Any) -> None:
-    """Let a peer tell that the engines are full."""
-    uses = [Use(one.upstream_id, tokens=34_000) for one in context.state.fleet.upstreams]
+    """Report from a peer that the engines are full."""
+    uses = [Use(upstream.upstream_id, tokens=34_000) for upstream in context.state.fleet.upstreams]
     context.state.loads.record_peer("peer", uses, context.at)
 
 
 def ask_at_once(context: Any, count: int, **more: Any) -> None:
-    """Ask from so many instances before any of them reports."""
+    """Ask from several instances before any of them reports."""
     first = len(context.sent)
     for number in range(first, first + count):
         context.placer.handle_request(asked_by(f"member-{number}", f"r-{number}", **more))
@@ -95,34 +95,34 @@
 @when("{count:d} instances ask it for a place at once")
 @when("{count:d} more instances ask it for a place at once")
 def some_ask(context: Any, count: int) -> None:
-    """Ask for plain places."""
+    """Ask for places without a replica."""
     ask_at_once(context, count)
 
 
 @then("each engine of the zone was given 1 stream")
 def spread_evenly(context: Any) -> None:
-    """Count the places."""
-    given_to = Counter(one.upstream_id for one in context.sent)
+    """Count the placements."""
+    given_to = Counter(placement.upstream_id for placement in context.sent)
     assert given_to == {f"near-{index}": 1 for index in range(5)}, given_to
 
 
 @then("no engine of either zone was given more than {most:d} streams")
 def spread_over_zones(context: Any, most: int) -> None:
-    """Count the places in both zones."""
-    given_to = Counter(one.upstream_id for one in context.sent)
+    """Count the placements in both zones."""
+    given_to = Counter(placement.upstream_id for placement in context.sent)
     assert len(given_to) == 10 and max(given_to.values()) <= most, given_to
 
 
 @when("an instance asks again for a request that 4 engines have turned away")
 def asks_again(context: Any) -> None:
-    """Leave one engine of the zone."""
+    """Leave only one engine of the zone."""
     avoid = tuple(f"near-{index}" for index in range(4))
     context.placer.handle_request(asked_by("member-1", "r-1", avoid=avoid))
 
 
 @then("the fifth one was given")
 def fifth_given(context: Any) -> None:
-    """Look at the answer."""
+    """Check the answer."""
     (given_place,) = context.sent
     assert given_place.upstream_id == "near-4", given_place
 
@@ -136,7 +136,7 @@
 
 @when("that instance reports that it runs them")
 def member_reports(context: Any) -> None:
-    """Report the request as its own instance counts it."""
+    """Report the request with the load that its own instance counts."""
     context.at += 0.2
     use = Use(context.given.upstream_id, running=1, tokens=HELD_TOKENS, prefill=PROMPT_TOKENS)
     context.placer.handle_report("member-1")
@@ -145,7 +145,7 @@
 
 @then("these count on the engine given, for other zones too, but not as its own")
 def counts_once(context: Any) -> None:
-    """Look at all the sums."""
+    """Check all totals."""
     loads, engine_id = context.state.loads, context.given.upstream_id
     expected = Use(engine_id, running=1, tokens=HELD_TOKENS, prefill=PROMPT_TOKENS)
     assert loads.use(engine_id, context.at) == expected, loads.use(engine_id, context.at)
@@ -155,7 +155,7 @@
 
 @then("nothing of it is left after {seconds:g} s")
 def forgotten(context: Any, seconds: float) -> None:
-    """Let time pass; the next question clears up."""
+    """Let the time pass; the next request removes expired placements."""
     context.at += seconds
     context.placer.handle_request(asked_by("member-2", "r-2", service="portal"))
     context.placer.handle_request(asked_by("member-2", "r-2"))
@@ -165,34 +165,34 @@
 
 @when("{count:d} instances ask it for a place with a copy at once")
 def some_ask_with_copy(context: Any, count: int) -> None:
-    """Ask for long streams."""
+    """Ask for long streams with a backup."""
     ask_at_once(context, count, wants_backup=True)
 
 
 @then("each copy is kept on another engine of the zone than its stream's")
 def copies_elsewhere(context: Any) -> None:
-    """Compare the engines."""
-    kept = [one for one in context.sent if one.backup_id]
-    assert len(kept) == len(context.sent), context.sent
-    assert all(one.backup_id != one.upstream_id for one in kept)
-    assert all(one.backup_id.startswith("near-") for one in kept)
+    """Compare the engines of streams and backups."""
+    backups = [placement for placement in context.sent if placement.backup_id]
+    assert len(backups) == len(context.sent), context.sent
+    assert all(placement.backup_id != placement.upstream_id for placement in backups)
+    assert all(placement.backup_id.startswith("near-") for placement in backups)
 
 
 @when("an instance asks it for a place at once")
 def one_asks(context: Any) -> None:
-    """Ask without taking what has no room."""
+    """Ask without accepting an engine that has no room."""
     context.placer.handle_request(asked_by("member-1", "r-1"))
 
 
 @when("an instance asks it for a place that it takes anyway")
 def one_takes(context: Any) -> None:
-    """Ask at the end of its patience."""
+    """Ask at the end of the maximum wait."""
     context.placer.handle_request(asked_by("member-1", "r-1", taken_anyway=True))
 
 
 @then("it is told that there is no room, and {what} counts")
 def told_no_room(context: Any, what: str) -> None:
-    """Look at the newest answer and at the sums."""
+    """Check the latest answer and the totals."""
     assert not context.sent[-1].has_room
     counted = sum(use.running for use in context.state.loads.sorted_totals(context.at))
     assert counted == (what == "the place"), counted
@@ -200,7 +200,7 @@
 
 @given("{count:d} engines more")
 def more_engines(context: Any, count: int) -> None:
-    """List them."""
+    """List additional engines."""
     more = tuple(upstream_of(f"more-{index}", 2) for index in range(count))
     context.state.fleet.handle(Listed(more, StoreVersion(2)), context.at)
     assert len(context.state.options("engines", most=None)) == count
@@ -211,7 +211,7 @@
     " each from 64 that were compared"
 )
 def some_compared(context: Any, asks: int, least: int) -> None:
-    """Ask, and count what was looked at."""
+    """Ask, and count the compared engines."""
     compared: list[int] = []
     usual = context.state.loads.use
 
@@ -230,44 +230,44 @@
 
 @given("two instances that place for a zone, of which the first is silent")
 def two_placers(context: Any) -> None:
-    """Let the first one be silent now."""
-    context.order = PlacerSelector()
+    """Create a selector for two placers."""
+    context.selector = PlacerSelector()
     context.placers = ("first", "second")
 
 
 @then("the first is asked, then the second for 1 s, then the first again")
 def left_out(context: Any) -> None:
-    """Ask at three times."""
-    order, placers = context.order, context.placers
-    assert order.select(placers, 5.0) == "first"
-    order.record_timeout("first", 5.0)
-    assert order.select(placers, 5.0) == "second"
-    assert order.select(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
-    assert order.select(placers, 5.0 + EXCLUSION_S) == "first"
-    order.record_timeout("second", 6.0)
-    order.record_timeout("first", 6.0)
-    assert order.select(placers, 6.5) is None
+    """Select at several times."""
+    selector, placers = context.selector, context.placers
+    assert selector.select(placers, 5.0) == "first"
+    selector.record_timeout("first", 5.0)
+    assert selector.select(placers, 5.0) == "second"
+    assert selector.select(placers, 5.0 + EXCLUSION_S - 0.01) == "second"
+    assert selector.select(placers, 5.0 + EXCLUSION_S) == "first"
+    selector.record_timeout("second", 6.0)
+    selector.record_timeout("first", 6.0)
+    assert selector.select(placers, 6.5) is None
 
 
 @then("it is left out for longer each time that it is silent again, up to 8 s, and not for ever")
 def left_out_longer(context: Any) -> None:
-    """Let it be silent whenever it is asked, then serve for a while."""
-    order, now, waits = PlacerSelector(), 0.0, []
+    """Let each request time out, then stop for a while."""
+    selector, now, waits = PlacerSelector(), 0.0, []
     for _ in range(5):
-        order.record_timeout("first", now)
-        order.record_timeout("first", now + 0.01)
+        selector.record_timeout("first", now)
+        selector.record_timeout("first", now + 0.01)
         began = now
-        while order.select(("first",), now) is None:
+        while selector.select(("first",), now) is None:
             now += 0.1
         waits.append(round(now - began))
     assert waits == [1, 2, 4, 8, 8], waits
-    order.record_timeout("first", now + 30.0)
-    assert order.select(("first",), now + 30.0 + EXCLUSION_S) == "first"
+    selector.record_timeout("first", now + 30.0)
+    assert selector.select(("first",), now + 30.0 + EXCLUSION_S) == "first"
 
 
 @given("its zone's placer gives no answer")
 def silent_placer(context: Any) -> None:
-    """Let another instance place for the zone, to which nothing gets through."""
+    """Let another instance place for the zone, which receives nothing."""
     world = world_of(context)
     context.sent = []
     roles = FleetRoles(is_large=True, placers=(PLACER,))
@@ -279,13 +279,13 @@
 
 @then("the placer was asked once")
 def asked_once(context: Any) -> None:
-    """Count the questions."""
+    """Count the requests."""
     assert len(context.sent) == 1, context.sent
 
 
 @given("its zone's placer gives an engine that is leaving")
 def stale_placer(context: Any) -> None:
-    """Let the placer know less than this instance."""
+    """Let the placer have older information than this instance."""
     world = world_of(context)
     leaving = context.leaving = world.engines[0]
     world.give_notice(leaving)
@@ -298,16 +298,16 @@
 
 @then('"{request_id}" did not run on the engine that is leaving')
 def not_on_leaving(context: Any, request_id: str) -> None:
-    """Find where it ran."""
+    """Check the engine of the run."""
     (engine,) = runs(world_of(context), request_id)
     assert engine is not context.leaving
 
 
 @then("all instances know the same three placers in the same order, one of each zone")
 def same_placers(context: Any) -> None:
-    """Compare what each computes."""
+    """Compare the placers that each instance computes."""
     (placers,) = {FleetRoles.from_fleet(own, context.fleet).placers for own in context.fleet}
-    zones = {one.instance_id: one.zone for one in context.fleet}
+    zones = {instance.instance_id: instance.zone for instance in context.fleet}
     assert sorted(zones[placer] for placer in placers) == sorted(set(zones.values())), placers
     collecting = [own for own in context.fleet if own.instance_id in placers]
     assert all(FleetRoles.from_fleet(own, context.fleet).is_collector for own in collecting)
@@ -324,7 +324,7 @@
     " and over {many:d} without"
 )
 def model_shows_it(context: Any, few: int, many: int) -> None:
-    """Play the model both ways."""
+    """Run the model with and without a placer."""
     seed, late_s = 1, zone_placement.LATE_S
     alone = zone_placement.play(seed, knows_all=False, seconds=MODEL_SECONDS)
     placed = zone_placement.play(seed, knows_all=True, seconds=MODEL_SECONDS)
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -1,4 +1,4 @@
-"""Check how what the store tells is ordered, without a network."""
+"""Test the ordering of store versions across a restore of the store, without a network."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 def version(text: str) -> StoreVersion:
-    """Return a version as it is shown."""
+    """Return the version of a text."""
     return StoreVersion.parse(text)
 
 
 @then("2.5 follows 1.90, which follows 1.89, and a store without eras counts plainly")
 def ordered(context: Any) -> None:
-    """Compare."""
+    """Compare versions, and record eras."""
     assert version("2.5") > version("1.90") > version("1.89") > version("120") > version("119")
     assert (version("2.5").era, version("2.5").revision) == (2, 5)
     eras = StoreEras()
@@ -56,55 +56,55 @@
 
 @then("each version is read again as it is shown")
 def shown(context: Any) -> None:
-    """Show and read."""
+    """Convert each version to text and back."""
     for text in ("2.5", "1.0", "7", "0", "65000.12345678901234"):
         assert str(version(text)) == text
 
 
-class NamingStore:
-    """Answer each call with the headers that are set."""
+class EraStore:
+    """Respond to each call with the era that is set."""
 
     def __init__(self) -> None:
         """Start to listen."""
-        self.told: str | None = "3"
+        self.era: str | None = "3"
         self.calls = 0
         self._server = serve(0, self._answer)
         self.stop = self._server.stop
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address of the store."""
         return f"127.0.0.1:{self._server.server_port}"
 
     def _answer(self, environ: dict[str, Any], start: Any) -> list[bytes]:
-        """Answer a list or a watch with nothing in it."""
+        """Respond to a list or a watch without items."""
         self.calls += 1
         body = orjson.dumps({"items": [], "events": [], "more": False, "at": 40})
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        if self.told is not None:
-            headers.append(("Store-Era", self.told))
+        if self.era is not None:
+            headers.append(("Store-Era", self.era))
         start("200 OK", headers)
         return [body]
 
 
 @given("a store whose answers have named the era 3")
-def naming_store(context: Any) -> None:
-    """Ask once."""
-    context.naming = NamingStore()
-    context.add_cleanup(context.naming.stop)
-    context.store = Store(context.naming.address)
+def era_store(context: Any) -> None:
+    """List once."""
+    context.era_store = EraStore()
+    context.add_cleanup(context.era_store.stop)
+    context.store = Store(context.era_store.address)
     assert context.store.list(KIND_UPSTREAMS).at == version("3.40")
 
 
 @when("an answer names the era {told}")
-def names_era(context: Any, told: str) -> None:
-    """Have it named."""
-    context.naming.told = None if told == "none" else told
+def names_era(context: Any, era: str) -> None:
+    """Set the era of the next responses."""
+    context.era_store.era = None if era == "none" else era
 
 
 @then("it counts as no answer, and the era stays 3")
 def not_believed(context: Any) -> None:
-    """Ask."""
+    """Check that a list fails and the era stays."""
     try:
         context.store.list(KIND_UPSTREAMS)
     except PlatformUnavailable:
@@ -115,8 +115,8 @@
 
 @when("a watch from the version 3.40 is answered in the era 4")
 def watch_answered(context: Any) -> None:
-    """Watch."""
-    context.naming.told = "4"
+    """Start a watch."""
+    context.era_store.era = "4"
     context.gone = False
     try:
         context.store.watch(KIND_UPSTREAMS, version("3.40"), 0.1)
@@ -126,32 +126,32 @@
 
 @then("its history counts as gone, and the era is 4")
 def history_gone(context: Any) -> None:
-    """Look."""
+    """Check the failed watch and the era."""
     assert context.gone and context.store.era == 4
 
 
 @then("to replace an object at 2.40 is refused, and the store gets no call")
 def refused(context: Any) -> None:
-    """Try it."""
-    calls = context.naming.calls
+    """Try to replace an object of an older era."""
+    calls = context.era_store.calls
     assert context.store.replace(KIND_POLICY, "x", {}, version("2.40")) is None
-    assert context.naming.calls == calls
+    assert context.era_store.calls == calls
 
 
 def entry(name: str, at: str, state: UpstreamState = UpstreamState.READY) -> Upstream:
-    """Return an upstream's entry of a version."""
+    """Return an upstream's entry at a version."""
     return replace(upstream_of(name, state=state), revision=version(at))
 
 
 def feed(context: Any, event: FleetEvent, now: float) -> None:
-    """Hand an event to the fleet."""
-    found: list[FleetAction] = context.fleet.handle(event, now)
-    context.actions += found
+    """Pass an event to the fleet and collect its actions."""
+    actions: list[FleetAction] = context.fleet.handle(event, now)
+    context.actions += actions
 
 
 @given('a fleet that knows "u1" and "u2" as of 1.100')
 def known_fleet(context: Any) -> None:
-    """List them; both entries are young."""
+    """List both upstreams; both entries are recent."""
     context.fleet, context.actions = FleetController(), []
     entries = (entry("u1", "1.90"), entry("u2", "1.95"))
     feed(context, Listed(entries, version("1.100")), 1.0)
@@ -159,14 +159,14 @@
 
 @given('a fleet that knows "u1" and "u2" as of 1.100, and that "u2" has left')
 def one_left(context: Any) -> None:
-    """Remove one."""
+    """Remove one upstream."""
     known_fleet(context)
     feed(context, Changed(entry("u2", "1.101"), True), 2.0)
 
 
 @when('the store has come back, and lists "u1" alone as of 2.50')
 def lists_one(context: Any) -> None:
-    """Take it in."""
+    """Process the restore and the list."""
     context.actions = []
     feed(context, StoreRestored(), RETURNED_AT)
     feed(context, Listed((entry("u1", "2.40"),), version("2.50")), RETURNED_AT)
@@ -175,7 +175,7 @@
 
 @when("the store has come back, and lists both as of 2.50")
 def lists_both(context: Any) -> None:
-    """Take it in."""
+    """Process the restore and the list."""
     context.actions = []
     feed(context, StoreRestored(), RETURNED_AT)
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
@@ -183,19 +183,19 @@
 
 
 def taking(context: Any) -> set[str]:
-    """Return the upstreams that take requests."""
-    return {one.name for one in context.fleet.ready("engines")}
+    """Return the upstreams that accept requests."""
+    return {upstream.name for upstream in context.fleet.ready("engines")}
 
 
 @then('"u1" and "u2" take requests')
 def both_take(context: Any) -> None:
-    """Look."""
+    """Check the upstreams that accept requests."""
     assert taking(context) == {"u1", "u2"}, taking(context)
 
 
 @then('3 s later "u2" takes none, if it is not listed by then')
 def goes_later(context: Any) -> None:
-    """List again."""
+    """Process another list."""
     feed(context, Listed((entry("u1", "2.40"),), version("2.60")), RETURNED_AT + 3.0)
     feed(context, Period(), RETURNED_AT + 3.1)
     assert taking(context) == {"u1"}, taking(context)
@@ -203,28 +203,28 @@
 
 @when('1 s later "u2" is listed as of 2.55')
 def listed_again(context: Any) -> None:
-    """Take the change in."""
+    """Process the change."""
     feed(context, Changed(entry("u2", "2.55"), False), RETURNED_AT + 1.0)
 
 
 @then('3 s later "u1" and "u2" take requests, and nobody was told that one leaves')
 def never_gone(context: Any) -> None:
-    """List again."""
+    """Process another list, and check that no upstream was reported as leaving."""
     both = (entry("u1", "2.40"), entry("u2", "2.55"))
     feed(context, Listed(both, version("2.60")), RETURNED_AT + 3.0)
     feed(context, Period(), RETURNED_AT + 3.1)
     both_take(context)
-    assert not [one for one in context.actions if isinstance(one, UpstreamLeaving)]
+    assert not [action for action in context.actions if isinstance(action, UpstreamLeaving)]
 
 
 @then('"u1" takes requests, and "u2" none')
 def one_takes(context: Any) -> None:
-    """Look."""
+    """Check the upstreams that accept requests."""
     assert taking(context) == {"u1"}, taking(context)
 
 
 def list_both_again(context: Any, seconds: float) -> None:
-    """List both as they were, some time after the return."""
+    """List both unchanged, some time after the return."""
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
     feed(context, Listed(both, version("2.60")), RETURNED_AT + seconds)
     feed(context, Period(), RETURNED_AT + seconds + 0.1)
@@ -232,59 +232,59 @@
 
 @then('3 s later "u2" takes none, though it is still listed then')
 def not_revived(context: Any) -> None:
-    """List again."""
+    """Process the list within the retention."""
     list_both_again(context, 3.0)
     one_takes(context)
 
 
 @then('9 s later "u2" takes requests, if it is still listed then')
 def outlasts(context: Any) -> None:
-    """List again."""
+    """Process the list after the retention."""
     list_both_again(context, 9.0)
     both_take(context)
 
 
 @when('a peer tells that "u3" has joined as of 1.103')
 def peer_tells_of_joined(context: Any) -> None:
-    """Take its word in."""
+    """Process the peer's report."""
     feed(context, Changed(entry("u3", "1.103"), False, from_peer=True), 2.0)
 
 
 @when('a list as of 1.102 comes after it, with "u1" alone')
 def late_list(context: Any) -> None:
-    """Take in what was read before and was on its way meanwhile."""
+    """Process a list that was read before the upstream joined and arrives after it."""
     feed(context, Listed((entry("u1", "1.90"),), version("1.102")), 2.004)
 
 
 @then('"u1" and "u3" take requests')
 def joined_takes(context: Any) -> None:
-    """Look."""
+    """Check the upstreams that accept requests."""
     assert taking(context) == {"u1", "u3"}, taking(context)
 
 
 @then('"u3" takes none once a list as of 1.104 lacks it as well')
 def newer_list(context: Any) -> None:
-    """Take in a list that was read after it had joined."""
+    """Process a list that was read after the upstream joined."""
     feed(context, Listed((entry("u1", "1.90"),), version("1.104")), 3.0)
     assert taking(context) == {"u1"}, taking(context)
 
 
 @when('1 s later "u2" is removed as of 2.52')
 def removed(context: Any) -> None:
-    """Take the change in."""
+    """Process the change."""
     feed(context, Changed(entry("u2", "2.52"), True), RETURNED_AT + 1.0)
 
 
 @when('1 s later "u2" says as of 2.52 that it leaves')
 def notice(context: Any) -> None:
-    """Take the change in."""
+    """Process the change."""
     leaving = entry("u2", "2.52", UpstreamState.LEAVING)
     feed(context, Changed(leaving, False), RETURNED_AT + 1.0)
 
 
 @when('a peer offers "u1" and "u2" as of 1.120')
 def peer_offers(context: Any) -> None:
-    """Take its list and its word in."""
+    """Process the list and the report of a peer."""
     both = (entry("u1", "1.90"), entry("u2", "1.119"))
     feed(context, ListedByPeer(both, version("1.120")), RETURNED_AT + 1.1)
     feed(context, Changed(both[1], False, from_peer=True), RETURNED_AT + 1.2)
@@ -292,37 +292,37 @@
 
 @then('"u2" takes no requests at once')
 def takes_none(context: Any) -> None:
-    """Look."""
+    """Check the upstreams that accept requests."""
     one_takes(context)
 
 
 @given('a book that knows zone "a" as cordoned at 1.90 of 1.100')
 def cordoned(context: Any) -> None:
-    """Note it."""
+    """Record the cordon."""
     context.book = CordonRegistry()
     context.book.merge(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
 
 
 @when("the store has come back and its list as of 2.50 names no zone")
 def names_none(context: Any) -> None:
-    """Take it in, in doubt."""
+    """Process the list while the store may be incomplete."""
     context.book.merge(Cordons(version("2.50")), keeps_missing=True)
 
 
 @then('zone "a" is cordoned')
 def still_cordoned(context: Any) -> None:
-    """Look."""
+    """Check the cordons."""
     assert context.book.zones == {"a"}
 
 
 @then("the list after that ends it")
 def lifted(context: Any) -> None:
-    """Take the next one in."""
+    """Process the next list."""
     assert context.book.merge(Cordons(version("2.50"))).lifted == {"a"}
 
 
 def policy_text(name: str) -> str:
-    """Return a policy."""
+    """Return the text of a policy."""
     return f'policy "{name}" {{ rule all {{ rank 1; wait at most 5s; may refuse; }} }}'
 
 
@@ -331,20 +331,20 @@
     return PolicyText(version(at), policy_text(name))
 
 
-class KeptHere:
-    """Hold one policy as the store would."""
+class StubPolicyStore:
+    """Hold one policy in place of the store."""
 
     def __init__(self, held: PolicyText | None) -> None:
-        """Take what it holds."""
+        """Initialize with the stored policy."""
         self.held = held
         self.written: list[str] = []
 
     def read(self) -> PolicyText | None:
-        """Return it."""
+        """Return the stored policy."""
         return self.held
 
     def write(self, text: str, instead_of: PolicyText | None) -> bool:
-        """Write it, if nothing else is there."""
+        """Record the write if the expected policy is stored."""
         if instead_of != self.held:
             return False
         self.written.append(text)
@@ -353,7 +353,7 @@
 
 @given('a policy "first" was in force as of 1.40, and "second" is as of 1.90')
 def two_policies(context: Any) -> None:
-    """Submit both."""
+    """List both policies."""
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
     context.policies = PolicySource(context.world.state)
@@ -363,23 +363,23 @@
 
 @when('the store holds "first" as of 2.40')
 def holds_first(context: Any) -> None:
-    """Take it in, and compare."""
-    context.kept = KeptHere(stored("first", "2.40"))
+    """List the policy of the restored store, and compare it."""
+    context.kept = StubPolicyStore(stored("first", "2.40"))
     context.policies.listed((context.kept.held,), version("2.41"))
     PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
 
 
 @then('"second" is in force, and is written again in its place')
 def second_holds(context: Any) -> None:
-    """Look."""
+    """Check the policy in force and the write."""
     assert context.world.state.policy.name == "second"
     assert context.kept.written == [policy_text("second")]
 
 
 @then('"third", submitted as of 2.45, comes into force and is not overwritten')
 def third_holds(context: Any) -> None:
-    """Submit it."""
-    context.kept = KeptHere(stored("third", "2.45"))
+    """List the submitted policy."""
+    context.kept = StubPolicyStore(stored("third", "2.45"))
     PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
     context.policies.listed((context.kept.held,), version("2.46"))
     assert context.world.state.policy.name == "third"
@@ -389,7 +389,7 @@
 
 @given('a policy "first" is in force as of 2.40, the first one known here')
 def first_known(context: Any) -> None:
-    """Read it."""
+    """List the policy."""
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
     context.policies = PolicySource(context.world.state)
@@ -398,8 +398,8 @@
 
 @then("nothing is written again, whatever the store holds")
 def nothing_written(context: Any) -> None:
-    """Compare with the same one and with another."""
+    """Compare with the same policy and with another one."""
     for held in (stored("first", "2.40"), stored("other", "2.70")):
-        kept = KeptHere(held)
+        kept = StubPolicyStore(held)
         PolicyPersistence(context.policies, kept).rewrite_if_lost()
         assert kept.written == []
