--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -112,7 +112,7 @@
 
     def _is_movable(self, run: StreamRun) -> bool:
         """Return True if a run is free to be moved and has no usable backup."""
-        if not run.events or run.ended or run.is_copying or run.pending_final_copy is not None:
+        if not run.events or run.has_ended or run.is_copying or run.pending_final_copy is not None:
             return False
         backup = run.backup
         return backup is None or not self._state.fleet.accepts_requests(backup.upstream_id)
@@ -134,7 +134,7 @@
                 return False
             failure = self._copy(run, target)
             if failure is None:
-                if run.ended or run.upstream.upstream_id != source.upstream_id:
+                if run.has_ended or run.upstream.upstream_id != source.upstream_id:
                     return True
                 return self._mover.make_final_copy(run, target)
             if failure.no_such_run:
@@ -149,6 +149,6 @@
             result = self._mover.copy(run, target)
             if isinstance(result, MoveFailed):
                 return result
-            if run.ended or self._state.now() - started <= RECOPY_THRESHOLD_S:
+            if run.has_ended or self._state.now() - started <= RECOPY_THRESHOLD_S:
                 break
         return None
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -106,13 +106,13 @@
         run.replica = Replica(ref, self._state.now(), tokens)
         # A stream that is resumed elsewhere may already run at this replica, since a further step
         # only updates the same one, or may still need it. Engines drop unused replicas themselves.
-        if run.ended and not run.is_resumed_elsewhere:
+        if run.has_ended and not run.is_resumed_elsewhere:
             self.drop_replica(run)
         return result
 
     def _set_replica_target(self, run: StreamRun, target: Upstream | None) -> None:
         """Account for a replica on its engine at once, before other runs choose the same engine."""
-        if run.replica_target is not target and not run.ended:
+        if run.replica_target is not target and not run.has_ended:
             run.replica_target = target
             self._state.record_run_load(run)
 
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -69,7 +69,7 @@
         for run in self._state.runs.all:
             if (
                 run.events < MIN_EVENTS
-                or run.ended
+                or run.has_ended
                 or run.is_copying
                 or run.pending_final_copy is not None
             ):
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -82,7 +82,7 @@
     """The engine on which a replica is made, set from the first step on."""
     replica: Replica | None = None
     """The replica made of the run while it continues."""
-    ended: bool = False
+    has_ended: bool = False
     is_resumed_elsewhere: bool = False
     """Whether the stream was resumed at another engine; otherwise it ended with this run."""
     moves: int = 0
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -104,7 +104,7 @@
         run = self.run
         if run is None:
             return
-        run.ended = True
+        run.has_ended = True
         if run.exchange is not None:
             run.exchange.close()
         self.mover.drop_replica(run)
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -58,7 +58,7 @@
             ):
                 return None
             self._context.state.runs.remove(run)
-            run.ended = True
+            run.has_ended = True
             run.is_resumed_elsewhere = True
             next_run = self._context.placement.create_resumed_run(
                 run, replica, self._context.history.has_run_at
