--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -50,7 +50,7 @@
     def _silence(self) -> None:
         """Let what is open say nothing more."""
         self._marker = None
-        self._mute.update(self._open)
+        self._mute.update(self._connections)
         self.silenced_at = time.monotonic()
         self.has_silenced.set()
 
