--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -85,7 +85,7 @@
         self._certain = certain
         self._registry = RunnerRegistry(lengths, 0.0 if certain else quantile(overflow))
         self._runners = self._registry.runners
-        self._queues_by_rank = RankQueues()
+        self._queues = RankQueues()
         self._grants: dict[str, OpenGrant] = {}
         self._paused: dict[str, OpenGrant] = {}
         self._limits = WorkspaceLimits()
@@ -100,7 +100,7 @@
     @property
     def waiting(self) -> int:
         """Return the number of queued requests."""
-        return len(self._queues_by_rank)
+        return len(self._queues)
 
     @property
     def open_grants(self) -> int:
@@ -141,7 +141,7 @@
     @_handle_event.register
     def _(self, event: Ask, now: float) -> None:
         request, verdict = event.request, event.verdict
-        if request.request_id in self._queues_by_rank:
+        if request.request_id in self._queues:
             return
         open_grant = self._grants.get(request.request_id)
         if open_grant is not None:
@@ -158,7 +158,7 @@
             return
         output = self._lengths.expected_tokens(request)
         cost = request.input_tokens + output
-        had_reservation = self._queues_by_rank.release_place(verdict.rank, event.ticket)
+        had_reservation = self._queues.release_place(verdict.rank, event.ticket)
         if not self._runners:
             self._refuse(event.entry, request, CODE_NO_RUNNER, 2.0, "", "no runner is live")
             return
@@ -169,16 +169,14 @@
             return
         if verdict.rank == 0:
             self._registry.record_first_rank_arrival(cost, now)
-        wait_s = (
-            0.0 if had_reservation else self._queues_by_rank.forecast(request, verdict, cost, now)
-        )
+        wait_s = 0.0 if had_reservation else self._queues.forecast(request, verdict, cost, now)
         if verdict.may_refuse and wait_s > verdict.wait_s:
             self._limits.settle(request, cost, 0.0)
             self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
             return
         hold = forecast_request(self._lengths, request, 0)
         item = WaitingRequest(event.entry, request, verdict, cost, now, output, hold, event.avoid)
-        self._queues_by_rank.push(item)
+        self._queues.push(item)
 
     @_handle_event.register
     def _(self, event: Announce, now: float) -> None:
@@ -204,7 +202,7 @@
 
     @_handle_event.register
     def _(self, event: Close, now: float) -> None:
-        item = self._queues_by_rank.discard(event.request_id)
+        item = self._queues.discard(event.request_id)
         if item is not None:
             self._limits.settle(item.request, item.cost, 0.0)
             return
@@ -255,7 +253,7 @@
     @_handle_event.register
     def _(self, event: EntryLost, now: float) -> None:
         lost = [grant_id for grant_id, grant in self._grants.items() if grant.entry == event.entry]
-        lost += self._queues_by_rank.requests_of_entry(event.entry)
+        lost += self._queues.requests_of_entry(event.entry)
         for request_id in lost:
             self._handle_event(Close(self.group, request_id, 0, finished=False), now)
 
@@ -279,7 +277,7 @@
         after = retry_after(wait_s, self._source)
         ticket = request.request_id
         until = now + after + RESERVATION_GRACE_S
-        self._queues_by_rank.reserve_place(verdict.rank, ticket, request.workspace, cost, until)
+        self._queues.reserve_place(verdict.rank, ticket, request.workspace, cost, until)
         reason = f"{self.waiting} wait, the forecast wait is {wait_s:.1f} s"
         self._refuse(entry, request, CODE_REFUSED, after, ticket, reason)
 
@@ -291,9 +289,9 @@
 
     def _expire(self, now: float) -> None:
         """Refuse the queued requests whose maximum wait has passed."""
-        for item in self._queues_by_rank.pop_expired(now):
+        for item in self._queues.pop_expired(now):
             self._limits.settle(item.request, item.cost, 0.0)
-            wait_s = self._queues_by_rank.forecast(item.request, item.verdict, item.cost, now)
+            wait_s = self._queues.forecast(item.request, item.verdict, item.cost, now)
             self._refuse_with_reservation(
                 item.entry, item.request, item.verdict, item.cost, wait_s, now
             )
@@ -334,7 +332,7 @@
         """Grant in order of rank until a request has to wait."""
         if self._paused:
             self._resume(now)
-        for rank, queue in self._queues_by_rank.queues_by_rank():
+        for rank, queue in self._queues.queues_by_rank():
             while len(queue) and self._grant_next(queue, now):
                 pass
             if len(queue):
@@ -348,7 +346,7 @@
             choice = self._place(item, now)
             if choice is None:
                 continue
-            self._queues_by_rank.serve(item, now)
+            self._queues.serve(item, now)
             self._grant(item, choice, now)
             return True
         return False
@@ -491,7 +489,7 @@
 
     def _resume(self, now: float) -> None:
         """Resume paused generations that fit, best rank and oldest first."""
-        blocked = self._queues_by_rank.first_waiting_rank
+        blocked = self._queues.first_waiting_rank
         order = sorted(self._paused.items(), key=lambda pair: (pair[1].verdict.rank, pair[1].since))
         for request_id, grant in order:
             runner = self._runners.get(grant.runner_id)
