--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -33,7 +33,7 @@
 from driftstall.gateway.stream_resumer import OK, StreamResumer
 from driftstall.helpers.log import log_event
 
-SILENCE_S: Final = 1.2
+SILENCE_TIMEOUT_S: Final = 1.2
 """A running stream without an event for this time resumes at its backup, if it has one."""
 ACCOUNT_TOKENS: Final = 128
 """Tokens after which a run's load is updated: about once a second."""
@@ -172,7 +172,7 @@
         """Return how long to wait for the next event, in seconds."""
         remaining_s = max(0.0, self._context.remaining_s())
         if self._context.replicas.has_current_backup(run):
-            return min(remaining_s, SILENCE_S)
+            return min(remaining_s, SILENCE_TIMEOUT_S)
         return remaining_s
 
     def _forward(self, run: StreamRun, events: list[Event]) -> Exception | None:
