--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -50,11 +50,11 @@
         self.asking = GrantClient(self.hub, self.members, self.fleet, self.ownership)
         self.claims = ClaimsService(self.hub, self.members)
         self.placement = PlacementService(self.hub, self.members, self.fleet)
-        self.blame = PoisonService(self.hub, self.members)
+        self.poison = PoisonService(self.hub, self.members)
         self.signals = SignalService(self.hub, self.fleet, self.limits.limits)
-        self.relay = RelayService(self.hub, self.fleet, self.asking, self.blame, self.signals)
+        self.relay = RelayService(self.hub, self.fleet, self.asking, self.poison, self.signals)
         self.services = ServiceCalls(
-            self.hub, self.fleet, self.claims, self.blame, self.limits.limits, self.signals
+            self.hub, self.fleet, self.claims, self.poison, self.limits.limits, self.signals
         )
         self._drain = DrainController(settings.locate_keep)
 
@@ -82,7 +82,7 @@
         self.asking.start()
         self.claims.start()
         self.placement.start()
-        self.blame.start()
+        self.poison.start()
         self.limits.start()
         self.hub.every(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
         self.hub.every(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -116,7 +116,7 @@
         if route == "GET /operator/crashes":
             return send_json(start, 200, {"crashes": self._crashes()})
         if route.startswith("DELETE /operator/crashes/"):
-            self._node.blame.record_success(route.rpartition("/")[2])
+            self._node.poison.record_success(route.rpartition("/")[2])
             return send_json(start, 200, {"crashes": self._crashes()})
         if route == "POST /operator/drain":
             self._node.ask_stop()
@@ -125,7 +125,7 @@
 
     def _crashes(self) -> list[dict[str, Any]]:
         """Return the requests that are sent to no runner, as runners have crashed under them."""
-        found = self._node.blame.book.quarantined(self._node.hub.now())
+        found = self._node.poison.book.quarantined(self._node.hub.now())
         return [
             {
                 "fingerprint": fingerprint,
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -103,12 +103,12 @@
         hub: Hub,
         fleet: FleetService,
         asking: GrantClient,
-        blame: PoisonService,
+        poison: PoisonService,
         signals: SignalService,
     ) -> None:
         """Start with a fresh retry budget."""
         self.signals = signals
-        self.blame = blame
+        self.poison = poison
         self.hub = hub
         self.fleet = fleet
         self.asking = asking
@@ -277,8 +277,8 @@
             return False
         made_s = self._hub.now() - self._opened_at
         under_way = self._machine.produced > 0 and made_s >= UNDER_WAY_S
-        self._service.blame.broke(runner, self.fingerprint, under_way=under_way)
-        return self._service.blame.refusal(self.fingerprint, Ran.UNKNOWN) is not None
+        self._service.poison.broke(runner, self.fingerprint, under_way=under_way)
+        return self._service.poison.refusal(self.fingerprint, Ran.UNKNOWN) is not None
 
     def _drop_stream(self) -> None:
         """Close the runner's stream."""
@@ -315,7 +315,7 @@
             case Complete():
                 self._drop_stream()
                 if self.fingerprint:
-                    self._service.blame.record_success(self.fingerprint)
+                    self._service.poison.record_success(self.fingerprint)
                 self._out.append(Whole(action.data))
             case Fail():
                 self._drop_stream()
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -62,14 +62,14 @@
         hub: Hub,
         fleet: FleetService,
         claims: ClaimsService,
-        blame: PoisonService,
+        poison: PoisonService,
         limits: RateLimiter,
         signals: SignalService,
     ) -> None:
         """Start with a fresh retry budget."""
         self._limits = limits
         self._signals = signals
-        self._blame = blame
+        self._blame = poison
         self._hub = hub
         self._fleet = fleet
         self._claims = claims
