--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -97,9 +97,9 @@
 
 
 @when("an answer names the era {told}")
-def names_era(context: Any, era: str) -> None:
+def names_era(context: Any, told: str) -> None:
     """Set the era of the next responses."""
-    context.era_store.era = None if era == "none" else era
+    context.era_store.era = None if told == "none" else told
 
 
 @then("it counts as no answer, and the era stays 3")
