--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -332,7 +332,7 @@
         """Grant in order of rank until a request has to wait."""
         if self._paused:
             self._resume(now)
-        for rank, queue in self._queues.queues_by_rank():
+        for rank, queue in self._queues.by_rank():
             while len(queue) and self._grant_next(queue, now):
                 pass
             if len(queue):
--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -45,7 +45,7 @@
             (rank for rank, queue in self._queues.items() if len(queue)), default=AFTER_ALL_RANKS
         )
 
-    def queues_by_rank(self) -> Iterator[tuple[int, FairQueue]]:
+    def by_rank(self) -> Iterator[tuple[int, FairQueue]]:
         """Yield the queues, best rank first."""
         for rank in sorted(self._queues):
             yield rank, self._queues[rank]
