--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -35,7 +35,7 @@
 
 SILENCE_TIMEOUT_S: Final = 1.2
 """A running stream without an event for this time resumes at its backup, if it has one."""
-ACCOUNT_TOKENS: Final = 128
+LOAD_UPDATE_TOKENS: Final = 128
 """Tokens after which a run's load is updated: about once a second."""
 
 
@@ -211,7 +211,7 @@
         run.events += events
         run.tokens += events * self._context.placement.engine.event_tokens
         self._state.lengths.record_progress(self._context.request, before, run.tokens)
-        if before == 0 or before // ACCOUNT_TOKENS != run.tokens // ACCOUNT_TOKENS:
+        if before == 0 or before // LOAD_UPDATE_TOKENS != run.tokens // LOAD_UPDATE_TOKENS:
             self._state.record_run_load(run)
 
     def _complete(self, run: StreamRun) -> bool:
