--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -69,7 +69,7 @@
         """Start with a fresh retry budget."""
         self._limits = limits
         self._signals = signals
-        self._blame = poison
+        self._poison = poison
         self._hub = hub
         self._fleet = fleet
         self._claims = claims
@@ -144,7 +144,7 @@
             done = self._send(runner, context)
             if done.answer is not None and done.answer.status != HTTP_NOT_RUN:
                 if done.answer.status < HTTP_FAILED:
-                    self._blame.record_success(request_fingerprint(context))
+                    self._poison.record_success(request_fingerprint(context))
                 return done.answer
             # A published 503 of these services says that the call was not run.
             maybe_ran = maybe_ran or (done.sent and done.answer is None)
@@ -154,7 +154,7 @@
                 break
             if (
                 done.broke
-                and self._blame.refusal(request_fingerprint(context), Ran.UNKNOWN) is not None
+                and self._poison.refusal(request_fingerprint(context), Ran.UNKNOWN) is not None
             ):
                 break
         ran = Ran.UNKNOWN if maybe_ran else Ran.NOT_RUN
@@ -210,7 +210,7 @@
             return _Try(answer, True, f"the runner answered {answer.status}")
         except UpstreamError as fault:
             if fault.sent:
-                self._blame.broke(runner, request_fingerprint(context), under_way=False)
+                self._poison.broke(runner, request_fingerprint(context), under_way=False)
             else:
                 self._fleet.failed(runner_id)
             return _Try(None, fault.sent, str(fault), broke=fault.sent)
