--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -15,7 +15,7 @@
 RENEW_S: Final = 2.0
 WIRE_MARGIN_S: Final = 1.0
 MAX_ORDER_S: Final = 3.0
-LOADS_PER_PERIOD: Final = 2
+MAX_LOADS_PER_PERIOD: Final = 2
 """Maximum loads ordered at once, since the weights store is rate-limited."""
 
 
@@ -175,7 +175,7 @@
         """Order the wanted models that are not loaded, at most LOADS_PER_PERIOD at a time."""
         orders: list[PlacementAction] = []
         for target in wanted:
-            if target.wanted == target.loaded or len(orders) >= LOADS_PER_PERIOD:
+            if target.wanted == target.loaded or len(orders) >= MAX_LOADS_PER_PERIOD:
                 continue
             if not target.checks_fences and now < self._unfenced_from:
                 continue
