--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -63,7 +63,7 @@
         detail = f"{len(verdict.upstream_ids)} runners have crashed under this request"
         return Problem(CODE_CRASHES_RUNNERS, 503, detail, ran, verdict.wait_s)
 
-    def broke(self, runner: Runner, fingerprint: str, *, under_way: bool) -> None:
+    def handle_broken_run(self, runner: Runner, fingerprint: str, *, under_way: bool) -> None:
         """Find out whether a run broke off because its runner has crashed.
 
         The first look is waited for: a further send is to know of it. It takes a millisecond where
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -277,7 +277,7 @@
             return False
         made_s = self._hub.now() - self._opened_at
         under_way = self._machine.produced > 0 and made_s >= UNDER_WAY_S
-        self._service.poison.broke(runner, self.fingerprint, under_way=under_way)
+        self._service.poison.handle_broken_run(runner, self.fingerprint, under_way=under_way)
         return self._service.poison.refusal(self.fingerprint, Ran.UNKNOWN) is not None
 
     def _drop_stream(self) -> None:
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -210,7 +210,9 @@
             return _Try(answer, True, f"the runner answered {answer.status}")
         except UpstreamError as fault:
             if fault.sent:
-                self._poison.broke(runner, request_fingerprint(context), under_way=False)
+                self._poison.handle_broken_run(
+                    runner, request_fingerprint(context), under_way=False
+                )
             else:
                 self._fleet.failed(runner_id)
             return _Try(None, fault.sent, str(fault), broke=fault.sent)
