--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -30,7 +30,7 @@
 """Maximum wait for an owner's answer: a hop between zones takes a few milliseconds."""
 NO_ANSWER_BACKOFF_S: Final = 0.5
 """Time for which no permit is requested for an upstream whose owner has not answered."""
-MS: Final = 1000
+MS_PER_S: Final = 1000
 
 
 class PermitCoordinator:
@@ -72,7 +72,7 @@
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
         self._waiting[number] = answer
-        max_wait_ms = int(need.most_wait_s * MS)
+        max_wait_ms = int(need.most_wait_s * MS_PER_S)
         asked = PermitAsked(self._own_id, number, limit, max_wait_ms, need.rank, need.under_way)
         try:
             self._send(owner_id, asked)
@@ -87,7 +87,9 @@
                 asked=number,
             )
             return Denial(NO_ANSWER_BACKOFF_S)
-        return Permit(given.wait_ms / MS) if given.allowed else Denial(given.wait_ms / MS)
+        return (
+            Permit(given.wait_ms / MS_PER_S) if given.allowed else Denial(given.wait_ms / MS_PER_S)
+        )
 
     def charge(self, limit: RateLimit) -> None:
         """Charge a call that was sent without a permit to an upstream's limit."""
@@ -108,11 +110,11 @@
     def handle_request(self, asked: PermitAsked) -> None:
         """Answer a permit request of another instance."""
         self._limits.record_peer_limits((asked.limit,))
-        need = SendNeed(asked.most_wait_ms / MS, asked.rank, asked.under_way)
+        need = SendNeed(asked.most_wait_ms / MS_PER_S, asked.rank, asked.under_way)
         verdict = self._decide(asked.limit.upstream_id, need)
         allowed = isinstance(verdict, Permit)
         wait_s = verdict.wait_s if isinstance(verdict, Permit) else verdict.retry_in_s
-        given = PermitGiven(self._own_id, asked.number, allowed, int(wait_s * MS))
+        given = PermitGiven(self._own_id, asked.number, allowed, int(wait_s * MS_PER_S))
         self._send(asked.sender, given)
 
     def handle_answer(self, given: PermitGiven) -> None:
