--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -12,13 +12,13 @@
 from driftstall.gateway.model import Headers
 
 MIN_RETRY_S: Final = 0.01
-CLOSE: Final = b"Connection: close"
+CLOSE_HEADER: Final = b"Connection: close"
 KEEP_ALIVE_HEADER: Final = b"Connection: keep-alive"
 
 
 def encode_response(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
     """Return the bytes of a whole response."""
-    extra = (b"Content-Length: %d" % len(body), KEEP_ALIVE_HEADER if keep else CLOSE)
+    extra = (b"Content-Length: %d" % len(body), KEEP_ALIVE_HEADER if keep else CLOSE_HEADER)
     return encode_head(status, headers, extra) + body
 
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -24,7 +24,12 @@
 )
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.outcomes import Outcome
-from driftstall.gateway.responses import CLOSE, KEEP_ALIVE_HEADER, encode_problem, encode_response
+from driftstall.gateway.responses import (
+    CLOSE_HEADER,
+    KEEP_ALIVE_HEADER,
+    encode_problem,
+    encode_response,
+)
 from driftstall.gateway.runs import StreamRun
 from driftstall.gateway.sending import OpenedResponse
 from driftstall.gateway.state import GatewayState
@@ -128,7 +133,7 @@
 
     def _send_head(self, opened: OpenedResponse) -> bool:
         """Send the response head to the caller."""
-        extra = (b"Transfer-Encoding: chunked", KEEP_ALIVE_HEADER if self._keep else CLOSE)
+        extra = (b"Transfer-Encoding: chunked", KEEP_ALIVE_HEADER if self._keep else CLOSE_HEADER)
         self._head_sent = True
         return self._connection.write(
             encode_head(opened.head.status, opened.marks.forwarded_headers, extra)
