--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -119,7 +119,7 @@
         result = run_chain(self._chain(), context)
         if isinstance(result, Problem):
             return self._fail(start, result)
-        refusal = self._node.poison.refusal(request_fingerprint(result), Ran.NOT_RUN)
+        refusal = self._node.poison.build_refusal(request_fingerprint(result), Ran.NOT_RUN)
         if refusal is not None:
             return self._fail(start, refusal)
         if result.request is not None:
--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -47,7 +47,7 @@
         """Start to exchange with peers."""
         self._sharing.start()
 
-    def refusal(self, fingerprint: str, ran: Ran) -> Problem | None:
+    def build_refusal(self, fingerprint: str, ran: Ran) -> Problem | None:
         """Return the problem to answer with, where a request is to be sent to no runner now."""
         verdict = self.book.verdict(fingerprint, self._hub.now())
         if not verdict.wait_s:
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -278,7 +278,7 @@
         made_s = self._hub.now() - self._opened_at
         under_way = self._machine.produced > 0 and made_s >= UNDER_WAY_S
         self._service.poison.handle_broken_run(runner, self.fingerprint, under_way=under_way)
-        return self._service.poison.refusal(self.fingerprint, Ran.UNKNOWN) is not None
+        return self._service.poison.build_refusal(self.fingerprint, Ran.UNKNOWN) is not None
 
     def _drop_stream(self) -> None:
         """Close the runner's stream."""
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -154,7 +154,8 @@
                 break
             if (
                 done.broke
-                and self._poison.refusal(request_fingerprint(context), Ran.UNKNOWN) is not None
+                and self._poison.build_refusal(request_fingerprint(context), Ran.UNKNOWN)
+                is not None
             ):
                 break
         ran = Ran.UNKNOWN if maybe_ran else Ran.NOT_RUN
