--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -20,7 +20,7 @@
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.tasks import keep_running
 
-PERIOD_S: Final = 0.2
+CHECK_INTERVAL_S: Final = 0.2
 REFRESH_S: Final = 2.0
 """Age from which a replica is refreshed; engines drop an unused one after about five seconds."""
 FAILED_PAUSE_S: Final = 1.0
@@ -51,7 +51,7 @@
     def _run(self) -> None:
         """Copy the runs that need it, one at a time per engine, runs without a replica first."""
         while True:
-            gevent.sleep(PERIOD_S)
+            gevent.sleep(CHECK_INTERVAL_S)
             runs = sorted(self.find_runs_to_copy(), key=lambda run: run.replica is not None)
             for run in runs:
                 if run.upstream.upstream_id not in self._busy:
