--- a/driftstall/controllers/rank_queues.py
+++ b/driftstall/controllers/rank_queues.py
@@ -100,17 +100,17 @@
 
     def forecast(self, request: Request, verdict: Verdict, cost: float, now: float) -> float:
         """Forecast the wait of a new request, in seconds."""
-        promises = self._reservations.setdefault(verdict.rank, QueueReservations())
-        promises.expire(now)
+        reservations = self._reservations.setdefault(verdict.rank, QueueReservations())
+        reservations.expire(now)
         queue = self._queues.setdefault(verdict.rank, FairQueue())
-        if not len(queue) and not promises.cost:
+        if not len(queue) and not reservations.cost:
             return 0.0
         rates = [rate.value(now) for rank, rate in self._rates.items() if rank >= verdict.rank]
-        own = queue.cost_of(request.workspace) + promises.cost_of(request.workspace)
+        own = queue.cost_of(request.workspace) + reservations.cost_of(request.workspace)
         return forecast_wait(
             own=own,
-            total=queue.cost + promises.cost,
-            active=max(queue.active, promises.active),
+            total=queue.cost + reservations.cost,
+            active=max(queue.active, reservations.active),
             cost=cost,
             rate=max(sum(rates), MIN_TOKENS_PER_S),
         )
