--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -125,7 +125,7 @@
 
     def _crashes(self) -> list[dict[str, Any]]:
         """Return the requests that are sent to no runner, as runners have crashed under them."""
-        found = self._node.poison.book.quarantined(self._node.hub.now())
+        found = self._node.poison.tracker.quarantined(self._node.hub.now())
         return [
             {
                 "fingerprint": fingerprint,
--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -31,7 +31,7 @@
         """Start with nothing."""
         self._hub = hub
         self._members = members
-        self.book = PoisonTracker()
+        self.tracker = PoisonTracker()
         others = PeerTransport(
             live=lambda: members.live,
             recipients=lambda: members.live,
@@ -40,7 +40,7 @@
             broadcast=self._broadcast,
         )
         own_id = hub.own.instance_id
-        self._sharing = PoisonSharing(self.book, own_id, others, now=hub.now, source=hub.source)
+        self._sharing = PoisonSharing(self.tracker, own_id, others, now=hub.now, source=hub.source)
         hub.on_message(BlamesTold, self._told)
 
     def start(self) -> None:
@@ -49,7 +49,7 @@
 
     def build_refusal(self, fingerprint: str, ran: Ran) -> Problem | None:
         """Return the problem to answer with, where a request is to be sent to no runner now."""
-        verdict = self.book.verdict(fingerprint, self._hub.now())
+        verdict = self.tracker.verdict(fingerprint, self._hub.now())
         if not verdict.wait_s:
             return None
         log_event(
@@ -77,7 +77,7 @@
 
     def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, or that an operator clears it."""
-        if self.book.record_success(fingerprint, self._hub.now()):
+        if self.tracker.record_success(fingerprint, self._hub.now()):
             self._sharing.publish_soon()
 
     def _look_again(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
@@ -92,11 +92,11 @@
             f"Runner {runner.runner_id} has crashed with a run of this instance",
             fingerprint=fingerprint,
         )
-        if self.book.record_crash(fingerprint, crash):
-            verdict = self.book.verdict(fingerprint, self._hub.now())
+        if self.tracker.record_crash(fingerprint, crash):
+            verdict = self.tracker.verdict(fingerprint, self._hub.now())
             if verdict.wait_s:
                 log_quarantine(fingerprint, verdict)
-            self.book.forget_expired(self._hub.now())
+            self.tracker.forget_expired(self._hub.now())
             self._sharing.publish_soon()
 
     def _told(self, _: str, message: BlamesTold) -> None:
