--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -29,7 +29,7 @@
 
     host: str
     path: str
-    marks: CallerMetadata
+    metadata: CallerMetadata
     started_at: float
     """Arrival time in seconds on the monotonic clock."""
     route: Route | None = None
@@ -44,7 +44,7 @@
 class AdmittedRequest:
     """Hold an admitted request with all that is needed to serve it."""
 
-    marks: CallerMetadata
+    metadata: CallerMetadata
     route: Route
     service: Service
     workspace: str
@@ -89,10 +89,10 @@
             return passed
         assert passed.route is not None and passed.service is not None
         allowed_s = passed.route.timeout_s
-        if passed.marks.deadline_s is not None:
-            allowed_s = min(allowed_s, passed.marks.deadline_s)
+        if passed.metadata.deadline_s is not None:
+            allowed_s = min(allowed_s, passed.metadata.deadline_s)
         return AdmittedRequest(
-            passed.marks,
+            passed.metadata,
             passed.route,
             passed.service,
             passed.workspace,
@@ -117,7 +117,7 @@
         assert passage.route is not None
         if not self._table.has_workspaces:
             return passage
-        workspace = self._table.workspace(passage.marks.key)
+        workspace = self._table.workspace(passage.metadata.key)
         if workspace is None:
             if passage.route.anonymous:
                 return passage
@@ -132,9 +132,9 @@
         facts = Facts(
             kind=passage.route.repeat.value,
             workspace=passage.workspace,
-            model=passage.marks.model,
-            input_tokens=passage.marks.input_tokens,
-            max_tokens=passage.marks.max_tokens,
+            model=passage.metadata.model,
+            input_tokens=passage.metadata.input_tokens,
+            max_tokens=passage.metadata.max_tokens,
             load=self._load(passage.service.name),
             hour=self._hour,
             route_rank=passage.rank,
@@ -151,18 +151,18 @@
 
 def build_request(admitted: AdmittedRequest) -> Request:
     """Return the request in the form that forecasts use."""
-    marks = admitted.marks
+    metadata = admitted.metadata
     prefix = tuple(
         PrefixMark(int(part.digest, 16) if _is_hex(part.digest) else 0, part.tokens)
-        for part in marks.prompt
+        for part in metadata.prompt
     )
     return Request(
-        request_id=marks.request_id,
+        request_id=metadata.request_id,
         workspace=admitted.workspace,
         kind=admitted.route.name,
-        model=marks.model,
-        input_tokens=marks.input_tokens,
-        max_tokens=max(1, marks.max_tokens),
+        model=metadata.model,
+        input_tokens=metadata.input_tokens,
+        max_tokens=max(1, metadata.max_tokens),
         prefix=prefix,
         asked_at=admitted.started_at,
         deadline=admitted.ends_at,
--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -29,7 +29,7 @@
     log_event(
         PREFIX_ROUTING,
         "Request rejected: all upstreams are in back-off",
-        request=admitted.marks.request_id,
+        request=admitted.metadata.request_id,
         service=service,
         upstreams=len(ready),
         first=first.upstream_id,
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -137,7 +137,7 @@
         unlimited = [candidate for candidate in options if not candidate.is_limited]
         if not unlimited:
             ids = [candidate.upstream.upstream_id for candidate in options]
-            request_id = self._admitted.marks.request_id
+            request_id = self._admitted.metadata.request_id
             return self._state.rate_limiting.build_refusal(service, ids, request_id)
         first = min(unlimited, key=lambda candidate: gate.wait_s(candidate.upstream))
         wait_s = gate.wait_s(first.upstream)
@@ -157,7 +157,7 @@
             lambda option: option.upstream.upstream_id,
             lambda remaining: choose_call(remaining, self._state.sampler),
             SendNeed(self._max_wait_s(), self._admitted.verdict.rank),
-            self._admitted.marks.request_id,
+            self._admitted.metadata.request_id,
         )
 
     def _max_wait_s(self) -> float:
@@ -176,8 +176,8 @@
 
     def _try_take_retry(self) -> bool:
         """Take one retry from the shared budget; return False if it is used up."""
-        marks = self._admitted.marks
-        return self._state.try_take_retry(self._admitted.service.name, marks.request_id)
+        metadata = self._admitted.metadata
+        return self._state.try_take_retry(self._admitted.service.name, metadata.request_id)
 
     def _send(self, upstream: Upstream, attempts: _Attempts) -> UpstreamResponse | None:
         """Try one upstream; return the final response, or None to continue with another."""
@@ -195,7 +195,7 @@
             attempts.history.end(result.fate)
             if result.is_broken_off and not self._is_caller_disconnected:
                 run = BrokenRun(
-                    self._admitted.marks.request_id, self._admitted.fingerprint, under_way=False
+                    self._admitted.metadata.request_id, self._admitted.fingerprint, under_way=False
                 )
                 self._state.on_run_broken(upstream, run)
             attempts.failure = result
@@ -214,7 +214,7 @@
 
         With first, no upstream has received the request yet; it is then counted in the budget.
         """
-        request_id = self._admitted.marks.request_id
+        request_id = self._admitted.metadata.request_id
         share = RequestLoad(upstream.upstream_id)
         self._state.loads.set_load(request_id, share)
         self._state.notify_call_load_changed()
@@ -257,8 +257,8 @@
             workspace=self._admitted.workspace,
             rank=self._admitted.verdict.rank if self._admitted.service.engine else None,
         )
-        headers = self._state.dialect.write_request(self._admitted.marks.forwarded_headers, send)
-        self._state.signals.log_send(upstream, self._admitted.marks.request_id)
+        headers = self._state.dialect.write_request(self._admitted.metadata.forwarded_headers, send)
+        self._state.signals.log_send(upstream, self._admitted.metadata.request_id)
         exchange.send(
             self._call.method, self._call.target, headers, self._call.body, self._remaining_s()
         )
@@ -275,15 +275,15 @@
                 if size > MAX_ANSWER_BYTES:
                     raise UpstreamError("the response is too large", sent=True)
             elif isinstance(item, ResponseEnd) and head is not None:
-                marks = self._state.dialect.read_response(head.status, head.headers)
-                if marks.request_id != self._admitted.marks.request_id:
+                metadata = self._state.dialect.read_response(head.status, head.headers)
+                if metadata.request_id != self._admitted.metadata.request_id:
                     # A surplus response to another request; the expected one may still follow.
                     head = None
                     continue
-                if marks.not_run:
+                if metadata.not_run:
                     detail = f"turned away with {head.status}"
                     return SendFailure(Outcome.FULL, SendOutcome.TURNED_AWAY, detail)
-                return UpstreamResponse(head.status, marks.forwarded_headers, b"".join(parts))
+                return UpstreamResponse(head.status, metadata.forwarded_headers, b"".join(parts))
 
     def _remaining_s(self) -> float:
         """Return the seconds that remain until the request's deadline."""
@@ -313,7 +313,7 @@
         log_event(
             PREFIX_ROUTING,
             f"Upstream {upstream.upstream_id} was {outcome.value} for a call",
-            request=self._admitted.marks.request_id,
+            request=self._admitted.metadata.request_id,
             fingerprint=self._admitted.fingerprint,
             route=self._admitted.route.name,
             seconds=round(seconds, 3),
--- a/driftstall/gateway/crash_refusal.py
+++ b/driftstall/gateway/crash_refusal.py
@@ -22,7 +22,7 @@
     log_event(
         PREFIX_ADMISSION,
         "A request is not sent on: upstreams have crashed under it",
-        request=admitted.marks.request_id,
+        request=admitted.metadata.request_id,
         fingerprint=admitted.fingerprint,
         route=admitted.route.name,
         workspace=admitted.workspace,
--- a/driftstall/gateway/drain.py
+++ b/driftstall/gateway/drain.py
@@ -55,8 +55,8 @@
         """Return the expected duration of a request, in seconds."""
         if admitted.route.repeat is not Repeat.STREAM:
             return EXPECTED_CALL_S
-        marks = admitted.marks
-        tokens = self._state.expected_tokens(build_request(admitted), marks.length_hint)
+        metadata = admitted.metadata
+        tokens = self._state.expected_tokens(build_request(admitted), metadata.length_hint)
         return EXPECTED_FIRST_EVENT_S + EXPECTED_TOKEN_S * tokens
 
     @property
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -136,7 +136,7 @@
             detail = "this instance has no configuration yet"
             return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
         try:
-            marks = self._state.dialect.read_request(call.headers)
+            metadata = self._state.dialect.read_request(call.headers)
         except BadHeaders as fault:
             return Problem(CODE_BAD_REQUEST, 400, str(fault), Ran.NOT_RUN)
         admission = Admission(
@@ -146,7 +146,7 @@
             load=self._state.memory_load,
             current=self._current,
         )
-        passage = RequestProgress(call.host, call.path, marks, call.read_at)
+        passage = RequestProgress(call.host, call.path, metadata, call.read_at)
         admitted = admission.admit(passage, self._state.wall())
         if isinstance(admitted, Problem):
             return admitted
@@ -200,7 +200,7 @@
             log_event(
                 PREFIX_RELAY,
                 f"Call answered with {result.status}: {result.detail}",
-                request=admitted.marks.request_id,
+                request=admitted.metadata.request_id,
                 route=admitted.route.name,
                 ran=result.ran.value,
             )
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -142,7 +142,7 @@
         """Ask the zone's placer, or choose locally; return None if no upstream takes requests."""
         asked = PlacementAsked(
             self._state.settings.instance_id,
-            self._admitted.marks.request_id,
+            self._admitted.metadata.request_id,
             self._admitted.service.name,
             need.prompt_tokens,
             need.output_tokens,
@@ -210,7 +210,7 @@
 
     def _expected_tokens(self) -> int:
         """Forecast the length of the output, in tokens."""
-        return self._state.expected_tokens(self._request, self._admitted.marks.length_hint)
+        return self._state.expected_tokens(self._request, self._admitted.metadata.length_hint)
 
     def _log_placed(self, run: StreamRun, placement: Placement) -> None:
         """Log the placement of a stream, with the load that it was based on."""
@@ -235,6 +235,6 @@
             ready=len(self._state.fleet.ready(run.upstream.service)),
             expected=self._expected_tokens(),
             max_tokens=self._request.max_tokens,
-            hint=self._admitted.marks.length_hint,
+            hint=self._admitted.metadata.length_hint,
             revision=run.upstream.revision,
         )
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -97,12 +97,12 @@
     @property
     def request_id(self) -> str:
         """Return the request id given by the caller."""
-        return self.admitted.marks.request_id
+        return self.admitted.metadata.request_id
 
     @property
     def held_tokens(self) -> int:
         """Return the engine memory that the run uses now, in tokens."""
-        return self.admitted.marks.input_tokens + self.tokens
+        return self.admitted.metadata.input_tokens + self.tokens
 
 
 @dataclass(slots=True)
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -21,7 +21,7 @@
     """Hold the head of a response and its decoded metadata."""
 
     head: ResponseHead
-    marks: ResponseMetadata
+    metadata: ResponseMetadata
 
 
 class StreamSender:
@@ -55,13 +55,13 @@
         result = self._exchange(run, copy_of)
         if isinstance(result, UpstreamError):
             self._history.end(SendOutcome.MAY_HAVE_RUN if result.sent else SendOutcome.UNSENT)
-        elif result.marks.not_run:
+        elif result.metadata.not_run:
             self._history.end(SendOutcome.TURNED_AWAY)
         return result
 
     def _exchange(self, run: StreamRun, copy_of: str) -> OpenedResponse | UpstreamError:
         """Open a connection, send the request and read the response head."""
-        marks = SendMetadata(
+        metadata = SendMetadata(
             upstream_name=run.upstream.name,
             remaining_s=self._remaining_s(),
             workspace=self._admitted.workspace,
@@ -79,7 +79,7 @@
                 return UpstreamError("the upstream takes no more requests", sent=False)
             self._state.exchanges.add(run.upstream.upstream_id, run.exchange)
             headers = self._state.dialect.write_request(
-                self._admitted.marks.forwarded_headers, marks
+                self._admitted.metadata.forwarded_headers, metadata
             )
             call = self._call
             self._state.signals.log_send(run.upstream, run.request_id)
@@ -100,7 +100,7 @@
         """Return the id of the event after which the upstream continues; empty for the start."""
         if run.last_event_id:
             return run.last_event_id
-        return self._admitted.marks.last_event_id if self._admitted.route.resumable else ""
+        return self._admitted.metadata.last_event_id if self._admitted.route.resumable else ""
 
     def _read_head(self, exchange: UpstreamExchange) -> OpenedResponse:
         """Read heads until one carries the request's id."""
@@ -108,9 +108,9 @@
             item = exchange.next(max(0.0, self._remaining_s()))
             if not isinstance(item, ResponseHead):
                 continue
-            marks = self._state.dialect.read_response(item.status, item.headers)
-            if marks.request_id == self._admitted.marks.request_id:
-                return OpenedResponse(item, marks)
+            metadata = self._state.dialect.read_response(item.status, item.headers)
+            if metadata.request_id == self._admitted.metadata.request_id:
+                return OpenedResponse(item, metadata)
 
     def _remaining_s(self) -> float:
         """Return the seconds that remain until the request's deadline."""
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -323,14 +323,14 @@
 
     def record_run_load(self, run: StreamRun) -> None:
         """Record a stream's current load and schedule a report to peers."""
-        marks = run.admitted.marks
-        remaining = max(0, self.expected_tokens(run.request, marks.length_hint) - run.tokens)
+        metadata = run.admitted.metadata
+        remaining = max(0, self.expected_tokens(run.request, metadata.length_hint) - run.tokens)
         holder = run.backup or run.replica_target
         has_replica = holder is not None and self.fleet.accepts_requests(holder.upstream_id)
         load = RequestLoad(
             run.upstream.upstream_id,
             run.held_tokens + int(GROWTH_SHARE * remaining),
-            0 if run.events else marks.input_tokens,
+            0 if run.events else metadata.input_tokens,
             holder.upstream_id if holder else "",
             run.held_tokens if run.events and not has_replica else 0,
         )
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -31,7 +31,7 @@
         self.mover = mover
         self.admitted = admitted
         self.request = build_request(admitted)
-        self.request_id = admitted.marks.request_id
+        self.request_id = admitted.metadata.request_id
         self.placement = PlacementChooser(state, call, admitted, self.request)
         self.history = SendHistory(admitted.route.max_runs)
         self.sender = StreamSender(
@@ -70,7 +70,7 @@
 
     def try_take_retry(self, upstream: Upstream) -> bool:
         """Take one retry from the shared budget; return False if it is used up."""
-        return self.state.try_take_retry(upstream.service, self.admitted.marks.request_id)
+        return self.state.try_take_retry(upstream.service, self.admitted.metadata.request_id)
 
     def handle_break(self, run: StreamRun, fault: Exception | None = None) -> None:
         """Report a broken run, so that it is checked whether its upstream has crashed.
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -108,7 +108,7 @@
                 log_event(
                     PREFIX_RELAY,
                     f"Stream not resumed at {upstream.upstream_id}: the upstream is cold",
-                    request=self._context.admitted.marks.request_id,
+                    request=self._context.admitted.metadata.request_id,
                     wait_ms=int(wait_s * 1000),
                 )
                 return False
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -127,7 +127,7 @@
         self._state.stats.failed += 1
         body = b"".join(parts)
         data = encode_response(
-            opened.head.status, opened.marks.forwarded_headers, body, keep=self._keep
+            opened.head.status, opened.metadata.forwarded_headers, body, keep=self._keep
         )
         return self._connection.write(data) and self._keep
 
@@ -136,7 +136,7 @@
         extra = (b"Transfer-Encoding: chunked", KEEP_ALIVE_HEADER if self._keep else CLOSE_HEADER)
         self._head_sent = True
         return self._connection.write(
-            encode_head(opened.head.status, opened.marks.forwarded_headers, extra)
+            encode_head(opened.head.status, opened.metadata.forwarded_headers, extra)
         )
 
     def _relay_events(self, run: StreamRun) -> Exception | None:
@@ -267,7 +267,7 @@
         log_event(
             PREFIX_RELAY,
             f"Stream request answered with {problem.status}: {problem.detail}",
-            request=self._admitted.marks.request_id,
+            request=self._admitted.metadata.request_id,
             fingerprint=self._admitted.fingerprint,
             route=self._admitted.route.name,
             ran=problem.ran.value,
