--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -21,7 +21,7 @@
 from driftstall.helpers.tasks import keep_running
 
 CHECK_INTERVAL_S: Final = 0.2
-REFRESH_S: Final = 2.0
+REFRESH_AGE_S: Final = 2.0
 """Age from which a replica is refreshed; engines drop an unused one after about five seconds."""
 FAILED_PAUSE_S: Final = 1.0
 """Pause after a copy that failed, for example for lack of room."""
@@ -84,7 +84,7 @@
             if backup is not None and self._state.fleet.accepts_requests(backup.upstream_id):
                 continue
             replica = self._mover.find_replica(run)
-            if replica is None or now - replica.copied_at >= REFRESH_S:
+            if replica is None or now - replica.copied_at >= REFRESH_AGE_S:
                 found.append(run)
         return found
 
