--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -20,8 +20,8 @@
 from typing import Final
 
 SLOT_S: Final = 0.3
-"""How long a slot may be used. Any second sees the slots of 1.3 s, so this costs a third of the
-rate."""
+"""How long a slot may be used. The slots of 1.3 s can fall into one second, so this costs a third
+of the rate."""
 INSTANCES_SHARE: Final = 0.8
 """Part of the rate that instances use where no placer places for them; the remainder covers
 requests that were sent before the upstream was known to be cold, and streams that can resume
--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -209,7 +209,7 @@
         self._retry_at: dict[str, float] = {}
 
     def record(self, upstream_id: str, denial: Denial, now: float) -> None:
-        """Take in a denial."""
+        """Record a denial."""
         self._retry_at[upstream_id] = now + denial.retry_in_s
 
     def retry_in_s(self, upstream_id: str, now: float) -> float:
--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -17,8 +17,7 @@
 from typing import Final
 
 MAX_COMPARED_UPSTREAMS: Final = 64
-"""Engines that are compared for one stream; where there are more, this many are sampled at random.
-"""
+"""Engines compared for one stream; where there are more, this many are sampled at random."""
 PLACEMENT_TIMEOUT_S: Final = 0.05
 """How long to wait for an answer: a hop within a zone takes 1.4 ms one way; a stream that waits in
 vain loses a thirtieth of its target of 1.5 s."""
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -331,7 +331,7 @@
     missing = Counter(report.upstream_id for report in reported)
     missing.subtract(Counter(report.upstream_id for report in known))
     found = []
-    # The newest ones are missing: known crashes were seen or reported earlier.
+    # The newest ones are the unknown ones: known crashes were seen or reported earlier.
     for report in sorted(reported, key=lambda report: report.ago_ms):
         if missing[report.upstream_id] > 0 and report.ago_ms <= CRASH_RETENTION_S * 1000:
             missing[report.upstream_id] -= 1
