--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -73,14 +73,14 @@
         if _has_ended(runner):
             self._crashed(runner, fingerprint, Crash(runner.runner_id, at, under_way))
         else:
-            gevent.spawn_later(LOOK_AGAIN_S, self._look_again, runner, fingerprint, at, under_way)
+            gevent.spawn_later(LOOK_AGAIN_S, self._recheck, runner, fingerprint, at, under_way)
 
     def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, or that an operator clears it."""
         if self.tracker.record_success(fingerprint, self._hub.now()):
             self._sharing.publish_soon()
 
-    def _look_again(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
+    def _recheck(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
         """Ask a runner once more that still listened."""
         if _has_ended(runner):
             self._crashed(runner, fingerprint, Crash(runner.runner_id, at, under_way))
