--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -23,7 +23,7 @@
 CHECK_INTERVAL_S: Final = 0.2
 REFRESH_AGE_S: Final = 2.0
 """Age from which a replica is refreshed; engines drop an unused one after about five seconds."""
-FAILED_PAUSE_S: Final = 1.0
+RETRY_DELAY_S: Final = 1.0
 """Pause after a copy that failed, for example for lack of room."""
 DROP_MEMORY: Final = 0.85
 """Memory share of an engine above which replicas on it are dropped."""
@@ -105,7 +105,7 @@
             use = self._state.loads.use(replica.ref.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
                 self._mover.drop_replica(run)
-                self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
+                self._not_before[run.request_id] = self._state.now() + RETRY_DELAY_S
 
     def _copy(self, run: StreamRun) -> None:
         """Copy one run; pause its copies after a failure."""
@@ -116,7 +116,7 @@
             )
             result = self._mover.copy(run, target) if target else None
             if result is None or isinstance(result, MoveFailed):
-                self._not_before[run.request_id] = self._state.now() + FAILED_PAUSE_S
+                self._not_before[run.request_id] = self._state.now() + RETRY_DELAY_S
         finally:
             self._busy.discard(upstream_id)
 
