--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -126,7 +126,9 @@
         if engine is None:
             return 0.0
         return replica_fill_limit(
-            run_memory_share(self._state.options(run.upstream.service, heeds_backoff=False), engine)
+            run_memory_share(
+                self._state.options(run.upstream.service, respects_backoff=False), engine
+            )
         )
 
     def _forget_ended(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -198,7 +198,7 @@
         avoid: frozenset[str] = frozenset(),
         most: int | None = MAX_COMPARED_UPSTREAMS,
         *,
-        heeds_backoff: bool = True,
+        respects_backoff: bool = True,
     ) -> list[Option]:
         """Return the upstreams of a service that may be chosen, with their loads.
 
@@ -207,7 +207,7 @@
         that chooses for a peer and for totals of memory.
         """
         now = self.now()
-        excluded = avoid | self.backoff.active(now) if heeds_backoff else avoid
+        excluded = avoid | self.backoff.active(now) if respects_backoff else avoid
         ready = [
             upstream
             for upstream in self.fleet.ready(service)
@@ -347,7 +347,7 @@
     def _memory_share(self, service: Service) -> float:
         """Return the share of a service's engine memory in use, given that it has engines."""
         assert service.engine is not None
-        options = self.options(service.name, heeds_backoff=False)
+        options = self.options(service.name, respects_backoff=False)
         total = service.engine.memory_tokens * len(options)
         if not total:
             return NO_LOAD
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -105,7 +105,7 @@
         # The placer knows the load of all engines equally well, so it compares all of them.
         sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
         need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
-        options = self._state.options(asked.service, frozenset(asked.avoid), heeds_backoff=False)
+        options = self._state.options(asked.service, frozenset(asked.avoid), respects_backoff=False)
         chosen = choose_stream(
             self._cold_gate.select_open(options), engine, need, asked.zone, sampler
         )
--- a/features/steps/upstream_backoff_steps.py
+++ b/features/steps/upstream_backoff_steps.py
@@ -211,7 +211,7 @@
     """Compare the options."""
     state = world_of(context).state
     own = {one.upstream for one in state.options("engines")}
-    peers = {one.upstream for one in state.options("engines", heeds_backoff=False)}
+    peers = {one.upstream for one in state.options("engines", respects_backoff=False)}
     assert peers - own == {context.backing_off}, (own, peers)
 
 
