--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -71,7 +71,7 @@
         """
         at = self._hub.now()
         if _has_ended(runner):
-            self._crashed(runner, fingerprint, Crash(runner.runner_id, at, under_way))
+            self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
         else:
             gevent.spawn_later(LOOK_AGAIN_S, self._recheck, runner, fingerprint, at, under_way)
 
@@ -83,9 +83,9 @@
     def _recheck(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
         """Ask a runner once more that still listened."""
         if _has_ended(runner):
-            self._crashed(runner, fingerprint, Crash(runner.runner_id, at, under_way))
+            self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
 
-    def _crashed(self, runner: Runner, fingerprint: str, crash: Crash) -> None:
+    def _record_crash(self, runner: Runner, fingerprint: str, crash: Crash) -> None:
         """Hold a crash against a request, and tell peers."""
         log_event(
             PREFIX_ROUTING,
