--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -27,7 +27,7 @@
 """Pause after a copy that failed, for example for lack of room."""
 DROP_MEMORY: Final = 0.85
 """Memory share of an engine above which replicas on it are dropped."""
-NOTICE_S: Final = 2.0
+NOTICE_PAUSE_S: Final = 2.0
 """Time after a leaving notice in which no replicas are made, to keep the links free for the runs
 that must leave."""
 MIN_EVENTS: Final = 6
@@ -63,7 +63,7 @@
     def find_runs_to_copy(self) -> list[StreamRun]:
         """Return the runs that need a copy now: without a backup, and with no recent replica."""
         now = self._state.now()
-        if now - self._state.notice_at < NOTICE_S:
+        if now - self._state.notice_at < NOTICE_PAUSE_S:
             return []
         found: list[StreamRun] = []
         for run in self._state.runs.all:
