--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -196,7 +196,7 @@
         self,
         service: str,
         avoid: frozenset[str] = frozenset(),
-        most: int | None = MAX_COMPARED_UPSTREAMS,
+        max_options: int | None = MAX_COMPARED_UPSTREAMS,
         *,
         respects_backoff: bool = True,
     ) -> list[Option]:
@@ -213,8 +213,8 @@
             for upstream in self.fleet.ready(service)
             if upstream.upstream_id not in excluded
         ]
-        if most is not None and len(ready) > most:
-            sampled = self.rng.sample(ready, most)
+        if max_options is not None and len(ready) > max_options:
+            sampled = self.rng.sample(ready, max_options)
             return [
                 self._option(upstream, self.loads.use(upstream.upstream_id, now), now)
                 for upstream in sampled
