--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -25,7 +25,7 @@
 """Age from which a replica is refreshed; engines drop an unused one after about five seconds."""
 RETRY_DELAY_S: Final = 1.0
 """Pause after a copy that failed, for example for lack of room."""
-DROP_MEMORY: Final = 0.85
+MAX_MEMORY_SHARE: Final = 0.85
 """Memory share of an engine above which replicas on it are dropped."""
 NOTICE_PAUSE_S: Final = 2.0
 """Time after a leaving notice in which no replicas are made, to keep the links free for the runs
@@ -103,7 +103,7 @@
                 # The run's engine is leaving, so the run resumes at this replica soon.
                 continue
             use = self._state.loads.use(replica.ref.upstream.upstream_id, self._state.now())
-            if (use.tokens + use.copies) / engine.memory_tokens > DROP_MEMORY:
+            if (use.tokens + use.copies) / engine.memory_tokens > MAX_MEMORY_SHARE:
                 self._mover.drop_replica(run)
                 self._not_before[run.request_id] = self._state.now() + RETRY_DELAY_S
 
