--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -70,7 +70,7 @@
         nobody listens any more.
         """
         at = self._hub.now()
-        if _has_ended(runner):
+        if _is_terminated(runner):
             self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
         else:
             gevent.spawn_later(LOOK_AGAIN_S, self._recheck, runner, fingerprint, at, under_way)
@@ -82,7 +82,7 @@
 
     def _recheck(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
         """Ask a runner once more that still listened."""
-        if _has_ended(runner):
+        if _is_terminated(runner):
             self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
 
     def _record_crash(self, runner: Runner, fingerprint: str, crash: Crash) -> None:
@@ -120,7 +120,7 @@
     return fingerprint(*(one.encode() for one in head), context.body)
 
 
-def _has_ended(runner: Runner) -> bool:
+def _is_terminated(runner: Runner) -> bool:
     """Tell whether nobody listens at a runner's address any more."""
     try:
         fetch_report(runner)
