--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -147,7 +147,7 @@
             current=self._current,
         )
         passage = RequestProgress(call.host, call.path, metadata, call.read_at)
-        admitted = admission.admit(passage, self._state.wall())
+        admitted = admission.admit(passage, self._state.wall_time_s())
         if isinstance(admitted, Problem):
             return admitted
         return replace(admitted, fingerprint=request_fingerprint(call, admitted.workspace))
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -87,7 +87,7 @@
             settings.zone,
             link_mbps=settings.link_mbps,
         )
-        incarnation = int(state.wall() * MS_PER_S)
+        incarnation = int(state.wall_time_s() * MS_PER_S)
         self._members = MembershipController(self.own, incarnation, state.rng)
         key = settings.peer_key.encode()
         kinds = message_types_of(GatewayMessage)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -117,7 +117,7 @@
         return clock.now()
 
     @staticmethod
-    def wall() -> float:
+    def wall_time_s() -> float:
         """Return the wall-clock time as a Unix timestamp, in seconds."""
         return time.time()
 
