--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -20,7 +20,7 @@
 from driftstall.runners.engine import fetch_report
 from driftstall.util.fingerprint import fingerprint
 
-LOOK_AGAIN_S: Final = 0.15
+RECHECK_DELAY_S: Final = 0.15
 """Pause after which a runner that still listened is asked once more."""
 
 
@@ -73,7 +73,7 @@
         if _is_terminated(runner):
             self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
         else:
-            gevent.spawn_later(LOOK_AGAIN_S, self._recheck, runner, fingerprint, at, under_way)
+            gevent.spawn_later(RECHECK_DELAY_S, self._recheck, runner, fingerprint, at, under_way)
 
     def record_success(self, fingerprint: str) -> None:
         """Take in that a request has ended well, or that an operator clears it."""
