--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -106,7 +106,11 @@
 
 
 def choose_stream(
-    options: Iterable[Option], engine: Engine, need: TokenRequirement, zone: str, sampler: Sampler
+    options: Iterable[Option],
+    engine: Engine,
+    requirement: TokenRequirement,
+    zone: str,
+    sampler: Sampler,
 ) -> Option | None:
     """Select the upstream of a generation.
 
@@ -116,7 +120,7 @@
 
     def cost(option: Option) -> float:
         far = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
-        return _stream_cost(option, engine, need) + far + sampler.jitter()
+        return _stream_cost(option, engine, requirement) + far + sampler.jitter()
 
     known = list(options)
     if sampler.sample_size is None:
@@ -138,16 +142,16 @@
     return sum(option.use.tokens for option in known) / max(1, engine.memory_tokens * len(known))
 
 
-def has_room(option: Option, engine: Engine, need: TokenRequirement) -> bool:
+def has_room(option: Option, engine: Engine, requirement: TokenRequirement) -> bool:
     """Return True if a generation is expected to fit into an engine's memory."""
-    expected = need.prompt_tokens + need.output_tokens // 2
+    expected = requirement.prompt_tokens + requirement.output_tokens // 2
     return _memory(option.use, engine, expected) <= MEMORY_FULL_SHARE
 
 
 def choose_backup(
     options: Iterable[Option],
     engine: Engine,
-    need: TokenRequirement,
+    requirement: TokenRequirement,
     primary: Upstream,
     sampler: Sampler,
 ) -> Option | None:
@@ -160,12 +164,12 @@
         if option.upstream.upstream_id != primary.upstream_id
         and not option.is_ejected
         and not option.cold_s
-        and _memory(option.use, engine, need.total) <= line
+        and _memory(option.use, engine, requirement.total) <= line
     ]
 
     def cost(option: Option) -> float:
         far = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + sampler.jitter()
+        return _memory(option.use, engine, requirement.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
@@ -173,7 +177,7 @@
 def choose_move(
     options: Iterable[Option],
     engine: Engine,
-    need: TokenRequirement,
+    requirement: TokenRequirement,
     primary: Upstream,
     sampler: Sampler,
     *,
@@ -187,21 +191,21 @@
         option
         for option in options
         # Resuming at a replica sends the engine one more request, so a cold engine is excluded.
-        if not option.cold_s and _memory(option.use, engine, need.total) <= max_memory_share
+        if not option.cold_s and _memory(option.use, engine, requirement.total) <= max_memory_share
     ]
 
     def cost(option: Option) -> float:
         far = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, need.total) + far + sampler.jitter()
+        return _memory(option.use, engine, requirement.total) + far + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
-def _stream_cost(option: Option, engine: Engine, need: TokenRequirement) -> float:
+def _stream_cost(option: Option, engine: Engine, requirement: TokenRequirement) -> float:
     """Return the expected delay of a generation on an upstream, roughly in seconds."""
     use = option.use
-    memory = _memory(use, engine, need.total)
-    cost = (use.prefill + need.prompt_tokens) / PREFILL_TOKENS_PER_S
+    memory = _memory(use, engine, requirement.total)
+    cost = (use.prefill + requirement.prompt_tokens) / PREFILL_TOKENS_PER_S
     cost += STREAM_PENALTY * use.running / max(1, engine.slots)
     cost += MEMORY_PENALTY * memory * memory
     if memory > MEMORY_FULL_SHARE:
