--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -119,7 +119,7 @@
             return passage
         workspace = self._table.workspace(passage.metadata.key)
         if workspace is None:
-            if passage.route.anonymous:
+            if passage.route.allows_anonymous:
                 return passage
             detail = "the workspace key is not known"
             return self._unless_outdated(Problem(CODE_UNAUTHENTICATED, 401, detail, Ran.NOT_RUN))
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -50,7 +50,7 @@
     split: tuple[SplitPart, ...]
     max_upstreams: int
     """Maximum number of upstreams that one request may run on."""
-    anonymous: bool
+    allows_anonymous: bool
     """Whether requests need no workspace key."""
     resumable: bool
     """Whether a caller may resume a stream after its last event id."""
--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -185,7 +185,7 @@
         rank=int(one.get("priority") or 0),
         split=split,
         max_upstreams=max(1, int(one.get("maxAttempts") or 1)),
-        anonymous=bool(one.get("allowAnonymous")),
+        allows_anonymous=bool(one.get("allowAnonymous")),
         resumable=bool(one.get("streamResume")),
         gap_s=float(one.get("gap_aim_ms") or 0) / 1000,
     )
