--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -221,7 +221,7 @@
         if ticket:
             request = fresh_wait(request, asked_at)
         payload = dict(context.payload or {})
-        relay = self._node.relay.begin(
+        relay = self._node.relay.start_relay(
             request, context.verdict, payload, ticket, _caller_check(environ[ENVIRON_SOCKET])
         )
         relay.fingerprint = request_fingerprint(context)
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -114,7 +114,7 @@
         self.asking = asking
         self.budget = RetryBudget()
 
-    def begin(
+    def start_relay(
         self,
         request: Request,
         verdict: Verdict,
