--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -125,15 +125,15 @@
     known = list(options)
     if sampler.sample_size is None:
         return _least(known, cost, sampler)
-    near = _least([option for option in known if option.upstream.zone == zone], cost, sampler)
-    if near is not None and not near.is_ejected and cost(near) <= MAX_LOCAL_COST:
-        return near
+    local = _least([option for option in known if option.upstream.zone == zone], cost, sampler)
+    if local is not None and not local.is_ejected and cost(local) <= MAX_LOCAL_COST:
+        return local
     far = _least([option for option in known if option.upstream.zone != zone], cost, sampler)
-    if near is None or far is None:
-        return near or far
-    if near.is_ejected != far.is_ejected:
-        return far if near.is_ejected else near
-    return near if cost(near) <= cost(far) + CROSS_ZONE_STREAM_PENALTY else far
+    if local is None or far is None:
+        return local or far
+    if local.is_ejected != far.is_ejected:
+        return far if local.is_ejected else local
+    return local if cost(local) <= cost(far) + CROSS_ZONE_STREAM_PENALTY else far
 
 
 def run_memory_share(options: Iterable[Option], engine: Engine) -> float:
