--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -52,7 +52,7 @@
     """Maximum number of upstreams that one request may run on."""
     allows_anonymous: bool
     """Whether requests need no workspace key."""
-    resumable: bool
+    is_resumable: bool
     """Whether a caller may resume a stream after its last event id."""
     gap_s: float
     """Target for the longest pause between events of a stream; zero if not a stream."""
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -100,7 +100,7 @@
         """Return the id of the event after which the upstream continues; empty for the start."""
         if run.last_event_id:
             return run.last_event_id
-        return self._admitted.metadata.last_event_id if self._admitted.route.resumable else ""
+        return self._admitted.metadata.last_event_id if self._admitted.route.is_resumable else ""
 
     def _read_head(self, exchange: UpstreamExchange) -> OpenedResponse:
         """Read heads until one carries the request's id."""
--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -186,7 +186,7 @@
         split=split,
         max_upstreams=max(1, int(one.get("maxAttempts") or 1)),
         allows_anonymous=bool(one.get("allowAnonymous")),
-        resumable=bool(one.get("streamResume")),
+        is_resumable=bool(one.get("streamResume")),
         gap_s=float(one.get("gap_aim_ms") or 0) / 1000,
     )
 
