--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -204,7 +204,7 @@
             return self._fail(start, Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN))
         deadline = checked.now + self._hub.settings.default_deadline
         request = taken_up_request(checked.workspace, checked.request_id, checked.now, deadline)
-        relay = self._node.relay.take_up(
+        relay = self._node.relay.resume_relay(
             request, DEFAULT_VERDICT, place, _caller_check(environ[ENVIRON_SOCKET])
         )
         return self._stream(relay, request, start)
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -129,7 +129,7 @@
         relay.first = Started()
         return relay
 
-    def take_up(
+    def resume_relay(
         self,
         request: Request,
         verdict: Verdict,
