--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -119,8 +119,8 @@
     """
 
     def cost(option: Option) -> float:
-        far = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
-        return _stream_cost(option, engine, requirement) + far + sampler.jitter()
+        remote = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
+        return _stream_cost(option, engine, requirement) + remote + sampler.jitter()
 
     known = list(options)
     if sampler.sample_size is None:
@@ -128,12 +128,12 @@
     local = _least([option for option in known if option.upstream.zone == zone], cost, sampler)
     if local is not None and not local.is_ejected and cost(local) <= MAX_LOCAL_COST:
         return local
-    far = _least([option for option in known if option.upstream.zone != zone], cost, sampler)
-    if local is None or far is None:
-        return local or far
-    if local.is_ejected != far.is_ejected:
-        return far if local.is_ejected else local
-    return local if cost(local) <= cost(far) + CROSS_ZONE_STREAM_PENALTY else far
+    remote = _least([option for option in known if option.upstream.zone != zone], cost, sampler)
+    if local is None or remote is None:
+        return local or remote
+    if local.is_ejected != remote.is_ejected:
+        return remote if local.is_ejected else local
+    return local if cost(local) <= cost(remote) + CROSS_ZONE_STREAM_PENALTY else remote
 
 
 def run_memory_share(options: Iterable[Option], engine: Engine) -> float:
@@ -168,8 +168,8 @@
     ]
 
     def cost(option: Option) -> float:
-        far = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, requirement.total) + far + sampler.jitter()
+        remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
+        return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
@@ -195,8 +195,8 @@
     ]
 
     def cost(option: Option) -> float:
-        far = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, requirement.total) + far + sampler.jitter()
+        remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
+        return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
     return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
