--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -280,7 +280,7 @@
                     # A surplus response to another request; the expected one may still follow.
                     head = None
                     continue
-                if metadata.not_run:
+                if metadata.is_not_executed:
                     detail = f"turned away with {head.status}"
                     return SendFailure(Outcome.FULL, SendOutcome.TURNED_AWAY, detail)
                 return UpstreamResponse(head.status, metadata.forwarded_headers, b"".join(parts))
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -231,7 +231,7 @@
     """Hold the metadata in the headers of an upstream's response."""
 
     request_id: str
-    not_run: bool
+    is_not_executed: bool
     """Whether the upstream reports that it did not execute the request."""
     load: UpstreamLoad | None
     signals: tuple[Signal, ...]
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -55,7 +55,7 @@
         result = self._exchange(run, copy_of)
         if isinstance(result, UpstreamError):
             self._history.end(SendOutcome.MAY_HAVE_RUN if result.sent else SendOutcome.UNSENT)
-        elif result.metadata.not_run:
+        elif result.metadata.is_not_executed:
             self._history.end(SendOutcome.TURNED_AWAY)
         return result
 
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -86,7 +86,7 @@
         context = self._context
         result = context.send(run)
         if isinstance(result, OpenedResponse):
-            if not result.metadata.not_run:
+            if not result.metadata.is_not_executed:
                 return result
             attempts.detail = f"turned away with {result.head.status}"
             context.record_outcome(run, Outcome.FULL)
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -88,7 +88,7 @@
     dropped = names.CONNECTION_HEADERS | listed | FOR_US
     return ResponseMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
-        not_run=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
+        is_not_executed=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
         load=_load(first.get(names.HEADER_LOAD, b"")),
         signals=read_signals(status, first),
         keep_alive_s=None if CLOSES in listed else _keep_alive(first.get(b"keep-alive", b"")),
