--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -115,7 +115,7 @@
         if context.path == PATH_LOCATE:
             return self._locate(context, environ, start)
         if context.path == PATH_CHAT and HEADER_LAST_EVENT_ID.lower() in context.headers:
-            return self._take_up(context, environ, start)
+            return self._resume_generation(context, environ, start)
         result = run_chain(self._chain(), context)
         if isinstance(result, Problem):
             return self._fail(start, result)
@@ -190,7 +190,7 @@
         keep_s = self._hub.settings.locate_keep
         return send_json(start, 200, {"instances": instances, "keep_s": keep_s})
 
-    def _take_up(
+    def _resume_generation(
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
         """Go on with a generation from a resume token."""
