--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -171,7 +171,7 @@
         remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _least(_prefer_zone(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def choose_move(
@@ -198,7 +198,7 @@
         remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_near_first(_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _least(_prefer_zone(_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def _stream_cost(option: Option, engine: Engine, requirement: TokenRequirement) -> float:
@@ -226,7 +226,7 @@
     return [option for option in options if not option.is_limited] or options
 
 
-def _near_first(options: list[Option], zone: str, sampler: Sampler) -> list[Option]:
+def _prefer_zone(options: list[Option], zone: str, sampler: Sampler) -> list[Option]:
     """Return the options of a zone if there are any; return all when all are compared anyway."""
     if sampler.sample_size is None:
         return options
