--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -233,7 +233,7 @@
                 return SendFailure(Outcome.NOT_SENT, SendOutcome.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
             if first:
-                self._state.budget(upstream.service).record_request(self._state.now())
+                self._state.retry_budget(upstream.service).record_request(self._state.now())
             return self._read_answer(upstream, exchange)
         except UpstreamError as fault:
             return SendFailure(
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -169,7 +169,7 @@
         self._peers[report.sender] = _ReceivedReport(report, now)
         self._state.loads.record_peer(report.sender, report.uses, now)
         for count in report.repeats:
-            self._state.budget(count.service).record_peer(report.sender, count, now)
+            self._state.retry_budget(count.service).record_peer(report.sender, count, now)
         return not report.platform_ok and (before is None or before.report.platform_ok)
 
     def record_zone_summary(self, summary: ZoneSummary) -> None:
@@ -179,7 +179,7 @@
         self._zones[summary.zone] = _ReceivedZoneSummary(summary, now)
         self._state.loads.record_peer(name, summary.uses, now)
         for count in summary.repeats:
-            budget = self._state.budget(count.service)
+            budget = self._state.retry_budget(count.service)
             budget.record_peer(name, count, now, instances=summary.instances)
 
     def record_fleet_summary(self, summary: FleetSummary) -> None:
@@ -196,7 +196,7 @@
         self._state.loads.record_peer(FLEET_KEY, uses, now)
         others = max(1, summary.instances - 1)
         for count in repeats:
-            budget = self._state.budget(count.service)
+            budget = self._state.retry_budget(count.service)
             budget.record_peer(FLEET_KEY, count, now, instances=others)
 
     def discard_reports(self) -> None:
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -137,7 +137,7 @@
         if self.is_configured:
             self.configured.set()
 
-    def budget(self, service: str) -> SharedRetryBudget:
+    def retry_budget(self, service: str) -> SharedRetryBudget:
         """Return the retry budget of a service."""
         found = self._budgets.get(service)
         if found is None:
@@ -170,7 +170,7 @@
     def try_take_retry(self, service: str, request_id: str) -> bool:
         """Take one retry from the shared budget; return False and log why if it is used up."""
         now = self.now()
-        budget = self.budget(service)
+        budget = self.retry_budget(service)
         if budget.try_take(now):
             self.stats.repeats += 1
             return True
