--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -126,7 +126,7 @@
         machine = RelayMachine(request.request_id, self.budget)
         relay = Relay(self, machine, request, verdict, payload, is_caller_waiting)
         relay.ticket = ticket
-        relay.first = Started()
+        relay.first_event = Started()
         return relay
 
     def resume_relay(
@@ -139,7 +139,7 @@
         """Return the relay that goes on with a generation from a resume token."""
         machine = RelayMachine(request.request_id, self.budget)
         relay = Relay(self, machine, request, verdict, {}, is_caller_waiting)
-        relay.first = place
+        relay.first_event = place
         return relay
 
 
@@ -173,12 +173,12 @@
         self.ticket = ""
         self.fingerprint = ""
         """Stands for what is asked; empty where that is not known, as for a resume token."""
-        self.first: RelayEvent = Started()
+        self.first_event: RelayEvent = Started()
 
     def __iter__(self) -> Iterator[RelayItem]:
         """Yield tokens as they come, then one end."""
         try:
-            self._feed(self.first)
+            self._feed(self.first_event)
             yield from self._drain()
             while not self._machine.is_done:
                 yield from self._pump()
