--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -171,7 +171,7 @@
         remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_prefer_zone(_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _least(_prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def choose_move(
@@ -198,7 +198,7 @@
         remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_prefer_zone(_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _least(_prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler)
 
 
 def _stream_cost(option: Option, engine: Engine, requirement: TokenRequirement) -> float:
@@ -218,7 +218,7 @@
     return (use.tokens + use.copies + added) / max(1, engine.memory_tokens)
 
 
-def _unlimited(options: list[Option]) -> list[Option]:
+def _prefer_unlimited(options: list[Option]) -> list[Option]:
     """Return the options without a rate limit, or all options if each has one.
 
     Resuming at a replica is a send, which counts against a rate limit.
