--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -138,7 +138,7 @@
     def report_now(self) -> None:
         """Send a report at once, to all instances or to the zone's collectors."""
         self._reported_at = self._state.now()
-        uses, repeats = self._state.loads.own, self._state.repeat_counts()
+        uses, repeats = self._state.loads.own, self._state.own_retry_counts()
         number = self._own_reports.add(uses, repeats)
         platform_status = self._platform_status()
         report = GatewayReport(
@@ -227,7 +227,7 @@
             self._own_ready()
             + tuple(received.report.sender for received in fresh if received.report.ready),
             self._state.loads.sorted_totals(self._state.now(), pooled=False),
-            sum_by_service([*self._reported_repeats(fresh), *self._state.repeat_counts()]),
+            sum_by_service([*self._reported_repeats(fresh), *self._state.own_retry_counts()]),
             self._state.cordons.snapshot,
             self._state.rate_limiting.reports,
             self._state.eras.era,
@@ -237,7 +237,7 @@
     def _fleet_summary(self) -> FleetSummary:
         """Aggregate the reports of all instances and the versions of the platform's data."""
         fresh, zones = self._fresh_reports(), self._fresh_zones()
-        counts = [*self._reported_repeats(fresh), *self._state.repeat_counts()]
+        counts = [*self._reported_repeats(fresh), *self._state.own_retry_counts()]
         counts += [count for zone in zones for count in zone.repeats]
         ready = self.ready_peers() or set()
         platform_status = self._platform_status()
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -187,7 +187,7 @@
         )
         return False
 
-    def repeat_counts(self) -> tuple[RepeatCount, ...]:
+    def own_retry_counts(self) -> tuple[RepeatCount, ...]:
         """Return this instance's own requests and retries per service, for its reports."""
         now = self.now()
         return tuple(budget.count(now) for budget in self._budgets.values())
