--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -184,9 +184,9 @@
                 yield from self._pump()
                 yield from self._drain()
         finally:
-            self._leave()
+            self._clean_up()
 
-    def _leave(self) -> None:
+    def _clean_up(self) -> None:
         """Free everything if the caller vanished."""
         if not self._machine.is_done:
             self._caller_left()
