--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -102,7 +102,7 @@
         busy = (option.use.running + 1) / max(1, option.upstream.slots)
         return busy * (1 + option.penalty) + option.penalty + sampler.jitter()
 
-    return _least(options, cost, sampler)
+    return _select_cheapest(options, cost, sampler)
 
 
 def choose_stream(
@@ -124,11 +124,15 @@
 
     known = list(options)
     if sampler.sample_size is None:
-        return _least(known, cost, sampler)
-    local = _least([option for option in known if option.upstream.zone == zone], cost, sampler)
+        return _select_cheapest(known, cost, sampler)
+    local = _select_cheapest(
+        [option for option in known if option.upstream.zone == zone], cost, sampler
+    )
     if local is not None and not local.is_ejected and cost(local) <= MAX_LOCAL_COST:
         return local
-    remote = _least([option for option in known if option.upstream.zone != zone], cost, sampler)
+    remote = _select_cheapest(
+        [option for option in known if option.upstream.zone != zone], cost, sampler
+    )
     if local is None or remote is None:
         return local or remote
     if local.is_ejected != remote.is_ejected:
@@ -171,7 +175,9 @@
         remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _select_cheapest(
+        _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
+    )
 
 
 def choose_move(
@@ -198,7 +204,9 @@
         remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
         return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
 
-    return _least(_prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler)
+    return _select_cheapest(
+        _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
+    )
 
 
 def _stream_cost(option: Option, engine: Engine, requirement: TokenRequirement) -> float:
@@ -233,7 +241,7 @@
     return [option for option in options if option.upstream.zone == zone] or options
 
 
-def _least(
+def _select_cheapest(
     options: Iterable[Option], cost: Callable[[Option], float], sampler: Sampler
 ) -> Option | None:
     """Return the sampled option of least cost; an ejected one only if all are ejected."""
