--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -108,7 +108,7 @@
         """Called with the fingerprint of a request that is no longer quarantined."""
         self.sampler = Sampler(self.rng)
         self._started_at = self.now()
-        self.cold_gate = ColdGate(self.cold, self.rng, self._cold_part, lambda: self.now())
+        self.cold_gate = ColdGate(self.cold, self.rng, self._cold_rate_part, lambda: self.now())
         self._budgets: dict[str, SharedRetryBudget] = {}
 
     @staticmethod
@@ -304,7 +304,7 @@
         found = self.route_table.service(service) if self.route_table else None
         return found.cold_rate if found else 0.0
 
-    def _cold_part(self, service: str) -> ColdPart | None:
+    def _cold_rate_part(self, service: str) -> ColdPart | None:
         """Return this instance's part of the rate to a cold upstream; None for no bound."""
         rate = self.cold_rate(service)
         if not rate:
