--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -189,10 +189,10 @@
     def _clean_up(self) -> None:
         """Free everything if the caller vanished."""
         if not self._machine.is_done:
-            self._caller_left()
+            self._handle_disconnect()
         self._drop_stream()
 
-    def _caller_left(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Give the request up, since nobody waits for it."""
         self._hub.stats.callers_gone += 1
         log_event(PREFIX_RELAY, f"The caller of request {self._request.request_id} has gone")
@@ -248,7 +248,7 @@
             self._reply = _reply_mark(event.data)
             self._feed(StreamEnded(event.generation, event.total, event.data))
         elif not self._caller_waits():
-            self._caller_left()
+            self._handle_disconnect()
         elif self._service.asking.is_paused(self._machine.grant_id):
             self._moved_at = self._hub.now()
         elif self._hub.now() - self._moved_at >= STALLED_S:
@@ -347,7 +347,7 @@
         elif time.time() > self._request.deadline:
             self._feed(DeadlinePassed())
         else:
-            self._caller_left()
+            self._handle_disconnect()
 
     def _keep_waiting(self) -> bool:
         """Tell whether the caller still waits for a grant."""
