--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -149,7 +149,7 @@
 def has_room(option: Option, engine: Engine, requirement: TokenRequirement) -> bool:
     """Return True if a generation is expected to fit into an engine's memory."""
     expected = requirement.prompt_tokens + requirement.output_tokens // 2
-    return _memory(option.use, engine, expected) <= MEMORY_FULL_SHARE
+    return _memory_share(option.use, engine, expected) <= MEMORY_FULL_SHARE
 
 
 def choose_backup(
@@ -168,12 +168,12 @@
         if option.upstream.upstream_id != primary.upstream_id
         and not option.is_ejected
         and not option.cold_s
-        and _memory(option.use, engine, requirement.total) <= line
+        and _memory_share(option.use, engine, requirement.total) <= line
     ]
 
     def cost(option: Option) -> float:
         remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
+        return _memory_share(option.use, engine, requirement.total) + remote + sampler.jitter()
 
     return _select_cheapest(
         _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
@@ -197,12 +197,13 @@
         option
         for option in options
         # Resuming at a replica sends the engine one more request, so a cold engine is excluded.
-        if not option.cold_s and _memory(option.use, engine, requirement.total) <= max_memory_share
+        if not option.cold_s
+        and _memory_share(option.use, engine, requirement.total) <= max_memory_share
     ]
 
     def cost(option: Option) -> float:
         remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory(option.use, engine, requirement.total) + remote + sampler.jitter()
+        return _memory_share(option.use, engine, requirement.total) + remote + sampler.jitter()
 
     return _select_cheapest(
         _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
@@ -212,7 +213,7 @@
 def _stream_cost(option: Option, engine: Engine, requirement: TokenRequirement) -> float:
     """Return the expected delay of a generation on an upstream, roughly in seconds."""
     use = option.use
-    memory = _memory(use, engine, requirement.total)
+    memory = _memory_share(use, engine, requirement.total)
     cost = (use.prefill + requirement.prompt_tokens) / PREFILL_TOKENS_PER_S
     cost += STREAM_PENALTY * use.running / max(1, engine.slots)
     cost += MEMORY_PENALTY * memory * memory
@@ -221,7 +222,7 @@
     return cost + option.penalty
 
 
-def _memory(use: Use, engine: Engine, added: int) -> float:
+def _memory_share(use: Use, engine: Engine, added: int) -> float:
     """Return the memory share of an engine after a number of tokens is added."""
     return (use.tokens + use.copies + added) / max(1, engine.memory_tokens)
 
