--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -179,10 +179,10 @@
         """Yield tokens as they come, then one end."""
         try:
             self._feed(self.first_event)
-            yield from self._drain()
+            yield from self._take_output()
             while not self._machine.is_done:
                 yield from self._pump()
-                yield from self._drain()
+                yield from self._take_output()
         finally:
             self._clean_up()
 
@@ -198,7 +198,7 @@
         log_event(PREFIX_RELAY, f"The caller of request {self._request.request_id} has gone")
         self._feed(CallerDisconnected())
 
-    def _drain(self) -> Iterator[RelayItem]:
+    def _take_output(self) -> Iterator[RelayItem]:
         """Yield what the actions have put out."""
         out, self._out = self._out, []
         yield from out
