--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -84,21 +84,21 @@
         """Return the admitted request, or a problem; wall is the Unix time in seconds."""
         hour = datetime.fromtimestamp(wall, UTC).hour
         self._hour = hour
-        passed = run_chain(self._filters, passage)
-        if isinstance(passed, Problem):
-            return passed
-        assert passed.route is not None and passed.service is not None
-        allowed_s = passed.route.timeout_s
-        if passed.metadata.deadline_s is not None:
-            allowed_s = min(allowed_s, passed.metadata.deadline_s)
+        result = run_chain(self._filters, passage)
+        if isinstance(result, Problem):
+            return result
+        assert result.route is not None and result.service is not None
+        allowed_s = result.route.timeout_s
+        if result.metadata.deadline_s is not None:
+            allowed_s = min(allowed_s, result.metadata.deadline_s)
         return AdmittedRequest(
-            passed.metadata,
-            passed.route,
-            passed.service,
-            passed.workspace,
-            passed.verdict,
-            passed.started_at,
-            passed.started_at + allowed_s,
+            result.metadata,
+            result.route,
+            result.service,
+            result.workspace,
+            result.verdict,
+            result.started_at,
+            result.started_at + allowed_s,
         )
 
     def _find_route(self, passage: RequestProgress) -> RequestProgress | Problem:
