--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -181,7 +181,7 @@
             self._feed(self.first_event)
             yield from self._take_output()
             while not self._machine.is_done:
-                yield from self._pump()
+                yield from self._read_stream()
                 yield from self._take_output()
         finally:
             self._clean_up()
@@ -203,7 +203,7 @@
         out, self._out = self._out, []
         yield from out
 
-    def _pump(self) -> Iterator[RelayItem]:
+    def _read_stream(self) -> Iterator[RelayItem]:
         """Read the runner's stream until it ends or breaks."""
         stream = self._stream
         if stream is None:
