--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -221,7 +221,7 @@
                     if tokens:
                         yield Tokens(tuple(tokens))
                         tokens = []
-                    self._take(event)
+                    self._handle_engine_event(event)
                     if self._stream is not stream or machine.is_done:
                         # What else arrived belongs to a stream that was given up.
                         return
@@ -238,7 +238,7 @@
         except UpstreamError as fault:
             self._broken(fault)
 
-    def _take(self, event: EngineEvent) -> None:
+    def _handle_engine_event(self, event: EngineEvent) -> None:
         """Take an event that is not simply the next token."""
         if isinstance(event, EngineSignals):
             self._handle_signals(event.signals)
