--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -236,7 +236,7 @@
                     self._feed(DeadlinePassed())
                     return
         except UpstreamError as fault:
-            self._broken(fault)
+            self._handle_stream_failure(fault)
 
     def _handle_engine_event(self, event: EngineEvent) -> None:
         """Take an event that is not simply the next token."""
@@ -259,7 +259,7 @@
         runner_id = self._machine.runner_id
         self._service.signals.handle_response(runner_id, signals, self._opened_at)
 
-    def _broken(self, fault: UpstreamError) -> None:
+    def _handle_stream_failure(self, fault: UpstreamError) -> None:
         """Tell the machine that the stream broke."""
         if isinstance(fault, RunnerRejected):
             self._handle_signals(fault.signals)
@@ -361,13 +361,15 @@
                 raise UpstreamError("the runner is not configured any more", sent=False)
             if self._service.signals.backoff_s(runner.runner_id):
                 # Requested after this instance had asked for the grant.
-                self._broken(UpstreamError("the runner has requested a back-off", sent=False))
+                self._handle_stream_failure(
+                    UpstreamError("the runner has requested a back-off", sent=False)
+                )
                 return
             self._moved_at = self._opened_at = self._hub.now()
             self._stream = open_stream(runner, action.generation, self._payload, action.rank)
         except UpstreamError as fault:
             self._service.fleet.failed(action.runner_id)
-            self._broken(fault)
+            self._handle_stream_failure(fault)
 
     def _resume(self, action: ResumeStream) -> None:
         """Take the generation up again on its runner."""
@@ -391,7 +393,7 @@
             self._stream = resume_stream(runner, action.generation, action.next_index)
         except UpstreamError as fault:
             gevent.sleep(RESUME_PAUSE_S)
-            self._broken(fault)
+            self._handle_stream_failure(fault)
 
 
 def taken_up_request(workspace: str, request_id: str, now: float, deadline: float) -> Request:
