--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -267,10 +267,10 @@
         generation = self._machine.generation
         log_event(PREFIX_RELAY, f"The stream of {generation} broke: {fault}")
         self._drop_stream()
-        barred = fault.sent and self._is_barred()
+        barred = fault.sent and self._check_quarantine()
         self._feed(StreamFailed(generation, fault.sent, gone, str(fault), barred))
 
-    def _is_barred(self) -> bool:
+    def _check_quarantine(self) -> bool:
         """Find out whether the runner has crashed, and whether the request is to go to no other."""
         runner = self._service.fleet.runners.get(self._machine.runner_id)
         if runner is None or not self.fingerprint:
