--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -202,9 +202,9 @@
     ) -> list[Option]:
         """Return the upstreams of a service that may be chosen, with their loads.
 
-        If there are more than `most` (None: no bound), a random sample of that size is returned.
-        Upstreams in back-off are excluded unless `heeds_backoff` is False, which is for a placer
-        that chooses for a peer and for totals of memory.
+        If there are more than `max_options` (None: no bound), a random sample of that size is
+        returned. Upstreams in back-off are excluded unless `respects_backoff` is False, which is
+        for a placer that chooses for a peer and for totals of memory.
         """
         now = self.now()
         excluded = avoid | self.backoff.active(now) if respects_backoff else avoid
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -203,7 +203,7 @@
     """List additional engines."""
     more = tuple(upstream_of(f"more-{index}", 2) for index in range(count))
     context.state.fleet.handle(Listed(more, StoreVersion(2)), context.at)
-    assert len(context.state.options("engines", most=None)) == count
+    assert len(context.state.options("engines", max_options=None)) == count
 
 
 @then(
