--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -167,7 +167,7 @@
         self._reply: PrefixMark | None = None
         self._out: list[RelayItem] = []
         self._grant_ids: set[str] = set()
-        self._moved_at = 0.0
+        self._last_progress_at = 0.0
         self._opened_at = 0.0
         """When the generation was last given to a runner."""
         self.ticket = ""
@@ -226,7 +226,7 @@
                         # What else arrived belongs to a stream that was given up.
                         return
                 if tokens:
-                    self._moved_at = self._hub.now()
+                    self._last_progress_at = self._hub.now()
                     asking.progress(request_id, machine.produced)
                     stats.tokens += len(tokens)
                     yield Tokens(tuple(tokens))
@@ -250,8 +250,8 @@
         elif not self._caller_waits():
             self._handle_disconnect()
         elif self._service.asking.is_paused(self._machine.grant_id):
-            self._moved_at = self._hub.now()
-        elif self._hub.now() - self._moved_at >= STALLED_S:
+            self._last_progress_at = self._hub.now()
+        elif self._hub.now() - self._last_progress_at >= STALLED_S:
             raise UpstreamError("the engine sends no token", sent=True)
 
     def _handle_signals(self, signals: tuple[Signal, ...]) -> None:
@@ -365,7 +365,7 @@
                     UpstreamError("the runner has requested a back-off", sent=False)
                 )
                 return
-            self._moved_at = self._opened_at = self._hub.now()
+            self._last_progress_at = self._opened_at = self._hub.now()
             self._stream = open_stream(runner, action.generation, self._payload, action.rank)
         except UpstreamError as fault:
             self._service.fleet.failed(action.runner_id)
@@ -389,7 +389,7 @@
             return
         gevent.sleep(backoff_s)
         try:
-            self._moved_at = self._hub.now()
+            self._last_progress_at = self._hub.now()
             self._stream = resume_stream(runner, action.generation, action.next_index)
         except UpstreamError as fault:
             gevent.sleep(RESUME_PAUSE_S)
