--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -165,7 +165,7 @@
         self._caller_waits = is_caller_waiting
         self._stream: EngineStream | None = None
         self._reply: PrefixMark | None = None
-        self._out: list[RelayItem] = []
+        self._output: list[RelayItem] = []
         self._grant_ids: set[str] = set()
         self._last_progress_at = 0.0
         self._opened_at = 0.0
@@ -200,7 +200,7 @@
 
     def _take_output(self) -> Iterator[RelayItem]:
         """Yield what the actions have put out."""
-        out, self._out = self._out, []
+        out, self._output = self._output, []
         yield from out
 
     def _read_stream(self) -> Iterator[RelayItem]:
@@ -230,7 +230,7 @@
                     asking.progress(request_id, machine.produced)
                     stats.tokens += len(tokens)
                     yield Tokens(tuple(tokens))
-                if self._out or self._stream is not stream or machine.is_done:
+                if self._output or self._stream is not stream or machine.is_done:
                     return
                 if time.time() > deadline:
                     self._feed(DeadlinePassed())
@@ -311,15 +311,15 @@
             case Deliver():
                 self._hub.stats.tokens += 1
                 token = Token(action.generation, action.index, self._machine.runner_id, action.data)
-                self._out.append(Tokens((token,)))
+                self._output.append(Tokens((token,)))
             case Complete():
                 self._drop_stream()
                 if self.fingerprint:
                     self._service.poison.record_success(self.fingerprint)
-                self._out.append(Whole(action.data))
+                self._output.append(Whole(action.data))
             case Fail():
                 self._drop_stream()
-                self._out.append(Ended(action.problem))
+                self._output.append(Ended(action.problem))
 
     def _ask(self, action: RequestGrant) -> None:
         """Wait for a grant."""
