--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -164,7 +164,7 @@
         self._payload = payload
         self._caller_waits = is_caller_waiting
         self._stream: EngineStream | None = None
-        self._reply: PrefixMark | None = None
+        self._cached_prefix: PrefixMark | None = None
         self._output: list[RelayItem] = []
         self._grant_ids: set[str] = set()
         self._last_progress_at = 0.0
@@ -245,7 +245,7 @@
         elif isinstance(event, EngineToken):
             self._feed(TokenArrived(event.generation, event.position, event.data))
         elif isinstance(event, EngineEnd):
-            self._reply = _reply_mark(event.data)
+            self._cached_prefix = _reply_mark(event.data)
             self._feed(StreamEnded(event.generation, event.total, event.data))
         elif not self._caller_waits():
             self._handle_disconnect()
@@ -306,7 +306,7 @@
                     gevent.spawn(control, runner, action.generation, "cancel")
             case CloseGrant():
                 self._service.asking.close(
-                    action.grant_id, action.produced, action.finished, self._reply
+                    action.grant_id, action.produced, action.finished, self._cached_prefix
                 )
             case Deliver():
                 self._hub.stats.tokens += 1
