--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -245,7 +245,7 @@
         elif isinstance(event, EngineToken):
             self._feed(TokenArrived(event.generation, event.position, event.data))
         elif isinstance(event, EngineEnd):
-            self._cached_prefix = _reply_mark(event.data)
+            self._cached_prefix = _parse_cached_prefix(event.data)
             self._feed(StreamEnded(event.generation, event.total, event.data))
         elif not self._caller_waits():
             self._handle_disconnect()
@@ -406,7 +406,7 @@
     return replace(request, asked_at=min(request.asked_at, asked_at))
 
 
-def _reply_mark(data: bytes) -> PrefixMark | None:
+def _parse_cached_prefix(data: bytes) -> PrefixMark | None:
     """Read the prefix that a follow-up will bring from the last event."""
     try:
         mark = orjson.loads(data).get("cached_prefix")
