--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -295,7 +295,7 @@
         """Carry out one action."""
         match action:
             case RequestGrant():
-                self._ask(action)
+                self._request_grant(action)
             case OpenStream():
                 self._open(action)
             case ResumeStream():
@@ -321,7 +321,7 @@
                 self._drop_stream()
                 self._output.append(Ended(action.problem))
 
-    def _ask(self, action: RequestGrant) -> None:
+    def _request_grant(self, action: RequestGrant) -> None:
         """Wait for a grant."""
         if self._grant_ids:
             self._hub.stats.retries += 1
