--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CrashTold:
+class CrashReport:
     """Report one crash to a peer, by its age as instances share no clock."""
 
     upstream_id: str
@@ -96,7 +96,7 @@
     """Report to a peer the crashes and the latest success of one request."""
 
     fingerprint: str
-    crashes: tuple[CrashTold, ...]
+    crashes: tuple[CrashReport, ...]
     well_ago_ms: int | None
     """Age of its latest success; None if none is known."""
 
@@ -325,7 +325,7 @@
 
 
 def _find_unknown_crashes(
-    known: list[Crash], reported: Iterable[CrashTold], now: float
+    known: list[Crash], reported: Iterable[CrashReport], now: float
 ) -> list[Crash]:
     """Return the crashes that a peer reports beyond those known for each upstream."""
     missing = Counter(report.upstream_id for report in reported)
@@ -342,7 +342,7 @@
 def _build_report(fingerprint: str, record: _Record, now: float) -> BlameTold:
     """Return the report on one request, with ages in place of times."""
     crashes = tuple(
-        CrashTold(crash.upstream_id, _ago_ms(crash.at, now), crash.under_way)
+        CrashReport(crash.upstream_id, _ago_ms(crash.at, now), crash.under_way)
         for crash in record.crashes
     )
     well_ago_ms = None if record.well_at == NEVER else _ago_ms(record.well_at, now)
--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -12,7 +12,7 @@
 import voluptuous as vol
 
 from driftstall.const import PREFIX_CONFIGURATION
-from driftstall.decisions.poison_detection import CRASH_RETENTION_S, BlameTold, CrashTold
+from driftstall.decisions.poison_detection import CRASH_RETENTION_S, BlameTold, CrashReport
 from driftstall.helpers.log import log_event
 from driftstall.platform import checks, names
 from driftstall.platform.store import Store, StoredObject
@@ -88,7 +88,7 @@
         )
         return None
     crashes = (
-        CrashTold(one["upstream"], max(0, now_ms - one["atMs"]), one["underWay"])
+        CrashReport(one["upstream"], max(0, now_ms - one["atMs"]), one["underWay"])
         for one in spec["crashes"]
     )
     young = tuple(one for one in crashes if one.ago_ms <= CRASH_RETENTION_S * MS)
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -12,7 +12,7 @@
     CRASH_RETENTION_S,
     BlameTold,
     Crash,
-    CrashTold,
+    CrashReport,
     PoisonTracker,
     Verdict,
 )
@@ -41,7 +41,7 @@
 ) -> None:
     """Merge a peer's report of crashes; the second one is three seconds older."""
     crashes = tuple(
-        CrashTold(upstream_id, int(ago) * 1000 + 3000 * index, under_way=False)
+        CrashReport(upstream_id, int(ago) * 1000 + 3000 * index, under_way=False)
         for index in range(int(count))
     )
     tracker.merge([BlameTold(ONE, crashes, None)], at)
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -12,7 +12,7 @@
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
-from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, BlameTold, CrashTold
+from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, BlameTold, CrashReport
 from driftstall.gateway import crash_detector
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
@@ -194,7 +194,7 @@
 def tell_crashes(context: Any, ago_s: float = 0.0) -> None:
     """Take in a peer's word of two crashes."""
     state, ago_ms = world_of(context).state, int(ago_s * 1000)
-    crashes = tuple(CrashTold(name, ago_ms, under_way=False) for name in ("e-8", "e-9"))
+    crashes = tuple(CrashReport(name, ago_ms, under_way=False) for name in ("e-8", "e-9"))
     state.poison_tracker.merge([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
 
 
@@ -327,7 +327,7 @@
 @when('a peer tells of two crashes under "/stream/x", and asks nothing')
 def peer_tells(context: Any) -> None:
     """Take its word in by the way messages take."""
-    crashes = tuple(CrashTold(name, 0, under_way=False) for name in ("e-8", "e-9"))
+    crashes = tuple(CrashReport(name, 0, under_way=False) for name in ("e-8", "e-9"))
     told = BlameTold(at_path("/stream/x"), crashes, None)
     sharing_of(context).handle_message(BlamesTold("peer", (told,), asks=False))
 
@@ -358,7 +358,7 @@
     assert arrived.message == message, arrived.message
 
 
-def _crash_told(text: str) -> CrashTold:
+def _crash_told(text: str) -> CrashReport:
     """Read one crash."""
     upstream_id, ago_ms, how = text.split(" ", 2)
-    return CrashTold(upstream_id, int(ago_ms), how == "under way")
+    return CrashReport(upstream_id, int(ago_ms), how == "under way")
