--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -57,7 +57,7 @@
 )
 
 RESUME_PAUSE_S: Final = 0.1
-STALLED_S: Final = 8.0
+STALL_TIMEOUT_S: Final = 8.0
 """An engine that is there but sends no token for so long, unasked, is taken for stalled."""
 EngineStream = Iterator[list[EngineEvent]]
 
@@ -251,7 +251,7 @@
             self._handle_disconnect()
         elif self._service.asking.is_paused(self._machine.grant_id):
             self._last_progress_at = self._hub.now()
-        elif self._hub.now() - self._last_progress_at >= STALLED_S:
+        elif self._hub.now() - self._last_progress_at >= STALL_TIMEOUT_S:
             raise UpstreamError("the engine sends no token", sent=True)
 
     def _handle_signals(self, signals: tuple[Signal, ...]) -> None:
