--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -100,7 +100,7 @@
     """Let an engine pause, and the gateway wait with a copy for less than that."""
     usual = streams.SILENCE_TIMEOUT_S
     streams.SILENCE_TIMEOUT_S = PAUSE_S / 4  # type: ignore[misc]
-    context.add_cleanup(setattr, streams, "SILENCE_S", usual)
+    context.add_cleanup(setattr, streams, "SILENCE_TIMEOUT_S", usual)
     stream_script(context, request_id, Script(event_pause_s=PAUSE_S))
 
 
