--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BlameTold:
+class PoisonReport:
     """Report to a peer the crashes and the latest success of one request."""
 
     fingerprint: str
@@ -203,7 +203,7 @@
         verdicts = {fingerprint: self.verdict(fingerprint, now) for fingerprint in self._records}
         return {fingerprint: verdict for fingerprint, verdict in verdicts.items() if verdict.wait_s}
 
-    def reports(self, now: float) -> tuple[BlameTold, ...]:
+    def reports(self, now: float) -> tuple[PoisonReport, ...]:
         """Return the reports to publish to peers, highest weight first."""
         known = [
             (fingerprint, record)
@@ -214,16 +214,18 @@
         known.sort(key=lambda item: (-item[1].weight, -item[1].changed_at))
         return tuple(_build_report(*item, now) for item in known[:MAX_REPORTS_PER_MESSAGE])
 
-    def report_for(self, fingerprint: str, now: float) -> BlameTold | None:
+    def report_for(self, fingerprint: str, now: float) -> PoisonReport | None:
         """Return the report on one request; None if it is not tracked."""
         record = self._records.get(fingerprint)
         return _build_report(fingerprint, record, now) if record is not None else None
 
-    def merge(self, reports: Iterable[BlameTold], now: float) -> bool:
+    def merge(self, reports: Iterable[PoisonReport], now: float) -> bool:
         """Merge the reports of a peer; return True if any of them is new."""
         return any([self._merge_report(report, now) for report in reports])
 
-    def find_exonerations(self, reports: Iterable[BlameTold], now: float) -> tuple[BlameTold, ...]:
+    def find_exonerations(
+        self, reports: Iterable[PoisonReport], now: float
+    ) -> tuple[PoisonReport, ...]:
         """Return reports with successes that clear requests of crashes a peer reported."""
         found = []
         for report in reports:
@@ -252,7 +254,7 @@
             for crash in record.crashes:
                 self._running_during.setdefault(crash.upstream_id, set()).add(fingerprint)
 
-    def _merge_report(self, report: BlameTold, now: float) -> bool:
+    def _merge_report(self, report: PoisonReport, now: float) -> bool:
         """Merge a peer's report on one request; return True if it changed the record."""
         record = self._records.get(report.fingerprint)
         is_new = record is None
@@ -339,14 +341,14 @@
     return found
 
 
-def _build_report(fingerprint: str, record: _Record, now: float) -> BlameTold:
+def _build_report(fingerprint: str, record: _Record, now: float) -> PoisonReport:
     """Return the report on one request, with ages in place of times."""
     crashes = tuple(
         CrashReport(crash.upstream_id, _ago_ms(crash.at, now), crash.under_way)
         for crash in record.crashes
     )
     well_ago_ms = None if record.well_at == NEVER else _ago_ms(record.well_at, now)
-    return BlameTold(fingerprint, crashes, well_ago_ms)
+    return PoisonReport(fingerprint, crashes, well_ago_ms)
 
 
 def _ago_ms(at: float, now: float) -> int:
--- a/driftstall/gateway/crash_persistence.py
+++ b/driftstall/gateway/crash_persistence.py
@@ -12,7 +12,7 @@
 import gevent
 
 from driftstall.const import PREFIX_ROUTING
-from driftstall.decisions.poison_detection import BlameTold
+from driftstall.decisions.poison_detection import PoisonReport
 from driftstall.exceptions import PlatformUnavailable
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.state import GatewayState
@@ -28,10 +28,10 @@
 class CrashStore(Protocol):
     """Access to the stored evidence; each call may raise PlatformUnavailable."""
 
-    def read(self) -> tuple[BlameTold, ...]:
+    def read(self) -> tuple[PoisonReport, ...]:
         """Return the stored evidence on all requests."""
 
-    def write(self, report: BlameTold) -> None:
+    def write(self, report: PoisonReport) -> None:
         """Store the evidence on one request."""
 
     def remove(self, fingerprint: str) -> None:
--- a/driftstall/helpers/poison_sharing.py
+++ b/driftstall/helpers/poison_sharing.py
@@ -17,7 +17,7 @@
 
 from driftstall.const import PREFIX_ROUTING
 from driftstall.core import Instance
-from driftstall.decisions.poison_detection import BlameTold, PoisonTracker, Verdict
+from driftstall.decisions.poison_detection import PoisonReport, PoisonTracker, Verdict
 from driftstall.helpers.log import log_event
 from driftstall.helpers.tasks import keep_running
 from driftstall.peers.blame_messages import BlamesTold
@@ -133,7 +133,7 @@
     )
 
 
-def _lacks(theirs: Iterable[BlameTold], ours: Iterable[BlameTold]) -> bool:
+def _lacks(theirs: Iterable[PoisonReport], ours: Iterable[PoisonReport]) -> bool:
     """Return True if the own records have a crash or a success that the peer's records lack."""
     known = {
         record.fingerprint: (len(record.crashes), record.well_ago_ms is not None)
--- a/driftstall/peers/blame_messages.py
+++ b/driftstall/peers/blame_messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from driftstall.decisions.poison_detection import BlameTold
+from driftstall.decisions.poison_detection import PoisonReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -12,6 +12,6 @@
     """Report which requests were running on upstreams that crashed."""
 
     sender: str
-    records: tuple[BlameTold, ...]
+    records: tuple[PoisonReport, ...]
     asks: bool
     """True if the peer should answer with the evidence that this message lacks."""
--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -12,7 +12,7 @@
 import voluptuous as vol
 
 from driftstall.const import PREFIX_CONFIGURATION
-from driftstall.decisions.poison_detection import CRASH_RETENTION_S, BlameTold, CrashReport
+from driftstall.decisions.poison_detection import CRASH_RETENTION_S, CrashReport, PoisonReport
 from driftstall.helpers.log import log_event
 from driftstall.platform import checks, names
 from driftstall.platform.store import Store, StoredObject
@@ -44,7 +44,7 @@
         """Take the store."""
         self._store = store
 
-    def read(self) -> tuple[BlameTold, ...]:
+    def read(self) -> tuple[PoisonReport, ...]:
         """Return all that is kept, or raise PlatformUnavailable; what is too old is removed."""
         now_ms = _now_ms()
         found = []
@@ -56,7 +56,7 @@
                 self._store.delete(names.KIND_CRASHES, stored.name)
         return tuple(found)
 
-    def write(self, told: BlameTold) -> None:
+    def write(self, told: PoisonReport) -> None:
         """Write what is known of one request, or raise PlatformUnavailable."""
         now_ms = _now_ms()
         spec = {
@@ -78,7 +78,7 @@
         self._store.delete(names.KIND_CRASHES, fingerprint)
 
 
-def _told(stored: StoredObject, now_ms: int) -> BlameTold | None:
+def _told(stored: StoredObject, now_ms: int) -> PoisonReport | None:
     """Decode one object; None where it can't be read."""
     try:
         spec: dict[str, Any] = _SPEC(stored.spec)
@@ -92,7 +92,7 @@
         for one in spec["crashes"]
     )
     young = tuple(one for one in crashes if one.ago_ms <= CRASH_RETENTION_S * MS)
-    return BlameTold(stored.name, young, None)
+    return PoisonReport(stored.name, young, None)
 
 
 def _now_ms() -> int:
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -10,9 +10,9 @@
 
 from driftstall.decisions.poison_detection import (
     CRASH_RETENTION_S,
-    BlameTold,
     Crash,
     CrashReport,
+    PoisonReport,
     PoisonTracker,
     Verdict,
 )
@@ -44,12 +44,12 @@
         CrashReport(upstream_id, int(ago) * 1000 + 3000 * index, under_way=False)
         for index in range(int(count))
     )
-    tracker.merge([BlameTold(ONE, crashes, None)], at)
+    tracker.merge([PoisonReport(ONE, crashes, None)], at)
 
 
 def _merge_success(tracker: PoisonTracker, at: float, ago: str) -> None:
     """Merge a peer's report of a success."""
-    tracker.merge([BlameTold(ONE, (), int(ago) * 1000)], at)
+    tracker.merge([PoisonReport(ONE, (), int(ago) * 1000)], at)
 
 
 def _record_another(tracker: PoisonTracker, at: float, upstreams: str) -> None:
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -12,7 +12,7 @@
 
 from driftstall.cli.main import main as command
 from driftstall.core import Instance
-from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, BlameTold, CrashReport
+from driftstall.decisions.poison_detection import QUARANTINE_DURATIONS_S, CrashReport, PoisonReport
 from driftstall.gateway import crash_detector
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.ingress import CallerRequest
@@ -188,14 +188,14 @@
 def told_well(context: Any) -> None:
     """Take in a peer's word."""
     state = world_of(context).state
-    state.poison_tracker.merge([BlameTold(at_path("/stream/x"), (), 0)], state.now())
+    state.poison_tracker.merge([PoisonReport(at_path("/stream/x"), (), 0)], state.now())
 
 
 def tell_crashes(context: Any, ago_s: float = 0.0) -> None:
     """Take in a peer's word of two crashes."""
     state, ago_ms = world_of(context).state, int(ago_s * 1000)
     crashes = tuple(CrashReport(name, ago_ms, under_way=False) for name in ("e-8", "e-9"))
-    state.poison_tracker.merge([BlameTold(at_path("/stream/x"), crashes, None)], state.now())
+    state.poison_tracker.merge([PoisonReport(at_path("/stream/x"), crashes, None)], state.now())
 
 
 @given('a peer tells of two crashes under "/stream/x"')
@@ -328,7 +328,7 @@
 def peer_tells(context: Any) -> None:
     """Take its word in by the way messages take."""
     crashes = tuple(CrashReport(name, 0, under_way=False) for name in ("e-8", "e-9"))
-    told = BlameTold(at_path("/stream/x"), crashes, None)
+    told = PoisonReport(at_path("/stream/x"), crashes, None)
     sharing_of(context).handle_message(BlamesTold("peer", (told,), asks=False))
 
 
@@ -345,7 +345,7 @@
 def records_travel(context: Any) -> None:
     """Encode and decode them together."""
     records = tuple(
-        BlameTold(
+        PoisonReport(
             row["fingerprint"],
             tuple(_crash_told(text) for text in row["crashes"].split(", ") if text),
             int(row["well ago ms"]) if row["well ago ms"] else None,
--- a/features/worlds/poison_world.py
+++ b/features/worlds/poison_world.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Final
 
-from driftstall.decisions.poison_detection import UNDER_WAY_S, BlameTold, Crash, PoisonTracker
+from driftstall.decisions.poison_detection import UNDER_WAY_S, Crash, PoisonReport, PoisonTracker
 
 END_S: Final = 60.0
 FATAL_FROM_S: Final = 2.0
@@ -239,7 +239,7 @@
         reports = self._trackers[sender].reports(self._now)
         self._after(HOP_S, lambda: self._receive(receiver, reports))
 
-    def _receive(self, receiver: int, reports: tuple[BlameTold, ...]) -> None:
+    def _receive(self, receiver: int, reports: tuple[PoisonReport, ...]) -> None:
         """Merge the evidence of another instance."""
         self._trackers[receiver].merge(reports, self._now)
 
