--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -56,7 +56,7 @@
     resume_stream,
 )
 
-RESUME_PAUSE_S: Final = 0.1
+RESUME_RETRY_DELAY_S: Final = 0.1
 STALL_TIMEOUT_S: Final = 8.0
 """An engine that is there but sends no token for so long, unasked, is taken for stalled."""
 EngineStream = Iterator[list[EngineEvent]]
@@ -392,7 +392,7 @@
             self._last_progress_at = self._hub.now()
             self._stream = resume_stream(runner, action.generation, action.next_index)
         except UpstreamError as fault:
-            gevent.sleep(RESUME_PAUSE_S)
+            gevent.sleep(RESUME_RETRY_DELAY_S)
             self._handle_stream_failure(fault)
 
 
