--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -33,11 +33,11 @@
 from driftstall.daemon.node import Node
 from driftstall.daemon.poison_service import request_fingerprint
 from driftstall.daemon.relay_service import (
+    Completed,
     Ended,
     Relay,
     RelayItem,
     Tokens,
-    Whole,
     fresh_wait,
     taken_up_request,
 )
@@ -263,7 +263,7 @@
                             for one in item.tokens
                         ]
                     )
-                elif isinstance(item, Whole):
+                elif isinstance(item, Completed):
                     self._hub.stats.completed += 1
                     yield b"data: " + item.data + b"\n\n" + STREAM_END
                 elif isinstance(item, Ended):
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Completed:
     """Tell the caller that the answer is whole."""
 
     data: bytes
@@ -92,7 +92,7 @@
     problem: Problem
 
 
-RelayItem = Tokens | Whole | Ended
+RelayItem = Tokens | Completed | Ended
 
 
 class RelayService:
@@ -316,7 +316,7 @@
                 self._drop_stream()
                 if self.fingerprint:
                     self._service.poison.record_success(self.fingerprint)
-                self._output.append(Whole(action.data))
+                self._output.append(Completed(action.data))
             case Fail():
                 self._drop_stream()
                 self._output.append(Ended(action.problem))
