--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -34,7 +34,7 @@
 from driftstall.daemon.poison_service import request_fingerprint
 from driftstall.daemon.relay_service import (
     Completed,
-    Ended,
+    Failed,
     Relay,
     RelayItem,
     Tokens,
@@ -236,7 +236,7 @@
         self._hub.stats.stall.observe({}, self._hub.wall() - request.asked_at)
         if first is None:
             return
-        if isinstance(first, Ended):
+        if isinstance(first, Failed):
             yield from self._fail(start, first.problem)
             return
         start("200 OK", [("Content-Type", EVENT_STREAM), ("Cache-Control", "no-store")])
@@ -266,7 +266,7 @@
                 elif isinstance(item, Completed):
                     self._hub.stats.completed += 1
                     yield b"data: " + item.data + b"\n\n" + STREAM_END
-                elif isinstance(item, Ended):
+                elif isinstance(item, Failed):
                     self._hub.stats.failed += 1
                     fields = orjson.dumps(problem_fields(item.problem))
                     yield b"event: error\ndata: " + fields + b"\n\n"
@@ -282,7 +282,7 @@
                 if not parts:
                     self._hub.stats.stall.observe({}, self._hub.wall() - request.asked_at)
                 parts += [_content(one.data) for one in item.tokens]
-            elif isinstance(item, Ended):
+            elif isinstance(item, Failed):
                 return self._fail(start, item.problem)
             else:
                 self._hub.stats.completed += 1
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -86,13 +86,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class Failed:
     """Tell the caller why the answer is not whole."""
 
     problem: Problem
 
 
-RelayItem = Tokens | Completed | Ended
+RelayItem = Tokens | Completed | Failed
 
 
 class RelayService:
@@ -319,7 +319,7 @@
                 self._output.append(Completed(action.data))
             case Fail():
                 self._drop_stream()
-                self._output.append(Ended(action.problem))
+                self._output.append(Failed(action.problem))
 
     def _request_grant(self, action: RequestGrant) -> None:
         """Wait for a grant."""
