--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -119,8 +119,8 @@
     """
 
     def cost(option: Option) -> float:
-        remote = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
-        return _stream_cost(option, engine, requirement) + remote + sampler.jitter()
+        zone_penalty = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
+        return _stream_cost(option, engine, requirement) + zone_penalty + sampler.jitter()
 
     known = list(options)
     if sampler.sample_size is None:
@@ -172,8 +172,10 @@
     ]
 
     def cost(option: Option) -> float:
-        remote = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory_share(option.use, engine, requirement.total) + remote + sampler.jitter()
+        zone_penalty = CROSS_ZONE_PENALTY if option.upstream.zone != primary.zone else 0.0
+        return (
+            _memory_share(option.use, engine, requirement.total) + zone_penalty + sampler.jitter()
+        )
 
     return _select_cheapest(
         _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
@@ -202,8 +204,10 @@
     ]
 
     def cost(option: Option) -> float:
-        remote = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
-        return _memory_share(option.use, engine, requirement.total) + remote + sampler.jitter()
+        zone_penalty = CROSS_ZONE_MOVE_PENALTY if option.upstream.zone != primary.zone else 0.0
+        return (
+            _memory_share(option.use, engine, requirement.total) + zone_penalty + sampler.jitter()
+        )
 
     return _select_cheapest(
         _prefer_zone(_prefer_unlimited(fitting), primary.zone, sampler), cost, sampler
