--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -39,7 +39,7 @@
     RelayItem,
     Tokens,
     fresh_wait,
-    taken_up_request,
+    resumed_request,
 )
 from driftstall.decisions.locate import locate
 from driftstall.filters.apply_policy import ApplyPolicy
@@ -203,7 +203,7 @@
             detail = f"{HEADER_LAST_EVENT_ID} is not a token given to this workspace"
             return self._fail(start, Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN))
         deadline = checked.now + self._hub.settings.default_deadline
-        request = taken_up_request(checked.workspace, checked.request_id, checked.now, deadline)
+        request = resumed_request(checked.workspace, checked.request_id, checked.now, deadline)
         relay = self._node.relay.resume_relay(
             request, DEFAULT_VERDICT, place, _caller_check(environ[ENVIRON_SOCKET])
         )
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -396,7 +396,7 @@
             self._handle_stream_failure(fault)
 
 
-def taken_up_request(workspace: str, request_id: str, now: float, deadline: float) -> Request:
+def resumed_request(workspace: str, request_id: str, now: float, deadline: float) -> Request:
     """Describe a request that goes on with a generation started elsewhere."""
     return Request(request_id, workspace, "resume", "", 0, 1, (), now, deadline)
 
