--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -38,8 +38,8 @@
     Relay,
     RelayItem,
     Tokens,
-    fresh_wait,
     resumed_request,
+    with_earlier_asked_at,
 )
 from driftstall.decisions.locate import locate
 from driftstall.filters.apply_policy import ApplyPolicy
@@ -219,7 +219,7 @@
             self._hub.key, context.headers.get(HEADER_TICKET.lower(), ""), request.workspace
         )
         if ticket:
-            request = fresh_wait(request, asked_at)
+            request = with_earlier_asked_at(request, asked_at)
         payload = dict(context.payload or {})
         relay = self._node.relay.start_relay(
             request, context.verdict, payload, ticket, _caller_check(environ[ENVIRON_SOCKET])
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -401,7 +401,7 @@
     return Request(request_id, workspace, "resume", "", 0, 1, (), now, deadline)
 
 
-def fresh_wait(request: Request, asked_at: float) -> Request:
+def with_earlier_asked_at(request: Request, asked_at: float) -> Request:
     """Return a request that keeps the time it was first asked."""
     return replace(request, asked_at=min(request.asked_at, asked_at))
 
