--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.dialect import MoveDone, MoveFailed, MoveResult
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.runs import FinalCopy, Replica, ReplicaRef, StreamRun
-from driftstall.gateway.selection import TokenRequirement, choose_move
+from driftstall.gateway.selection import TokenRequirement, choose_migration_target
 from driftstall.gateway.state import GatewayState
 from driftstall.helpers.log import log_event
 
@@ -47,7 +47,7 @@
             return None
         need = TokenRequirement(run.held_tokens, 0)
         options = self._state.options(run.upstream.service, avoid | {run.upstream.upstream_id})
-        chosen = choose_move(
+        chosen = choose_migration_target(
             options,
             engine,
             need,
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -182,7 +182,7 @@
     )
 
 
-def choose_move(
+def choose_migration_target(
     options: Iterable[Option],
     engine: Engine,
     requirement: TokenRequirement,
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -16,7 +16,7 @@
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, ListedByPeer, UpstreamCold
 from driftstall.gateway.loads import Use
-from driftstall.gateway.selection import Option, Sampler, choose_backup, choose_move
+from driftstall.gateway.selection import Option, Sampler, choose_backup, choose_migration_target
 from features.worlds.gateway_world import GatewayWorld, document, world_of
 from features.worlds.upstream_samples import ENGINE, NEED, upstream_of
 
@@ -220,6 +220,6 @@
     ]
     sampler, primary = Sampler(random.Random(1)), upstream_of("primary")
     kept = choose_backup(options, ENGINE, NEED, primary, sampler)
-    moved = choose_move(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
+    moved = choose_migration_target(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
     for chosen in (kept, moved):
         assert chosen is not None and chosen.upstream.upstream_id == "warm", chosen
--- a/features/steps/gateway_selection_steps.py
+++ b/features/steps/gateway_selection_steps.py
@@ -16,7 +16,7 @@
     Sampler,
     choose_backup,
     choose_call,
-    choose_move,
+    choose_migration_target,
     choose_stream,
 )
 from features.worlds.upstream_samples import ENGINE, NEED, upstream_of
@@ -79,7 +79,7 @@
     """Choose a move's target."""
     options = [option("far", 0, "b"), option("near", 8_600)]
     primary = upstream_of("u1")
-    chosen = choose_move(
+    chosen = choose_migration_target(
         options, ENGINE, NEED, primary, Sampler(random.Random(1)), max_memory_share=1.0
     )
     assert chosen is not None and chosen.upstream.upstream_id == "near"
@@ -218,5 +218,7 @@
     far, primary = engines_of("bbbb"), upstream_of("u1")
     for tokens, zone in ((20_000, "a"), (34_000, "b")):
         options = [*far, *(option(f"near-{n}", tokens) for n in range(4))]
-        found = choose_move(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
+        found = choose_migration_target(
+            options, ENGINE, NEED, primary, sampler, max_memory_share=1.0
+        )
         assert found is not None and found.upstream.zone == zone, found
