--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -31,7 +31,7 @@
 from driftstall.helpers.rate_limiting import RateLimiter
 from driftstall.runners.service import CALL_TIMEOUT_S, ServiceResponse, call_service
 
-FORWARDED: Final = ("content-type", "accept", "x-call-id")
+FORWARDED_HEADERS: Final = ("content-type", "accept", "x-call-id")
 HTTP_NOT_RUN: Final = 503
 HTTP_FAILED: Final = 500
 MAX_TRIES: Final = 3
@@ -223,7 +223,7 @@
 
 def _headers(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the headers that are passed on."""
-    return {name: headers[name] for name in FORWARDED if name in headers}
+    return {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
 
 
 def _claim_key(context: RequestContext) -> str:
