--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -45,12 +45,12 @@
         engine = run.admitted.service.engine
         if engine is None or not engine.can_move:
             return None
-        need = TokenRequirement(run.held_tokens, 0)
+        requirement = TokenRequirement(run.held_tokens, 0)
         options = self._state.options(run.upstream.service, avoid | {run.upstream.upstream_id})
         chosen = choose_migration_target(
             options,
             engine,
-            need,
+            requirement,
             run.upstream,
             self._state.sampler,
             max_memory_share=max_memory_share,
--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -108,13 +108,15 @@
         next_run.tokens = run.tokens
         next_run.moves = run.moves + 1
         next_run.last_event_at = run.last_event_at
-        need = TokenRequirement(run.held_tokens, max(0, self._expected_tokens() - run.tokens))
-        next_run.backup = self._choose_backup(copy.upstream, need, has_run_at)
+        requirement = TokenRequirement(
+            run.held_tokens, max(0, self._expected_tokens() - run.tokens)
+        )
+        next_run.backup = self._choose_backup(copy.upstream, requirement, has_run_at)
         self._state.record_run_load(next_run)
         return next_run
 
     def _wait_for_room(
-        self, need: TokenRequirement, avoid: frozenset[str], is_canceled: Callable[[], bool]
+        self, requirement: TokenRequirement, avoid: frozenset[str], is_canceled: Callable[[], bool]
     ) -> Placement | None:
         """Choose the upstream; wait for one that takes requests and has room in its memory."""
         began = self._state.now()
@@ -125,7 +127,7 @@
         while not is_canceled():
             now = self._state.now()
             waited_enough = now >= room_until
-            placement = self._choose(need, avoid, taken_anyway=waited_enough)
+            placement = self._choose(requirement, avoid, taken_anyway=waited_enough)
             if placement is None and (now >= upstream_until or self._is_wait_futile()):
                 return None
             if placement is not None and (waited_enough or placement.has_room):
@@ -137,15 +139,15 @@
         return None
 
     def _choose(
-        self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
+        self, requirement: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Placement | None:
         """Ask the zone's placer, or choose locally; return None if no upstream takes requests."""
         asked = PlacementAsked(
             self._state.settings.instance_id,
             self._admitted.metadata.request_id,
             self._admitted.service.name,
-            need.prompt_tokens,
-            need.output_tokens,
+            requirement.prompt_tokens,
+            requirement.output_tokens,
             self.engine.can_backup and self._wants_backup(),
             tuple(avoid | self._state.backoff.active(self._state.now())),
             taken_anyway,
@@ -154,7 +156,7 @@
         given = self._state.request_placement(asked)
         upstream = self._state.fleet.find(given.upstream_id) if given else None
         if given is None or upstream is None or self._state.backoff_s(upstream):
-            return self._choose_locally(need, avoid, taken_anyway=taken_anyway)
+            return self._choose_locally(requirement, avoid, taken_anyway=taken_anyway)
         backup = self._state.fleet.find(given.backup_id)
         return Placement(upstream, backup, given.has_room, given.sender)
 
@@ -166,7 +168,7 @@
         return is_backing_off or fleet.is_fully_cordoned(service)
 
     def _choose_locally(
-        self, need: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
+        self, requirement: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
     ) -> Placement | None:
         """Choose by this instance's own view of the fleet."""
         service = self._admitted.service.name
@@ -176,24 +178,24 @@
         settings = self._state.settings
         gate = self._state.cold_gate
         chosen = choose_stream(
-            gate.select_open(options), self.engine, need, settings.zone, self._state.sampler
+            gate.select_open(options), self.engine, requirement, settings.zone, self._state.sampler
         )
         if chosen is None:
             return None
-        backup = self._choose_backup(chosen.upstream, need, frozenset())
-        room = has_room(chosen, self.engine, need)
+        backup = self._choose_backup(chosen.upstream, requirement, frozenset())
+        room = has_room(chosen, self.engine, requirement)
         if room or taken_anyway:
             gate.record_send(chosen.upstream)
         return Placement(chosen.upstream, backup, room, settings.instance_id)
 
     def _choose_backup(
-        self, primary: Upstream, need: TokenRequirement, avoid: frozenset[str]
+        self, primary: Upstream, requirement: TokenRequirement, avoid: frozenset[str]
     ) -> Upstream | None:
         """Choose the backup engine; return None if the stream gets none."""
         if not self.engine.can_backup or not self._wants_backup():
             return None
         options = self._state.options(self._admitted.service.name, avoid)
-        chosen = choose_backup(options, self.engine, need, primary, self._state.sampler)
+        chosen = choose_backup(options, self.engine, requirement, primary, self._state.sampler)
         return chosen.upstream if chosen else None
 
     def _wants_backup(self) -> bool:
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -104,22 +104,24 @@
         engine = service.engine
         # The placer knows the load of all engines equally well, so it compares all of them.
         sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
-        need = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
+        requirement = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
         options = self._state.options(asked.service, frozenset(asked.avoid), respects_backoff=False)
         chosen = choose_stream(
-            self._cold_gate.select_open(options), engine, need, asked.zone, sampler
+            self._cold_gate.select_open(options), engine, requirement, asked.zone, sampler
         )
         if chosen is None:
             return PlacementGiven(self._own_id, asked.request_id, "", "", False)
         backup = None
         if asked.wants_backup:
-            backup = choose_backup(options, engine, need, chosen.upstream, self._state.sampler)
+            backup = choose_backup(
+                options, engine, requirement, chosen.upstream, self._state.sampler
+            )
         given = PlacementGiven(
             self._own_id,
             asked.request_id,
             chosen.upstream.upstream_id,
             backup.upstream.upstream_id if backup else "",
-            has_room(chosen, engine, need),
+            has_room(chosen, engine, requirement),
         )
         if given.has_room or asked.taken_anyway:
             self._cold_gate.record_send(chosen.upstream)
