--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -34,7 +34,7 @@
 FORWARDED_HEADERS: Final = ("content-type", "accept", "x-call-id")
 HTTP_NOT_RUN: Final = 503
 HTTP_FAILED: Final = 500
-MAX_TRIES: Final = 3
+MAX_ATTEMPTS: Final = 3
 WAIT_FOR_TURN_S: Final = 0.3
 """How long a call waits for its turn where all runners name a limit; longer, and its caller is
 better told when to come back."""
@@ -127,7 +127,7 @@
         avoid: set[str] = set()
         maybe_ran = False
         detail = ""
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt and not self._budget.spend():
                 break
             runner = self._choose(context, avoid)
