--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -94,15 +94,15 @@
         return run
 
     def create_resumed_run(
-        self, run: StreamRun, copy: ReplicaRef, has_run_at: frozenset[str]
+        self, run: StreamRun, replica: ReplicaRef, has_run_at: frozenset[str]
     ) -> StreamRun:
         """Return a run that resumes a stream at a replica on another upstream.
 
         An engine where the stream has run is not chosen as its backup: the stream could not
         resume there.
         """
-        next_run = StreamRun(self._call, self._admitted, self._request, copy.upstream)
-        next_run.resumed_from = copy
+        next_run = StreamRun(self._call, self._admitted, self._request, replica.upstream)
+        next_run.resumed_from = replica
         next_run.last_event_id = run.last_event_id
         next_run.events = run.events
         next_run.tokens = run.tokens
@@ -111,7 +111,7 @@
         requirement = TokenRequirement(
             run.held_tokens, max(0, self._expected_tokens() - run.tokens)
         )
-        next_run.backup = self._choose_backup(copy.upstream, requirement, has_run_at)
+        next_run.backup = self._choose_backup(replica.upstream, requirement, has_run_at)
         self._state.record_run_load(next_run)
         return next_run
 
