--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -35,7 +35,7 @@
 HTTP_NOT_RUN: Final = 503
 HTTP_FAILED: Final = 500
 MAX_ATTEMPTS: Final = 3
-WAIT_FOR_TURN_S: Final = 0.3
+MAX_PERMIT_WAIT_S: Final = 0.3
 """How long a call waits for its turn where all runners name a limit; longer, and its caller is
 better told when to come back."""
 CALL_RANK: Final = 1
@@ -171,7 +171,7 @@
         runners = [one for one in live if one.runner_id not in left_out]
         if not runners:
             return self._signals.refusal(context.service, live, context.request_id)
-        need = SendNeed(WAIT_FOR_TURN_S, CALL_RANK)
+        need = SendNeed(MAX_PERMIT_WAIT_S, CALL_RANK)
         chosen = self._limits.choose_permitted(
             runners, lambda one: one.runner_id, self._least_busy, need, context.request_id
         )
