--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -29,14 +29,14 @@
         self._mover = mover
         self._history = history
 
-    def take_replica(self, run: StreamRun, left_s: float) -> ReplicaRef | None:
+    def take_replica(self, run: StreamRun, remaining_s: float) -> ReplicaRef | None:
         """Remove and return the newest replica to resume at; a replica can be used only once.
 
         The order is: the final copy of a migration, the backup that the run's engine keeps up to
         date, the last periodic replica.
         """
         if run.pending_final_copy is not None:
-            final_copy = self._await_final_copy(run, run.pending_final_copy, left_s)
+            final_copy = self._await_final_copy(run, run.pending_final_copy, remaining_s)
             moved = final_copy.replica if final_copy is not None else None
             run.pending_final_copy = None
             if (
