--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -256,7 +256,7 @@
         raise DocumentFault(f"it names no upstream to use: {fault}") from fault
 
 
-def gone_upstream(upstream_name: str, revision: StoreVersion) -> Upstream:
+def removed_upstream(upstream_name: str, revision: StoreVersion) -> Upstream:
     """Return what is told of an upstream whose entry was removed: only which one it was."""
     return Upstream(
         name=upstream_name,
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -121,7 +121,7 @@
         store,
         names.KIND_UPSTREAMS,
         lambda one: documents.read_upstream(one.name, one.revision, one.spec),
-        lambda one: documents.gone_upstream(one.name, one.revision),
+        lambda one: documents.removed_upstream(one.name, one.revision),
     )
 
 
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -26,7 +26,7 @@
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.outcomes import Outcome
 from driftstall.platform import engine_calls
-from driftstall.platform.documents import gone_upstream
+from driftstall.platform.documents import removed_upstream
 from features.worlds.gateway_world import (
     GatewayWorld,
     runs,
@@ -160,7 +160,7 @@
     context.fleet = FleetController()
     first = replace(upstream_of(NAME, 1), born=FIRST_START)
     context.fleet.handle(Listed((first,), StoreVersion(1)), 0.0)
-    context.fleet.handle(Changed(gone_upstream(NAME, StoreVersion(2)), True), 1.0)
+    context.fleet.handle(Changed(removed_upstream(NAME, StoreVersion(2)), True), 1.0)
     assert context.fleet.can_still_serve(first.upstream_id, 1.5, DRAIN_S)
 
 
