--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Try:
+class _SendResult:
     """Hold how one send ended."""
 
     answer: ServiceResponse | None
@@ -196,7 +196,7 @@
             default=None,
         )
 
-    def _send(self, runner: Runner, context: RequestContext) -> _Try:
+    def _send(self, runner: Runner, context: RequestContext) -> _SendResult:
         """Send a call once."""
         headers = _headers(context.headers)
         timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall()))
@@ -208,7 +208,7 @@
                     runner, context.method, context.service_path, headers, context.body, timeout_s
                 )
             self._signals.handle_response(runner_id, answer.signals, sent_at)
-            return _Try(answer, True, f"the runner answered {answer.status}")
+            return _SendResult(answer, True, f"the runner answered {answer.status}")
         except UpstreamError as fault:
             if fault.sent:
                 self._poison.handle_broken_run(
@@ -216,7 +216,7 @@
                 )
             else:
                 self._fleet.failed(runner_id)
-            return _Try(None, fault.sent, str(fault), broke=fault.sent)
+            return _SendResult(None, fault.sent, str(fault), broke=fault.sent)
         finally:
             self._open[runner_id] -= 1
 
