--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -33,7 +33,7 @@
         store: Store,
         kind: str,
         decode: Callable[[StoredObject], Item],
-        decode_gone: Callable[[StoredObject], Item] | None = None,
+        decode_removed: Callable[[StoredObject], Item] | None = None,
         *,
         name: str | None = None,
         stale: bool = False,
@@ -49,7 +49,7 @@
         self._store = store
         self._kind = kind
         self._decode = decode
-        self._decode_gone = decode_gone
+        self._decode_gone = decode_removed
         self._name = name
         self._stale = stale
         self._logged: dict[str, str] = {}
