--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -82,10 +82,10 @@
             detail = f"no runner of the service {context.service} is live"
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
         if context.idempotency_key:
-            return self._claimed(context)
+            return self._call_with_claim(context)
         return self._tries(context)
 
-    def _claimed(self, context: RequestContext) -> ServiceResponse | Problem:
+    def _call_with_claim(self, context: RequestContext) -> ServiceResponse | Problem:
         """Claim the key first; only the claim's holder may run."""
         key = _claim_key(context)
         claim = self._claims.claim(key, _fingerprint(context), context.request_id)
