--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -49,7 +49,7 @@
         self._store = store
         self._kind = kind
         self._decode = decode
-        self._decode_gone = decode_removed
+        self._decode_removed = decode_removed
         self._name = name
         self._stale = stale
         self._logged: dict[str, str] = {}
@@ -74,13 +74,13 @@
 
     def _change(self, event: WatchEvent) -> ItemChange[Item] | None:
         """Decode one change."""
-        if event.gone and self._decode_gone is not None:
-            return ItemChange(self._decode_gone(event.changed), removed=True)
+        if event.gone and self._decode_removed is not None:
+            return ItemChange(self._decode_removed(event.changed), removed=True)
         item = self._item(event.changed)
         if item is not None:
             return ItemChange(item, event.gone)
-        if self._decode_gone is not None:
-            return ItemChange(self._decode_gone(event.changed), removed=True)
+        if self._decode_removed is not None:
+            return ItemChange(self._decode_removed(event.changed), removed=True)
         return None
 
     def _item(self, stored: StoredObject) -> Item | None:
