--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -90,7 +90,7 @@
         key = _claim_key(context)
         claim = self._claims.claim(key, _fingerprint(context), context.request_id)
         if claim.kind != ClaimAnswerKind.GRANTED:
-            return self._not_granted(claim)
+            return self._respond_without_grant(claim)
         self._hub.stats.claims_granted += 1
         result = self._tries(context)
         if isinstance(result, ServiceResponse):
@@ -107,7 +107,7 @@
             self._claims.settle(key, context.request_id, ran=False)
         return result
 
-    def _not_granted(self, claim: ClaimAnswer) -> ServiceResponse | Problem:
+    def _respond_without_grant(self, claim: ClaimAnswer) -> ServiceResponse | Problem:
         """Answer a call whose claim was not granted."""
         if claim.kind == ClaimAnswerKind.RECORDED:
             self._hub.stats.claims_repeated += 1
