--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -22,7 +22,7 @@
     first = min(ready, key=state.backoff_s, default=None)
     if first is None or not state.backoff_s(first):
         return None
-    first_s, left_s = state.backoff_s(first), admitted.ends_at - now
+    first_s, remaining_s = state.backoff_s(first), admitted.ends_at - now
     part = max(1, first.slots) / max(1, state.instances.value)
     retry_s = state.retry_schedule.next_s(service, first_s, part * CALLS_PER_SLOT_S, now)
     state.stats.backoff_refused += 1
@@ -35,9 +35,9 @@
         first=first.upstream_id,
         first_s=round(first_s, 2),
         retry_s=round(retry_s, 2),
-        left_s=round(left_s, 2),
+        left_s=round(remaining_s, 2),
     )
     detail = "all runners have requested a back-off"
-    if first_s > left_s:
+    if first_s > remaining_s:
         detail += " that is longer than the request can wait"
     return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, retry_s)
