--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -72,7 +72,7 @@
     def read_routing(self, text: str) -> RoutingDocument:
         """Decode a routing document in the form that instances exchange."""
 
-    def backup_copy(self, backup: Upstream, request_id: str) -> str:
+    def backup_replica_name(self, backup: Upstream, request_id: str) -> str:
         """Return the name of the replica that a backup engine keeps of a run."""
 
     def move(
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -69,7 +69,7 @@
         backup = run.backup
         if backup is None or not self._state.fleet.accepts_requests(backup.upstream_id):
             return None
-        copy_of = self._state.dialect.backup_copy(backup, run.request_id)
+        copy_of = self._state.dialect.backup_replica_name(backup, run.request_id)
         ref = ReplicaRef(backup, copy_of, ReplicaKind.BACKUP)
         return ref if self._is_allowed(ref, run) else None
 
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -43,9 +43,9 @@
         """Decode a routing document as it is passed between instances."""
         return documents.read_routing(orjson.loads(text), lambda: gevent.sleep(0))
 
-    def backup_copy(self, backup: Upstream, request_id: str) -> str:
+    def backup_replica_name(self, backup: Upstream, request_id: str) -> str:
         """Name the copy that a backup engine keeps of a run."""
-        return engine_calls.backup_copy(backup, request_id)
+        return engine_calls.backup_replica_name(backup, request_id)
 
     def move(
         self, source: Upstream, request_id: str, target: Upstream, *, last: bool
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -103,7 +103,7 @@
     return ReportedState.LEAVING if report.get("leaves_ms") is not None else ReportedState.SERVING
 
 
-def backup_copy(backup: Upstream, request_id: str) -> str:
+def backup_replica_name(backup: Upstream, request_id: str) -> str:
     """Name the copy that a backup engine keeps of a run."""
     return f"{backup.address}/{request_id}"
 
