--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -83,7 +83,7 @@
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
         if context.idempotency_key:
             return self._call_with_claim(context)
-        return self._tries(context)
+        return self._send_with_retries(context)
 
     def _call_with_claim(self, context: RequestContext) -> ServiceResponse | Problem:
         """Claim the key first; only the claim's holder may run."""
@@ -92,7 +92,7 @@
         if claim.kind != ClaimAnswerKind.GRANTED:
             return self._respond_without_grant(claim)
         self._hub.stats.claims_granted += 1
-        result = self._tries(context)
+        result = self._send_with_retries(context)
         if isinstance(result, ServiceResponse):
             body = result.body.decode("utf-8", "replace")
             self._claims.settle(
@@ -121,7 +121,7 @@
         detail = "the claim could not be stored, so the call was not sent"
         return Problem(CODE_PLATFORM_DOWN, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
 
-    def _tries(self, context: RequestContext) -> ServiceResponse | Problem:
+    def _send_with_retries(self, context: RequestContext) -> ServiceResponse | Problem:
         """Send once; again only if nothing was sent, or the call is repeatable."""
         self._budget.earn()
         avoid: set[str] = set()
