--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -23,8 +23,8 @@
     if first is None or not state.backoff_s(first):
         return None
     first_s, remaining_s = state.backoff_s(first), admitted.ends_at - now
-    part = max(1, first.slots) / max(1, state.instances.value)
-    retry_s = state.retry_schedule.next_s(service, first_s, part * CALLS_PER_SLOT_S, now)
+    instance_slots = max(1, first.slots) / max(1, state.instances.value)
+    retry_s = state.retry_schedule.next_s(service, first_s, instance_slots * CALLS_PER_SLOT_S, now)
     state.stats.backoff_refused += 1
     log_event(
         PREFIX_ROUTING,
