--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -89,7 +89,7 @@
     def is_readiness_check(self, target: str) -> bool:
         """Return True if a request is a readiness check."""
 
-    def located_zone(self, target: str) -> str | None:
+    def requested_zone(self, target: str) -> str | None:
         """Return the caller's zone in a request to locate instances; None for other requests."""
 
     def located_answer(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -322,7 +322,7 @@
 
     def __call__(self, call: CallerRequest) -> bytes:
         """Return the response to one locate request; 503 if no instance is ready."""
-        zone = self._state.dialect.located_zone(call.target.decode("latin-1"))
+        zone = self._state.dialect.requested_zone(call.target.decode("latin-1"))
         if zone is None:
             return encode_response(404, (), b"", keep=call.keep_alive)
         chosen = self._choose(zone)
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -65,7 +65,7 @@
         """Tell whether a request asks whether this instance is ready."""
         return urlsplit(target).path == names.PATH_READY
 
-    def located_zone(self, target: str) -> str | None:
+    def requested_zone(self, target: str) -> str | None:
         """Return the zone of a caller that asks where to go; None for other requests."""
         parts = urlsplit(target)
         if parts.path != names.PATH_LOCATE:
