--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -74,7 +74,7 @@
         self._fleet = fleet
         self._claims = claims
         self._budget = RetryBudget()
-        self._open: dict[str, int] = {}
+        self._open_calls: dict[str, int] = {}
 
     def call(self, context: RequestContext) -> ServiceResponse | Problem:
         """Make a call and return its answer."""
@@ -189,7 +189,7 @@
         return min(
             runners,
             key=lambda one: (
-                self._open.get(one.runner_id, 0),
+                self._open_calls.get(one.runner_id, 0),
                 one.zone != zone,
                 self._hub.source.random(),
             ),
@@ -201,7 +201,7 @@
         headers = _headers(context.headers)
         timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall()))
         runner_id, sent_at = runner.runner_id, self._hub.now()
-        self._open[runner_id] = self._open.get(runner_id, 0) + 1
+        self._open_calls[runner_id] = self._open_calls.get(runner_id, 0) + 1
         try:
             with gevent.Timeout(timeout_s, UpstreamError("the answer is late", sent=True)):
                 answer = call_service(
@@ -218,7 +218,7 @@
                 self._fleet.failed(runner_id)
             return _SendResult(None, fault.sent, str(fault), broke=fault.sent)
         finally:
-            self._open[runner_id] -= 1
+            self._open_calls[runner_id] -= 1
 
 
 def _headers(headers: Mapping[str, str]) -> dict[str, str]:
