--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -19,11 +19,11 @@
     ready = state.fleet.ready(service) or state.fleet.draining(
         service, now, state.max_new_request_drain_s
     )
-    first = min(ready, key=state.backoff_s, default=None)
-    if first is None or not state.backoff_s(first):
+    earliest = min(ready, key=state.backoff_s, default=None)
+    if earliest is None or not state.backoff_s(earliest):
         return None
-    first_s, remaining_s = state.backoff_s(first), admitted.ends_at - now
-    instance_slots = max(1, first.slots) / max(1, state.instances.value)
+    first_s, remaining_s = state.backoff_s(earliest), admitted.ends_at - now
+    instance_slots = max(1, earliest.slots) / max(1, state.instances.value)
     retry_s = state.retry_schedule.next_s(service, first_s, instance_slots * CALLS_PER_SLOT_S, now)
     state.stats.backoff_refused += 1
     log_event(
@@ -32,7 +32,7 @@
         request=admitted.metadata.request_id,
         service=service,
         upstreams=len(ready),
-        first=first.upstream_id,
+        first=earliest.upstream_id,
         first_s=round(first_s, 2),
         retry_s=round(retry_s, 2),
         left_s=round(remaining_s, 2),
