--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -92,5 +92,5 @@
     def requested_zone(self, target: str) -> str | None:
         """Return the caller's zone in a request to locate instances; None for other requests."""
 
-    def located_answer(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
+    def encode_locations(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
         """Return the response body that lists the located instances."""
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -331,7 +331,7 @@
             problem = Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
             return encode_problem(problem, keep=call.keep_alive)
         keep_s = min(LOCATE_KEEP_S, self._state.settings.bounds.locate_keep_s)
-        body = self._state.dialect.located_answer(
+        body = self._state.dialect.encode_locations(
             tuple(instance.address for instance in chosen), keep_s
         )
         log_event(PREFIX_LOCATE, f"Caller in zone {zone} directed to {len(chosen)} instances")
--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -72,6 +72,6 @@
             return None
         return parse_qs(parts.query).get("zone", [""])[0]
 
-    def located_answer(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
+    def encode_locations(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
         """Return the body that tells a caller where to go."""
         return orjson.dumps({"addresses": addresses, "ttlS": keep_s})
