--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -198,7 +198,7 @@
 
     def _send(self, runner: Runner, context: RequestContext) -> _SendResult:
         """Send a call once."""
-        headers = _headers(context.headers)
+        headers = _forwarded_headers(context.headers)
         timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall()))
         runner_id, sent_at = runner.runner_id, self._hub.now()
         self._open_calls[runner_id] = self._open_calls.get(runner_id, 0) + 1
@@ -221,7 +221,7 @@
             self._open_calls[runner_id] -= 1
 
 
-def _headers(headers: Mapping[str, str]) -> dict[str, str]:
+def _forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the headers that are passed on."""
     return {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
 
