--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -22,9 +22,11 @@
     earliest = min(ready, key=state.backoff_s, default=None)
     if earliest is None or not state.backoff_s(earliest):
         return None
-    first_s, remaining_s = state.backoff_s(earliest), admitted.ends_at - now
+    earliest_s, remaining_s = state.backoff_s(earliest), admitted.ends_at - now
     instance_slots = max(1, earliest.slots) / max(1, state.instances.value)
-    retry_s = state.retry_schedule.next_s(service, first_s, instance_slots * CALLS_PER_SLOT_S, now)
+    retry_s = state.retry_schedule.next_s(
+        service, earliest_s, instance_slots * CALLS_PER_SLOT_S, now
+    )
     state.stats.backoff_refused += 1
     log_event(
         PREFIX_ROUTING,
@@ -33,11 +35,11 @@
         service=service,
         upstreams=len(ready),
         first=earliest.upstream_id,
-        first_s=round(first_s, 2),
+        first_s=round(earliest_s, 2),
         retry_s=round(retry_s, 2),
         left_s=round(remaining_s, 2),
     )
     detail = "all runners have requested a back-off"
-    if first_s > remaining_s:
+    if earliest_s > remaining_s:
         detail += " that is longer than the request can wait"
     return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, retry_s)
