--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -19,7 +19,7 @@
 from driftstall.gateway.registration import InstanceEntries
 from driftstall.helpers.log import start_log
 from driftstall.platform import feeds
-from driftstall.platform.crashes import StoredCrashes
+from driftstall.platform.crashes import PlatformCrashStore
 from driftstall.platform.dialect import PlatformDialect
 from driftstall.platform.settings import read_settings, settings_path
 from driftstall.platform.store import Store
@@ -57,7 +57,7 @@
             register=lambda instance: feeds.register_instance(store, instance),
             withdraw=lambda instance_id: feeds.withdraw_instance(store, instance_id),
         ),
-        crashes=StoredCrashes(store),
+        crashes=PlatformCrashStore(store),
         policy=feeds.StoredPolicy(store),
         subscribe_store_eras=store.subscribe_store_eras,
         use_address=store.use_address,
--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -37,7 +37,7 @@
 )
 
 
-class StoredCrashes:
+class PlatformCrashStore:
     """Read and write the objects."""
 
     def __init__(self, store: Store) -> None:
