--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -88,7 +88,7 @@
     def _call_with_claim(self, context: RequestContext) -> ServiceResponse | Problem:
         """Claim the key first; only the claim's holder may run."""
         key = _claim_key(context)
-        claim = self._claims.claim(key, _fingerprint(context), context.request_id)
+        claim = self._claims.claim(key, _content_hash(context), context.request_id)
         if claim.kind != ClaimAnswerKind.GRANTED:
             return self._respond_without_grant(claim)
         self._hub.stats.claims_granted += 1
@@ -232,7 +232,7 @@
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def _fingerprint(context: RequestContext) -> str:
+def _content_hash(context: RequestContext) -> str:
     """Name a call's content, so that a key is not used for two."""
     hasher = hashlib.blake2b(digest_size=12)
     hasher.update(f"{context.method} {context.service_path}\n".encode())
