--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -58,7 +58,7 @@
             withdraw=lambda instance_id: feeds.withdraw_instance(store, instance_id),
         ),
         crashes=PlatformCrashStore(store),
-        policy=feeds.StoredPolicy(store),
+        policy=feeds.PlatformPolicyStore(store),
         subscribe_store_eras=store.subscribe_store_eras,
         use_address=store.use_address,
         call_count=lambda: store.calls,
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -145,7 +145,7 @@
     return KindFeed(store, names.KIND_INSTANCES, _instance, stale=stale)
 
 
-class StoredPolicy:
+class PlatformPolicyStore:
     """Read and write the submitted policy; each call may raise PlatformUnavailable."""
 
     def __init__(self, store: Store) -> None:
