--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -30,7 +30,7 @@
 from driftstall.runners.engine import control
 from driftstall.util.signing import sign
 
-PROGRESS_S: Final = 0.25
+PROGRESS_PERIOD_S: Final = 0.25
 ASK_AGAIN_S: Final = 1.0
 """An ask is sent again this often while it waits; owners take it once."""
 PROGRESS_INSTANCES: Final = 16
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Start to report progress."""
-        self._hub.every(PROGRESS_S, self._report_progress, PREFIX_ADMISSION)
+        self._hub.every(PROGRESS_PERIOD_S, self._report_progress, PREFIX_ADMISSION)
 
     def acquire(
         self,
@@ -202,7 +202,7 @@
     def _report_progress(self) -> None:
         """Report the progress of open generations to their owners."""
         spread = len(self._members.live) / PROGRESS_INSTANCES
-        if self._hub.now() - self._progress_at < PROGRESS_S * (spread - 1):
+        if self._hub.now() - self._progress_at < PROGRESS_PERIOD_S * (spread - 1):
             # Each entry speaks to every owner: in a large fleet less often.
             return
         self._progress_at = self._hub.now()
