--- a/driftstall/platform/checks.py
+++ b/driftstall/platform/checks.py
@@ -13,7 +13,7 @@
 
 from driftstall.util.addresses import split_address
 
-MOST_WHOLE: Final = 2**63 - 1
+MAX_INTEGER: Final = 2**63 - 1
 """What travels between instances as a whole number has 64 bits."""
 MOST_NAME: Final = 256
 """Characters of a name that goes into a header."""
@@ -45,7 +45,7 @@
     """Return a check for whole numbers that are not smaller."""
 
     def check(value: Any) -> int:
-        if type(value) is not int or not least <= value <= MOST_WHOLE:
+        if type(value) is not int or not least <= value <= MAX_INTEGER:
             raise vol.Invalid(f"expected a whole number from {least} on")
         return value
 
