--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -31,7 +31,7 @@
 from driftstall.util.signing import sign
 
 PROGRESS_PERIOD_S: Final = 0.25
-ASK_AGAIN_S: Final = 1.0
+ASK_RESEND_S: Final = 1.0
 """An ask is sent again this often while it waits; owners take it once."""
 PROGRESS_INSTANCES: Final = 16
 """Up to so many instances progress is reported each period; then less often."""
@@ -98,7 +98,7 @@
         while not grant.result.ready():
             if not keep_waiting():
                 return None
-            if self._hub.now() - asked_at >= ASK_AGAIN_S:
+            if self._hub.now() - asked_at >= ASK_RESEND_S:
                 asked_at = self._hub.now()
                 self._ask(grant)
             grant.result.wait(timeout=0.1)
