--- a/driftstall/platform/checks.py
+++ b/driftstall/platform/checks.py
@@ -15,7 +15,7 @@
 
 MAX_INTEGER: Final = 2**63 - 1
 """What travels between instances as a whole number has 64 bits."""
-MOST_NAME: Final = 256
+MAX_NAME_LENGTH: Final = 256
 """Characters of a name that goes into a header."""
 
 
@@ -29,7 +29,7 @@
 def name(value: Any) -> str:
     """Return a text that may stand in a header."""
     found = text(value)
-    if len(found) > MOST_NAME or not all("!" <= sign <= "~" for sign in found):
+    if len(found) > MAX_NAME_LENGTH or not all("!" <= sign <= "~" for sign in found):
         raise vol.Invalid("expected a name of printable signs without blanks")
     return found
 
