--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -35,7 +35,7 @@
 """An ask is sent again this often while it waits; owners take it once."""
 PROGRESS_INSTANCES: Final = 16
 """Up to so many instances progress is reported each period; then less often."""
-SIGN_OF_LIFE_S: Final = 5.0
+KEEPALIVE_S: Final = 5.0
 """An open grant is reported this often even without progress."""
 GrantResult = Granted | Refused
 
@@ -207,7 +207,7 @@
             return
         self._progress_at = self._hub.now()
         batches: dict[str, list[Progress]] = {}
-        everything = self._hub.now() - self._signed_at >= SIGN_OF_LIFE_S
+        everything = self._hub.now() - self._signed_at >= KEEPALIVE_S
         if everything:
             self._signed_at = self._hub.now()
         for request_id, grant in self._entry_grants.items():
