--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -21,7 +21,7 @@
 from driftstall.platform.store import Store, StoredObject, WatchEvent
 
 Item = TypeVar("Item")
-MOST_LOGGED: Final = 500
+MAX_LOGGED_OBJECTS: Final = 500
 """Objects remembered that could not be read."""
 
 
@@ -97,7 +97,7 @@
         """Log once why an object is not used."""
         if self._logged.get(name) == reason:
             return
-        if len(self._logged) >= MOST_LOGGED:
+        if len(self._logged) >= MAX_LOGGED_OBJECTS:
             self._logged.clear()
         self._logged[name] = reason
         log_event(
