--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -65,7 +65,7 @@
         self._fleet = fleet
         self._ownership = ownership
         self._entry_grants: dict[str, EntryGrant] = {}
-        self._signed_at = 0.0
+        self._keepalive_at = 0.0
         self._progress_at = 0.0
         hub.on_members(self._announce_moved)
         for answer in (Granted, Refused):
@@ -207,9 +207,9 @@
             return
         self._progress_at = self._hub.now()
         batches: dict[str, list[Progress]] = {}
-        everything = self._hub.now() - self._signed_at >= KEEPALIVE_S
+        everything = self._hub.now() - self._keepalive_at >= KEEPALIVE_S
         if everything:
-            self._signed_at = self._hub.now()
+            self._keepalive_at = self._hub.now()
         for request_id, grant in self._entry_grants.items():
             if grant.produced > grant.reported or (everything and grant.runner_id):
                 grant.reported = grant.produced
