--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -30,7 +30,7 @@
 BODY_TIMEOUT_S: Final = 10.0
 """Time for the whole body of an answer: a megabyte, the most that one holds, takes two seconds
 on the weakest links (5 Mbit/s), which it shares with all streams."""
-MOST_SHOWN: Final = 200
+MAX_LOGGED_CHARS: Final = 200
 """Characters of an object that can't be read which are logged."""
 NO_ERA: Final = 0
 """The era of a store that names none."""
@@ -227,7 +227,7 @@
             return NO_ERA
         known = self._era or NO_ERA
         if not told.isdecimal() or int(told) < known:
-            detail = f"an answer names the era {told[:MOST_SHOWN]!r} after {known}"
+            detail = f"an answer names the era {told[:MAX_LOGGED_CHARS]!r} after {known}"
             log_event(PREFIX_CONFIGURATION, f"The platform is not believed: {detail}")
             raise PlatformUnavailable(detail)
         era = int(told)
@@ -330,5 +330,5 @@
     name = _name(raw)
     revision = raw["metadata"].get("revision") if name else None
     if type(revision) is not int or revision < 0:
-        raise PlatformUnavailable(f"an object cannot be read: {str(raw)[:MOST_SHOWN]}")
+        raise PlatformUnavailable(f"an object cannot be read: {str(raw)[:MAX_LOGGED_CHARS]}")
     return StoredObject(name, StoreVersion.of(era, revision), raw.get("spec"))
