--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -69,7 +69,7 @@
         self._progress_at = 0.0
         hub.on_members(self._announce_moved)
         for answer in (Granted, Refused):
-            hub.on_message(answer, self._answered)
+            hub.on_message(answer, self._handle_answer)
         hub.on_message(YieldAsked, self._yield_asked)
         hub.on_message(ResumeAsked, self._resume_asked)
 
@@ -155,7 +155,7 @@
         message = Close(grant.ask.group, request_id, produced, finished, reply)
         self._hub.send(grant.owner, message)
 
-    def _answered(self, _: str, message: GrantResult) -> None:
+    def _handle_answer(self, _: str, message: GrantResult) -> None:
         """Take an owner's answer."""
         grant = self._entry_grants.get(message.request_id)
         if grant is None:
