--- a/driftstall/platform/checks.py
+++ b/driftstall/platform/checks.py
@@ -41,7 +41,7 @@
     return value
 
 
-def whole(least: int = 0) -> Callable[[Any], int]:
+def integer(least: int = 0) -> Callable[[Any], int]:
     """Return a check for whole numbers that are not smaller."""
 
     def check(value: Any) -> int:
--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -111,7 +111,7 @@
 
 _ROUTING: Final = vol.Schema(
     {
-        vol.Required("version"): checks.whole(),
+        vol.Required("version"): checks.integer(),
         vol.Required("routes"): list,
         vol.Optional("services"): checks.or_none([_SERVICE]),
         vol.Optional("tenants"): checks.or_none([_WORKSPACE]),
@@ -126,11 +126,11 @@
         vol.Required("address"): checks.address,
         vol.Required("zone"): checks.text,
         vol.Required("version"): checks.text,
-        vol.Required("slots"): checks.whole(1),
+        vol.Required("slots"): checks.integer(1),
         vol.Required("state"): vol.In((STATE_READY, STATE_LEAVING)),
         vol.Required("coldRemainingMs"): checks.number(),
-        vol.Required("seq"): checks.whole(),
-        vol.Optional("born"): checks.whole(1),
+        vol.Required("seq"): checks.integer(),
+        vol.Optional("born"): checks.integer(1),
     },
     extra=ALLOW_EXTRA,
 )
