--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -70,7 +70,7 @@
         hub.on_members(self._announce_moved)
         for answer in (Granted, Refused):
             hub.on_message(answer, self._handle_answer)
-        hub.on_message(YieldAsked, self._yield_asked)
+        hub.on_message(YieldAsked, self._handle_yield_request)
         hub.on_message(ResumeAsked, self._resume_asked)
 
     def start(self) -> None:
@@ -173,7 +173,7 @@
                     self._ownership.owner_for(group), Close(group, message.request_id, 0, False)
                 )
 
-    def _yield_asked(self, _: str, message: YieldAsked) -> None:
+    def _handle_yield_request(self, _: str, message: YieldAsked) -> None:
         """Pause a generation on its engine."""
         grant = self._entry_grants.get(message.request_id)
         runner = self._fleet.runners.get(message.runner_id)
