--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -26,7 +26,7 @@
 MBIT_BYTES: Final = 125_000
 """Bytes in a megabit."""
 REPEATS: Final = {"safe": Repeat.SAFE, "unsafe": Repeat.ONCE, "streaming": Repeat.STREAM}
-ROUTES_AT_ONCE: Final = 50
+ROUTES_PER_PAUSE: Final = 50
 """Routes decoded without a pause: about two milliseconds."""
 STATE_READY: Final = "ready"
 STATE_LEAVING: Final = "draining"
@@ -165,7 +165,7 @@
     """Decode the routes, with pauses between."""
     for number, one in enumerate(raw, start=1):
         yield _route(_ROUTE(one))
-        if number % ROUTES_AT_ONCE == 0:
+        if number % ROUTES_PER_PAUSE == 0:
             pause()
 
 
