--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -71,7 +71,7 @@
         for answer in (Granted, Refused):
             hub.on_message(answer, self._handle_answer)
         hub.on_message(YieldAsked, self._handle_yield_request)
-        hub.on_message(ResumeAsked, self._resume_asked)
+        hub.on_message(ResumeAsked, self._handle_resume_request)
 
     def start(self) -> None:
         """Start to report progress."""
@@ -184,7 +184,7 @@
         self._hub.stats.yields += 1
         gevent.spawn(control, runner, message.request_id, "pause")
 
-    def _resume_asked(self, _: str, message: ResumeAsked) -> None:
+    def _handle_resume_request(self, _: str, message: ResumeAsked) -> None:
         """Take an owner's word that a paused generation may go on."""
         grant = self._entry_grants.get(message.request_id)
         if grant is None:
