--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -53,11 +53,11 @@
         run.replica = None
         return replica.ref if replica is not None and self._is_allowed(replica.ref, run) else None
 
-    def may_have_stopped(self, run: StreamRun, left_s: float) -> bool:
+    def may_have_stopped(self, run: StreamRun, remaining_s: float) -> bool:
         """Return True if a run may have ended because the final copy of a migration stopped it."""
         if run.pending_final_copy is None:
             return False
-        final_copy = self._await_final_copy(run, run.pending_final_copy, left_s)
+        final_copy = self._await_final_copy(run, run.pending_final_copy, remaining_s)
         return final_copy is None or final_copy.may_have_stopped
 
     def has_current_backup(self, run: StreamRun) -> bool:
