--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -25,7 +25,7 @@
 
 MBIT_BYTES: Final = 125_000
 """Bytes in a megabit."""
-REPEATS: Final = {"safe": Repeat.SAFE, "unsafe": Repeat.ONCE, "streaming": Repeat.STREAM}
+REPEAT_BY_KIND: Final = {"safe": Repeat.SAFE, "unsafe": Repeat.ONCE, "streaming": Repeat.STREAM}
 ROUTES_PER_PAUSE: Final = 50
 """Routes decoded without a pause: about two milliseconds."""
 STATE_READY: Final = "ready"
@@ -41,7 +41,7 @@
         vol.Required("name"): checks.text,
         vol.Required("hostname"): checks.text,
         vol.Required("pathPrefix"): checks.text,
-        vol.Required("kind"): vol.In(sorted(REPEATS)),
+        vol.Required("kind"): vol.In(sorted(REPEAT_BY_KIND)),
         vol.Required("timeoutMs"): checks.number(),
         vol.Optional("targetLatencyMs"): checks.or_none(checks.number()),
         vol.Optional("priority"): checks.or_none(checks.number()),
@@ -179,7 +179,7 @@
         name=one["name"],
         host=one["hostname"].lower(),
         path_prefix=one["pathPrefix"],
-        repeat=REPEATS[one["kind"]],
+        repeat=REPEAT_BY_KIND[one["kind"]],
         timeout_s=float(one["timeoutMs"]) / 1000,
         target_s=float(one.get("targetLatencyMs") or one["timeoutMs"]) / 1000,
         rank=int(one.get("priority") or 0),
