--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -190,9 +190,9 @@
         if grant is None:
             return
         log_event(PREFIX_YIELDING, f"Request {message.request_id} goes on: {message.reason}")
-        self._go_on(grant)
+        self._resume_generation(grant)
 
-    def _go_on(self, grant: EntryGrant) -> None:
+    def _resume_generation(self, grant: EntryGrant) -> None:
         """Resume a paused generation on its engine."""
         grant.paused = False
         runner = self._fleet.runners.get(grant.runner_id)
@@ -229,7 +229,7 @@
                 continue
             if grant.paused:
                 # The next owner does not know that it has yielded.
-                self._go_on(grant)
+                self._resume_generation(grant)
             grant.owner = owner
             ask = grant.ask
             message = Announce(
