--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -79,7 +79,7 @@
         return self._history.can_resume(ref.kind, engine_id, ref.copy_of, run.generating_s)
 
     def _await_final_copy(
-        self, run: StreamRun, pending: AsyncResult, left_s: float
+        self, run: StreamRun, pending: AsyncResult, remaining_s: float
     ) -> FinalCopy | None:
         """Wait for the result of the final copy; return None if it is late.
 
@@ -87,7 +87,7 @@
         """
         now = self._state.now()
         if run.final_copy_deadline is None:
-            run.final_copy_deadline = now + min(FINAL_COPY_TIMEOUT_S, left_s)
+            run.final_copy_deadline = now + min(FINAL_COPY_TIMEOUT_S, remaining_s)
         final_copy: FinalCopy | None = pending.wait(timeout=max(0.0, run.final_copy_deadline - now))
         return final_copy
 
