--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -17,7 +17,7 @@
 from driftstall.platform import checks, names
 from driftstall.platform.store import Store, StoredObject
 
-MS: Final = 1000
+MS_PER_S: Final = 1000
 
 _WHOLE: Final = vol.All(int, vol.Range(min=0))
 _SPEC: Final = vol.Schema(
@@ -91,10 +91,10 @@
         CrashReport(one["upstream"], max(0, now_ms - one["atMs"]), one["underWay"])
         for one in spec["crashes"]
     )
-    young = tuple(one for one in crashes if one.ago_ms <= CRASH_RETENTION_S * MS)
+    young = tuple(one for one in crashes if one.ago_ms <= CRASH_RETENTION_S * MS_PER_S)
     return PoisonReport(stored.name, young, None)
 
 
 def _now_ms() -> int:
     """Return the time of day, in milliseconds."""
-    return int(time.time() * MS)
+    return int(time.time() * MS_PER_S)
--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -30,7 +30,7 @@
 """Routes decoded without a pause: about two milliseconds."""
 STATE_READY: Final = "ready"
 STATE_LEAVING: Final = "draining"
-MS: Final = 1000
+MS_PER_S: Final = 1000
 DEFAULT_EVENT_TOKENS: Final = 1
 
 ALLOW_EXTRA: Final = vol.ALLOW_EXTRA
@@ -250,7 +250,7 @@
             state=UpstreamState.READY if found["state"] == STATE_READY else UpstreamState.LEAVING,
             revision=revision,
             born=found.get("born", 0),
-            cold_s=found["coldRemainingMs"] / MS,
+            cold_s=found["coldRemainingMs"] / MS_PER_S,
         )
     except vol.Invalid as fault:
         raise DocumentFault(f"it names no upstream to use: {fault}") from fault
