--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -67,7 +67,7 @@
         self._entry_grants: dict[str, EntryGrant] = {}
         self._keepalive_at = 0.0
         self._progress_at = 0.0
-        hub.on_members(self._announce_moved)
+        hub.on_members(self._handle_owner_changes)
         for answer in (Granted, Refused):
             hub.on_message(answer, self._handle_answer)
         hub.on_message(YieldAsked, self._handle_yield_request)
@@ -218,7 +218,7 @@
         for owner, items in batches.items():
             self._hub.send(owner, ProgressBatch(tuple(items)))
 
-    def _announce_moved(self) -> None:
+    def _handle_owner_changes(self) -> None:
         """Announce open grants, and ask again, where the owner has changed."""
         for grant in list(self._entry_grants.values()):
             owner = self._ownership.owner_for(grant.ask.group)
