--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -77,7 +77,7 @@
 
     history: SendHistory
     avoid: set[str] = field(default_factory=set)
-    answer: UpstreamResponse | None = None
+    response: UpstreamResponse | None = None
     """The latest error response of an upstream."""
     failure: SendFailure | None = None
 
@@ -105,15 +105,15 @@
         while True:
             problem = self._stop_reason(attempts)
             if problem is not None:
-                return attempts.answer or problem
+                return attempts.response or problem
             refusal = crash_refusal(self._state, self._admitted, attempts.history.ran)
             if refusal is not None:
-                return attempts.answer or self._unsent(attempts, refusal)
+                return attempts.response or self._unsent(attempts, refusal)
             option = self._choose(attempts)
             if isinstance(option, Problem):
-                return attempts.answer or option
+                return attempts.response or option
             if attempts.history.has_arrived and not self._try_take_retry():
-                return attempts.answer or self._unserved(attempts)
+                return attempts.response or self._unserved(attempts)
             result = self._send(option.upstream, attempts)
             if result is not None:
                 return result
@@ -204,7 +204,7 @@
             self._state.record_success(self._admitted.fingerprint)
         if outcome is Outcome.GOOD or self._admitted.route.repeat is not Repeat.SAFE:
             return result
-        attempts.answer = result
+        attempts.response = result
         return None
 
     def _exchange_with(
