--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -34,7 +34,9 @@
 """Characters of an object that can't be read which are logged."""
 NO_ERA: Final = 0
 """The era of a store that names none."""
-NOTHING_DONE: Final = frozenset({HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS})
+NOT_EXECUTED_STATUSES: Final = frozenset(
+    {HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS}
+)
 
 
 Item = TypeVar("Item")
@@ -270,7 +272,9 @@
         return body
     if status == HTTPStatus.GONE:
         raise HistoryUnavailable
-    raise PlatformUnavailable(f"the store answered {status}", sent=status not in NOTHING_DONE)
+    raise PlatformUnavailable(
+        f"the store answered {status}", sent=status not in NOT_EXECUTED_STATUSES
+    )
 
 
 def _rows(body: Any, name: str) -> list[Any]:
