--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -159,11 +159,11 @@
         """Take an owner's answer."""
         grant = self._entry_grants.get(message.request_id)
         if grant is None:
-            self._return_late(message)
+            self._close_late_grant(message)
         elif not grant.result.ready():
             grant.result.set(message)
 
-    def _return_late(self, message: GrantResult) -> None:
+    def _close_late_grant(self, message: GrantResult) -> None:
         """Give back a grant that nobody waits for any more."""
         if isinstance(message, Refused):
             return
