--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -56,8 +56,8 @@
             return refusal
         limits = context.state.rate_limiting
         ready = self._ready(attempts.avoid)
-        waits_s = limits.permit_wait_s(ready, self._max_wait_s())
-        closed = limits.denied_upstreams(ready, waits_s)
+        permit_wait_s = limits.permit_wait_s(ready, self._max_wait_s())
+        closed = limits.denied_upstreams(ready, permit_wait_s)
         if len(closed) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
             return limits.build_refusal(service, ready or attempts.denied, context.request_id)
@@ -74,7 +74,9 @@
         if context.history.has_arrived and not context.try_take_retry(run.upstream):
             return self._unserved(attempts)
         engine_id = run.upstream.upstream_id
-        if not limits.acquire_permit(engine_id, context.send_need(waits_s), context.request_id):
+        if not limits.acquire_permit(
+            engine_id, context.send_need(permit_wait_s), context.request_id
+        ):
             context.remove_run(run)
             attempts.avoid.add(engine_id)
             attempts.denied.append(engine_id)
