--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -29,7 +29,7 @@
 
 DROP_TIMEOUT_S: Final = 1.0
 
-WORD_TIMEOUT_S: Final = 0.5
+PROBE_TIMEOUT_S: Final = 0.5
 """An engine answers in a few milliseconds; one that does not is asked again soon."""
 
 STATES: Final = frozenset({"ready", "draining"})
@@ -85,7 +85,7 @@
     """Ask an engine whether it stays; what it says is some hundred milliseconds old."""
     sent_at = clock.now()
     try:
-        exchange = Exchange.open(engine.address, "GET", names.PATH_REPORT, {}, b"", WORD_TIMEOUT_S)
+        exchange = Exchange.open(engine.address, "GET", names.PATH_REPORT, {}, b"", PROBE_TIMEOUT_S)
         report = orjson.loads(exchange.read())
     except UpstreamError as fault:
         return ReportedState.TERMINATED if fault.refused else ReportedState.UNKNOWN
