--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -107,9 +107,9 @@
             grant.runner_id = result.runner_id
             return result
         del self._entry_grants[request.request_id]
-        return self._problem(result, request)
+        return self._build_problem(result, request)
 
-    def _problem(self, refused: Refused, request: Request) -> Problem:
+    def _build_problem(self, refused: Refused, request: Request) -> Problem:
         """Turn an owner's refusal into the caller's problem."""
         ticket = None
         if refused.ticket:
