--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -57,12 +57,12 @@
         limits = context.state.rate_limiting
         ready = self._ready(attempts.avoid)
         permit_wait_s = limits.permit_wait_s(ready, self._max_wait_s())
-        closed = limits.denied_upstreams(ready, permit_wait_s)
-        if len(closed) == len(ready) and (ready or attempts.denied):
+        denied_ids = limits.denied_upstreams(ready, permit_wait_s)
+        if len(denied_ids) == len(ready) and (ready or attempts.denied):
             service = context.admitted.service.name
             return limits.build_refusal(service, ready or attempts.denied, context.request_id)
         run = context.placement.place(
-            closed.union(attempts.avoid), lambda: context.is_caller_disconnected
+            denied_ids.union(attempts.avoid), lambda: context.is_caller_disconnected
         )
         if run is None:
             return self._unserved(attempts)
