--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -35,7 +35,7 @@
 STATES: Final = frozenset({"ready", "draining"})
 """What engines call their own standing in a report."""
 
-NOT_STOPPED: Final = frozenset({HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT})
+NOT_STOPPED_STATUSES: Final = frozenset({HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT})
 """Answers to a last step by which the run is not there, or another step is going on."""
 
 
@@ -73,7 +73,7 @@
         return MoveDone(copy_of)
     return MoveFailed(
         no_such_run=exchange.status == HTTPStatus.NOT_FOUND,
-        may_have_stopped=exchange.status not in NOT_STOPPED,
+        may_have_stopped=exchange.status not in NOT_STOPPED_STATUSES,
         # Only this answer means that the run has stopped and its memory was kept.
         copy_of=copy_of if last and exchange.status == HTTPStatus.SERVICE_UNAVAILABLE else "",
         detail=f"the engine answered {exchange.status}",
