--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -124,13 +124,13 @@
         """Send an ask to the group's present owner."""
         owner = self._ownership.owner_for(grant.ask.group)
         if grant.owner and owner != grant.owner:
-            self._hub.send(grant.owner, Close(grant.ask.group, self._id(grant), 0, False))
+            self._hub.send(grant.owner, Close(grant.ask.group, self._request_id(grant), 0, False))
         grant.owner = owner
         if owner:
             self._hub.send(owner, grant.ask)
 
     @staticmethod
-    def _id(grant: EntryGrant) -> str:
+    def _request_id(grant: EntryGrant) -> str:
         """Return the grant's id."""
         return grant.ask.request.request_id
 
@@ -197,7 +197,7 @@
         grant.paused = False
         runner = self._fleet.runners.get(grant.runner_id)
         if runner is not None:
-            gevent.spawn(control, runner, self._id(grant), "resume")
+            gevent.spawn(control, runner, self._request_id(grant), "resume")
 
     def _report_progress(self) -> None:
         """Report the progress of open generations to their owners."""
