--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -21,7 +21,7 @@
     """Record of the upstreams tried for one request."""
 
     avoid: set[str] = field(default_factory=set)
-    denied: list[str] = field(default_factory=list)
+    denied_ids: list[str] = field(default_factory=list)
     """Upstreams whose rate limit gave the request no turn."""
     detail: str = "no upstream takes requests"
 
@@ -58,9 +58,9 @@
         ready = self._ready(attempts.avoid)
         permit_wait_s = limits.permit_wait_s(ready, self._max_wait_s())
         denied_ids = limits.denied_upstreams(ready, permit_wait_s)
-        if len(denied_ids) == len(ready) and (ready or attempts.denied):
+        if len(denied_ids) == len(ready) and (ready or attempts.denied_ids):
             service = context.admitted.service.name
-            return limits.build_refusal(service, ready or attempts.denied, context.request_id)
+            return limits.build_refusal(service, ready or attempts.denied_ids, context.request_id)
         run = context.placement.place(
             denied_ids.union(attempts.avoid), lambda: context.is_caller_disconnected
         )
@@ -79,7 +79,7 @@
         ):
             context.remove_run(run)
             attempts.avoid.add(engine_id)
-            attempts.denied.append(engine_id)
+            attempts.denied_ids.append(engine_id)
             return None
         return self._send(run, attempts)
 
