--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -21,7 +21,7 @@
 configuration is to be in force everywhere within five seconds."""
 WATCH_S: Final = max_watch_wait_s(CATCH_UP_S)
 STATE_READY: Final = "ready"
-ONLY_ONE: Final = "main"
+SINGLETON_NAME: Final = "main"
 """The name of the object where a kind has only one."""
 
 
@@ -130,7 +130,7 @@
 def _place(key: str) -> tuple[str, str]:
     """Return the kind and the name of the object that holds a key's value."""
     product, part, *rest = key.split("/", 2)
-    return f"{product}-{part}", rest[0] if rest else ONLY_ONE
+    return f"{product}-{part}", rest[0] if rest else SINGLETON_NAME
 
 
 def _value(event: WatchEvent) -> VersionedValue:
