--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -139,7 +139,7 @@
         grant = self._entry_grants.get(request_id)
         return grant is not None and grant.paused
 
-    def progress(self, request_id: str, produced: int) -> None:
+    def record_progress(self, request_id: str, produced: int) -> None:
         """Note how far a generation is; it is reported in batches."""
         grant = self._entry_grants.get(request_id)
         if grant is not None:
