--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -103,7 +103,7 @@
         """Return the response, or a problem if there is none."""
         attempts = _Attempts(SendHistory(self._admitted.route.max_runs))
         while True:
-            problem = self._stop_reason(attempts)
+            problem = self._check_limits(attempts)
             if problem is not None:
                 return attempts.response or problem
             refusal = crash_refusal(self._state, self._admitted, attempts.history.ran)
@@ -165,7 +165,7 @@
         until = self._admitted.started_at + WAIT_FOR_TURN_SHARE * self._admitted.route.target_s
         return until - self._state.now()
 
-    def _stop_reason(self, attempts: _Attempts) -> Problem | None:
+    def _check_limits(self, attempts: _Attempts) -> Problem | None:
         """Return a problem if no further upstream may be tried, else None."""
         if self._is_caller_disconnected or self._remaining_s() <= 0:
             detail = "the time for this request is over"
