--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -29,7 +29,7 @@
 from driftstall.platform import names
 
 BEARER: Final = b"bearer "
-ONLY_ONCE: Final = (names.HEADER_REQUEST_ID, names.HEADER_DEADLINE_MS, names.HEADER_KEY)
+SINGLE_VALUE_HEADERS: Final = (names.HEADER_REQUEST_ID, names.HEADER_DEADLINE_MS, names.HEADER_KEY)
 CLOSES: Final = b"close"
 SET: Final = b"1"
 NOT_SET: Final = b"0"
@@ -41,7 +41,7 @@
 def read_request(headers: Headers) -> CallerMetadata:
     """Decode a caller's headers; raise BadHeaders where they contradict themselves."""
     counts = Counter(name.lower() for name, _ in headers)
-    if any(counts[name] > 1 for name in ONLY_ONCE):
+    if any(counts[name] > 1 for name in SINGLE_VALUE_HEADERS):
         raise BadHeaders("a header that may stand once stands twice")
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     input_tokens, max_tokens = _token_counts(first.get(names.HEADER_TOKENS, b""))
