--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -238,6 +238,6 @@
             self._hub.send(owner, message)
 
 
-def with_id(request: Request, request_id: str) -> Request:
+def with_request_id(request: Request, request_id: str) -> Request:
     """Return a request under the id of one attempt."""
     return replace(request, request_id=request_id)
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -36,7 +36,7 @@
 )
 from driftstall.core import PrefixMark, Problem, Ran, Request, Verdict
 from driftstall.daemon.fleet_service import FleetService
-from driftstall.daemon.grant_client import GrantClient, with_id
+from driftstall.daemon.grant_client import GrantClient, with_request_id
 from driftstall.daemon.hub import Hub
 from driftstall.daemon.poison_service import PoisonService
 from driftstall.daemon.signal_service import SignalService
@@ -331,7 +331,7 @@
         if refusal is not None:
             self._feed(GrantRefused(refusal))
             return
-        request = with_id(self._request, action.grant_id)
+        request = with_request_id(self._request, action.grant_id)
         ticket, self.ticket = self.ticket, ""
         answer = self._service.asking.acquire(
             request,
