--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -108,7 +108,7 @@
                 return attempts.response or problem
             refusal = crash_refusal(self._state, self._admitted, attempts.history.ran)
             if refusal is not None:
-                return attempts.response or self._unsent(attempts, refusal)
+                return attempts.response or self._refuse(attempts, refusal)
             option = self._choose(attempts)
             if isinstance(option, Problem):
                 return attempts.response or option
@@ -289,7 +289,7 @@
         """Return the seconds that remain until the request's deadline."""
         return self._admitted.ends_at - self._state.now()
 
-    def _unsent(self, attempts: _Attempts, refusal: Problem) -> Problem:
+    def _refuse(self, attempts: _Attempts, refusal: Problem) -> Problem:
         """Return the refusal, unless an earlier send of the request may have run."""
         return refusal if attempts.history.ran is Ran.NOT_RUN else self._unserved(attempts)
 
