--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -34,7 +34,9 @@
 SET: Final = b"1"
 NOT_SET: Final = b"0"
 BACKOFF_STATUSES: Final = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
-FOR_US: Final = frozenset({names.HEADER_LOAD, names.HEADER_NOT_RUN, names.HEADER_RATE_LIMIT})
+INTERNAL_RESPONSE_HEADERS: Final = frozenset(
+    {names.HEADER_LOAD, names.HEADER_NOT_RUN, names.HEADER_RATE_LIMIT}
+)
 """Headers of an upstream's answer that do not go on to the caller."""
 
 
@@ -85,7 +87,7 @@
     """
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     listed = _listed(first.get(b"connection", b""))
-    dropped = names.CONNECTION_HEADERS | listed | FOR_US
+    dropped = names.CONNECTION_HEADERS | listed | INTERNAL_RESPONSE_HEADERS
     return ResponseMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
         is_not_executed=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
