--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -57,7 +57,7 @@
     ) -> None:
         """Start owning nothing."""
         self._limits = limits
-        self._told_limits: dict[str, tuple[tuple[str, float], ...]] = {}
+        self._sent_limits: dict[str, tuple[tuple[str, float], ...]] = {}
         self._hub = hub
         self._members = members
         self._config = config
@@ -97,7 +97,7 @@
             return found
         controller = build_controller(group)
         self._owned[group] = controller
-        self._told_limits.pop(group, None)
+        self._sent_limits.pop(group, None)
         self._set_runners(group, controller)
         self._set_policy(controller)
         log_event(PREFIX_ADMISSION, f"This instance grants for group {group}")
@@ -148,8 +148,8 @@
         """Tell a controller which of its runners name a limit, where that has changed."""
         found = ((one, self._limits.per_s(one)) for one in sorted(controller.runners))
         limits = tuple((one, per_s) for one, per_s in found if per_s is not None)
-        if limits != self._told_limits.get(controller.group, ()):
-            self._told_limits[controller.group] = limits
+        if limits != self._sent_limits.get(controller.group, ()):
+            self._sent_limits[controller.group] = limits
             self._run(controller, RunnersLimited(controller.group, limits))
 
     def _poll(self) -> None:
