--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -113,7 +113,7 @@
             if isinstance(option, Problem):
                 return attempts.response or option
             if attempts.history.has_arrived and not self._try_take_retry():
-                return attempts.response or self._unserved(attempts)
+                return attempts.response or self._build_problem(attempts)
             result = self._send(option.upstream, attempts)
             if result is not None:
                 return result
@@ -133,7 +133,7 @@
             gate.record_send(option.upstream)
             return option
         if not options or attempts.history.ran is not Ran.NOT_RUN:
-            return self._unserved(attempts)
+            return self._build_problem(attempts)
         unlimited = [candidate for candidate in options if not candidate.is_limited]
         if not unlimited:
             ids = [candidate.upstream.upstream_id for candidate in options]
@@ -171,7 +171,7 @@
             detail = "the time for this request is over"
             return Problem(CODE_DEADLINE, 504, detail, attempts.history.ran)
         if not attempts.history.can_restart or attempts.history.sends >= MAX_SENDS:
-            return self._unserved(attempts)
+            return self._build_problem(attempts)
         return None
 
     def _try_take_retry(self) -> bool:
@@ -291,9 +291,9 @@
 
     def _refuse(self, attempts: _Attempts, refusal: Problem) -> Problem:
         """Return the refusal, unless an earlier send of the request may have run."""
-        return refusal if attempts.history.ran is Ran.NOT_RUN else self._unserved(attempts)
+        return refusal if attempts.history.ran is Ran.NOT_RUN else self._build_problem(attempts)
 
-    def _unserved(self, attempts: _Attempts) -> Problem:
+    def _build_problem(self, attempts: _Attempts) -> Problem:
         """Return the problem for a request without a response, stating whether it may have run."""
         if attempts.history.ran is not Ran.NOT_RUN:
             detail = "no whole answer came; the request may have run"
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -41,7 +41,7 @@
             result = self._attempt(attempts)
             if result is not None:
                 return result
-        return self._unserved(attempts)
+        return self._build_problem(attempts)
 
     def _attempt(self, attempts: _Attempts) -> OpenedResponse | Problem | None:
         """Place the request and send it; return None if another upstream may be tried."""
@@ -65,14 +65,14 @@
             denied_ids.union(attempts.avoid), lambda: context.is_caller_disconnected
         )
         if run is None:
-            return self._unserved(attempts)
+            return self._build_problem(attempts)
         refusal = context.refusal()
         if refusal is not None:
             # The request was quarantined while the stream waited for its placement.
             context.remove_run(run)
             return refusal
         if context.history.has_arrived and not context.try_take_retry(run.upstream):
-            return self._unserved(attempts)
+            return self._build_problem(attempts)
         engine_id = run.upstream.upstream_id
         if not limits.acquire_permit(
             engine_id, context.send_need(permit_wait_s), context.request_id
@@ -103,7 +103,7 @@
         attempts.avoid.add(run.upstream.upstream_id)
         return None
 
-    def _unserved(self, attempts: _Attempts) -> Problem:
+    def _build_problem(self, attempts: _Attempts) -> Problem:
         """Return the problem that no upstream accepts the request."""
         ran = self._context.history.ran
         return self._backoff_refusal() or Problem(
