--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -30,7 +30,7 @@
 
 BEARER: Final = b"bearer "
 SINGLE_VALUE_HEADERS: Final = (names.HEADER_REQUEST_ID, names.HEADER_DEADLINE_MS, names.HEADER_KEY)
-CLOSES: Final = b"close"
+CONNECTION_CLOSE: Final = b"close"
 SET: Final = b"1"
 NOT_SET: Final = b"0"
 BACKOFF_STATUSES: Final = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
@@ -93,7 +93,9 @@
         is_not_executed=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
         load=_load(first.get(names.HEADER_LOAD, b"")),
         signals=read_signals(status, first),
-        keep_alive_s=None if CLOSES in listed else _keep_alive(first.get(b"keep-alive", b"")),
+        keep_alive_s=None
+        if CONNECTION_CLOSE in listed
+        else _keep_alive(first.get(b"keep-alive", b"")),
         forwarded_headers=tuple([pair for pair in headers if pair[0].lower() not in dropped]),
     )
 
