--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -141,10 +141,10 @@
     def _tick(self) -> None:
         """Let time pass in all owned groups."""
         for controller in list(self._owned.values()):
-            self._tell_limits(controller)
+            self._update_limits(controller)
             self._run(controller, Tick())
 
-    def _tell_limits(self, controller: GrantsController) -> None:
+    def _update_limits(self, controller: GrantsController) -> None:
         """Tell a controller which of its runners name a limit, where that has changed."""
         found = ((one, self._limits.per_s(one)) for one in sorted(controller.runners))
         limits = tuple((one, per_s) for one, per_s in found if per_s is not None)
