--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -93,7 +93,7 @@
             attempts.detail = f"turned away with {result.head.status}"
             context.record_outcome(run, Outcome.FULL)
         elif result.sent:
-            return self._after_break(run, str(result))
+            return self._resume_after_break(run, str(result))
         else:
             attempts.detail = str(result)
             if context.state.can_start_on(run.upstream, context.history.sent_to):
@@ -133,7 +133,7 @@
         )
         return until - self._context.state.now()
 
-    def _after_break(self, run: StreamRun, detail: str) -> OpenedResponse | Problem:
+    def _resume_after_break(self, run: StreamRun, detail: str) -> OpenedResponse | Problem:
         """Resume at a replica after the connection broke before the response head."""
         self._context.handle_break(run)
         resumed = self._resumer.resume(run, detail)
