--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -87,7 +87,7 @@
     """
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     listed = _listed(first.get(b"connection", b""))
-    dropped = names.CONNECTION_HEADERS | listed | INTERNAL_RESPONSE_HEADERS
+    dropped = names.HOP_BY_HOP_HEADERS | listed | INTERNAL_RESPONSE_HEADERS
     return ResponseMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
         is_not_executed=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
@@ -134,7 +134,7 @@
 
 def _passed(headers: Headers, first: dict[bytes, bytes]) -> Headers:
     """Return the headers that go on to the upstream."""
-    dropped = names.CONNECTION_HEADERS | names.OWN_HEADERS | _listed(first.get(b"connection", b""))
+    dropped = names.HOP_BY_HOP_HEADERS | names.OWN_HEADERS | _listed(first.get(b"connection", b""))
     protected = {names.HEADER_REQUEST_ID, names.HEADER_MODEL, names.HEADER_TOKENS, b"host"}
     dropped -= protected | {names.HEADER_PROMPT}
     return tuple([pair for pair in headers if pair[0].lower() not in dropped])
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -26,7 +26,7 @@
 HEADER_COPY: Final = b"kv-from"
 HEADER_LENGTH_HINT: Final = b"length-hint"
 
-CONNECTION_HEADERS: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         b"connection",
         b"keep-alive",
