--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -63,7 +63,7 @@
         self._config = config
         self._fleet = fleet
         self._owned: dict[str, GrantsController] = {}
-        self._known: set[str] = set()
+        self._known_instances: set[str] = set()
         self._ownership = ownership
         self._trace: TraceRecorder | None = None
         if hub.settings.trace:
@@ -167,8 +167,8 @@
         """Take over and give up groups after a change among instances or runners."""
         own = self._hub.own.instance_id
         live = {one.instance_id for one in self._members.live}
-        lost = self._known - live
-        self._known = live
+        lost = self._known_instances - live
+        self._known_instances = live
         for group in list(self._owned):
             controller = self._owned[group]
             if group not in self._fleet.groups:
