--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -55,7 +55,7 @@
         if refusal is not None:
             return refusal
         limits = context.state.rate_limiting
-        ready = self._ready(attempts.avoid)
+        ready = self._ready_ids(attempts.avoid)
         permit_wait_s = limits.permit_wait_s(ready, self._max_wait_s())
         denied_ids = limits.denied_upstreams(ready, permit_wait_s)
         if len(denied_ids) == len(ready) and (ready or attempts.denied_ids):
@@ -116,7 +116,7 @@
             return None
         return backoff_refusal(self._context.state, self._context.admitted)
 
-    def _ready(self, avoid: set[str]) -> list[str]:
+    def _ready_ids(self, avoid: set[str]) -> list[str]:
         """Return the ids of ready upstreams outside avoid that are not in back-off."""
         ready = self._context.state.fleet.ready(self._context.admitted.service.name)
         return [
