--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -134,7 +134,9 @@
 
 def _passed(headers: Headers, first: dict[bytes, bytes]) -> Headers:
     """Return the headers that go on to the upstream."""
-    dropped = names.HOP_BY_HOP_HEADERS | names.OWN_HEADERS | _listed(first.get(b"connection", b""))
+    dropped = (
+        names.HOP_BY_HOP_HEADERS | names.RESERVED_HEADERS | _listed(first.get(b"connection", b""))
+    )
     protected = {names.HEADER_REQUEST_ID, names.HEADER_MODEL, names.HEADER_TOKENS, b"host"}
     dropped -= protected | {names.HEADER_PROMPT}
     return tuple([pair for pair in headers if pair[0].lower() not in dropped])
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -58,7 +58,7 @@
 """Headers of responses that begin as signals do and are known."""
 SIGNAL_PREFIXES: Final = (b"server-", b"x-driftstall-")
 
-OWN_HEADERS: Final = frozenset(
+RESERVED_HEADERS: Final = frozenset(
     {
         HEADER_DEADLINE_MS,
         HEADER_WORKSPACE,
