--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -39,7 +39,7 @@
         self._failures: dict[str, int] = {}
         self._loaded: dict[str, str] = {}
         self._cache_at: dict[str, int] = {}
-        hub.on_config(self._configured)
+        hub.on_config(self._handle_config)
         hub.on_message(RunnerLeaving, self._told)
 
     @property
@@ -190,7 +190,7 @@
         """Tell listeners that runners changed."""
         self._hub.members_changed()
 
-    def _configured(self, document: ConfigDocument) -> None:
+    def _handle_config(self, document: ConfigDocument) -> None:
         """Take over the configured runners."""
         self._runners = {
             one.runner_id: Runner(
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -68,7 +68,7 @@
         self._trace: TraceRecorder | None = None
         if hub.settings.trace:
             self._trace = TraceRecorder.to_path(hub.settings.trace)
-        hub.on_config(self._configured)
+        hub.on_config(self._handle_config)
         hub.on_members(self._reconsider)
         for kind in (Ask, Announce, Close):
             hub.on_message(kind, self._owner_event)
@@ -120,7 +120,7 @@
             if self._trace is not None:
                 self._trace.record_weights(controller.group, policy.weights, policy.overflow)
 
-    def _configured(self, _: ConfigDocument) -> None:
+    def _handle_config(self, _: ConfigDocument) -> None:
         """Take over a new policy."""
         for controller in self._owned.values():
             self._set_policy(controller)
