--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -100,7 +100,7 @@
         )
         if service is None or service.engine is None:
             return None
-        self._forget_expired()
+        self._remove_expired()
         engine = service.engine
         # The placer knows the load of all engines equally well, so it compares all of them.
         sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
@@ -143,7 +143,7 @@
         self._state.loads.set_pending(asked.request_id, share)
         self._pending.add(asked.sender, asked.request_id, self._state.now())
 
-    def _forget_expired(self) -> None:
+    def _remove_expired(self) -> None:
         """Drop pending placements that no report has covered in time."""
         for request_id in self._pending.expired(self._state.now()):
             self._state.loads.remove_pending(request_id)
