--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -35,7 +35,7 @@
 NOT_SET: Final = b"0"
 BACKOFF_STATUSES: Final = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
 INTERNAL_RESPONSE_HEADERS: Final = frozenset(
-    {names.HEADER_LOAD, names.HEADER_NOT_RUN, names.HEADER_RATE_LIMIT}
+    {names.HEADER_LOAD, names.HEADER_NOT_EXECUTED, names.HEADER_RATE_LIMIT}
 )
 """Headers of an upstream's answer that do not go on to the caller."""
 
@@ -90,7 +90,8 @@
     dropped = names.HOP_BY_HOP_HEADERS | listed | INTERNAL_RESPONSE_HEADERS
     return ResponseMetadata(
         request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
-        is_not_executed=names.HEADER_NOT_RUN in first or status == HTTPStatus.MISDIRECTED_REQUEST,
+        is_not_executed=names.HEADER_NOT_EXECUTED in first
+        or status == HTTPStatus.MISDIRECTED_REQUEST,
         load=_load(first.get(names.HEADER_LOAD, b"")),
         signals=read_signals(status, first),
         keep_alive_s=None
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -18,7 +18,7 @@
 """Set to 1 in all responses of an upstream that leaves."""
 HEADER_RETRY_AFTER: Final = b"retry-after"
 """With 429 and 503: seconds for which the upstream wants no requests from this instance."""
-HEADER_NOT_RUN: Final = b"x-driftstall-not-executed"
+HEADER_NOT_EXECUTED: Final = b"x-driftstall-not-executed"
 HEADER_LAST_EVENT_ID: Final = b"last-event-id"
 HEADER_KEY: Final = b"authorization"
 HEADER_RANK: Final = b"priority"
@@ -49,7 +49,7 @@
         HEADER_LOAD,
         HEADER_RATE_LIMIT,
         HEADER_LEAVING,
-        HEADER_NOT_RUN,
+        HEADER_NOT_EXECUTED,
         b"x-driftstall-response-seal",
         b"x-driftstall-instance-id",
         b"server-timing",
@@ -73,7 +73,7 @@
         b"hold",
         b"pin-ms",
         b"wait-ms",
-        HEADER_NOT_RUN,
+        HEADER_NOT_EXECUTED,
         HEADER_LOAD,
         HEADER_RATE_LIMIT,
         HEADER_LEAVING,
