--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -71,7 +71,7 @@
         hub.on_config(self._handle_config)
         hub.on_members(self._reconsider)
         for kind in (Ask, Announce, Close):
-            hub.on_message(kind, self._owner_event)
+            hub.on_message(kind, self._handle_entry_event)
         hub.on_message(ProgressBatch, self._progress_batch)
 
     @property
@@ -125,7 +125,7 @@
         for controller in self._owned.values():
             self._set_policy(controller)
 
-    def _owner_event(self, _: str, message: Ask | Announce | Close) -> None:
+    def _handle_entry_event(self, _: str, message: Ask | Announce | Close) -> None:
         """Take an entry's event as the owner."""
         controller = self._controller(message.group)
         if controller is not None:
