--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -63,10 +63,10 @@
             return None
         if placer == self._own_id:
             return self._choose(asked)
-        answer = self._waiting[asked.request_id] = AsyncResult()
+        pending_reply = self._waiting[asked.request_id] = AsyncResult()
         try:
             self._send(placer, asked)
-            given: PlacementGiven | None = answer.wait(timeout=PLACEMENT_TIMEOUT_S)
+            given: PlacementGiven | None = pending_reply.wait(timeout=PLACEMENT_TIMEOUT_S)
         finally:
             del self._waiting[asked.request_id]
         if given is None:
