--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -23,7 +23,7 @@
 HEADER_KEY: Final = b"authorization"
 HEADER_RANK: Final = b"priority"
 HEADER_BACKUP: Final = b"kv-backup"
-HEADER_COPY: Final = b"kv-from"
+HEADER_KV_FROM: Final = b"kv-from"
 HEADER_LENGTH_HINT: Final = b"length-hint"
 
 HOP_BY_HOP_HEADERS: Final = frozenset(
@@ -67,7 +67,7 @@
         HEADER_KEY,
         HEADER_RANK,
         HEADER_BACKUP,
-        HEADER_COPY,
+        HEADER_KV_FROM,
         b"kv-fetch",
         b"expect-version",
         b"hold",
