--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -72,7 +72,7 @@
         hub.on_members(self._reconsider)
         for kind in (Ask, Announce, Close):
             hub.on_message(kind, self._handle_entry_event)
-        hub.on_message(ProgressBatch, self._progress_batch)
+        hub.on_message(ProgressBatch, self._handle_progress_batch)
 
     @property
     def owned(self) -> dict[str, GrantsController]:
@@ -131,7 +131,7 @@
         if controller is not None:
             self._run(controller, message)
 
-    def _progress_batch(self, _: str, message: ProgressBatch) -> None:
+    def _handle_progress_batch(self, _: str, message: ProgressBatch) -> None:
         """Take an entry's progress as the owner."""
         for item in message.items:
             controller = self._owned.get(item.group)
