--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -53,7 +53,7 @@
         self._send = send
         self._order = PlacerSelector()
         self._pending = PendingPlacements()
-        self._waiting: dict[str, AsyncResult] = {}
+        self._pending_replies: dict[str, AsyncResult] = {}
         self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
     def place(self, asked: PlacementAsked) -> PlacementGiven | None:
@@ -63,12 +63,12 @@
             return None
         if placer == self._own_id:
             return self._choose(asked)
-        pending_reply = self._waiting[asked.request_id] = AsyncResult()
+        pending_reply = self._pending_replies[asked.request_id] = AsyncResult()
         try:
             self._send(placer, asked)
             given: PlacementGiven | None = pending_reply.wait(timeout=PLACEMENT_TIMEOUT_S)
         finally:
-            del self._waiting[asked.request_id]
+            del self._pending_replies[asked.request_id]
         if given is None:
             self._order.record_timeout(placer, self._state.now())
             log_event(
@@ -78,7 +78,7 @@
 
     def handle_placement(self, given: PlacementGiven) -> None:
         """Handle the reply of a placer; a late one is ignored."""
-        waiting = self._waiting.get(given.request_id)
+        waiting = self._pending_replies.get(given.request_id)
         if waiting is not None:
             waiting.set(given)
 
