--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -22,7 +22,7 @@
 HEADER_LAST_EVENT_ID: Final = b"last-event-id"
 HEADER_KEY: Final = b"authorization"
 HEADER_RANK: Final = b"priority"
-HEADER_BACKUP: Final = b"kv-backup"
+HEADER_KV_BACKUP: Final = b"kv-backup"
 HEADER_KV_FROM: Final = b"kv-from"
 HEADER_LENGTH_HINT: Final = b"length-hint"
 
@@ -66,7 +66,7 @@
         HEADER_LAST_EVENT_ID,
         HEADER_KEY,
         HEADER_RANK,
-        HEADER_BACKUP,
+        HEADER_KV_BACKUP,
         HEADER_KV_FROM,
         b"kv-fetch",
         b"expect-version",
