--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -154,10 +154,12 @@
 
     def _poll(self) -> None:
         """Fetch reports for all owned groups."""
-        jobs = [gevent.spawn(self._fleet.poll, group, self._polled) for group in self._owned]
+        jobs = [
+            gevent.spawn(self._fleet.poll, group, self._handle_poll_result) for group in self._owned
+        ]
         gevent.joinall(jobs)
 
-    def _polled(self, event: RunnerReport | CacheEvents) -> None:
+    def _handle_poll_result(self, event: RunnerReport | CacheEvents) -> None:
         """Take a runner's report or cache events as the owner."""
         controller = self._owned.get(event.group)
         if controller is not None:
