--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -78,9 +78,9 @@
 
     def handle_placement(self, given: PlacementGiven) -> None:
         """Handle the reply of a placer; a late one is ignored."""
-        waiting = self._pending_replies.get(given.request_id)
-        if waiting is not None:
-            waiting.set(given)
+        pending_reply = self._pending_replies.get(given.request_id)
+        if pending_reply is not None:
+            pending_reply.set(given)
 
     def handle_request(self, asked: PlacementAsked) -> None:
         """Answer a placement request of another instance; no reply without a configuration."""
