--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -111,7 +111,7 @@
 def drop_replica(holder: Upstream, copy_of: str, observe: SignalObserver = ignore_signals) -> None:
     """Free a copy's memory; a call to its source frees it at both engines."""
     handle = copy_of.rpartition("/")[2]
-    path = f"{names.PATH_COPY}/{handle}"
+    path = f"{names.PATH_KV_HANDLE}/{handle}"
     sent_at = clock.now()
     try:
         exchange = Exchange.open(holder.address, "DELETE", path, {}, b"", DROP_TIMEOUT_S)
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -91,7 +91,7 @@
 PATH_OBJECTS: Final = "/api/objects"
 PATH_MOVE: Final = "/api/kv-move"
 PATH_REPORT: Final = "/api/report"
-PATH_COPY: Final = "/api/kv-handle"
+PATH_KV_HANDLE: Final = "/api/kv-handle"
 
 KIND_UPSTREAMS: Final = "servers"
 KIND_CORDONS: Final = "evacuations"
