--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -69,7 +69,7 @@
         if hub.settings.trace:
             self._trace = TraceRecorder.to_path(hub.settings.trace)
         hub.on_config(self._handle_config)
-        hub.on_members(self._reconsider)
+        hub.on_members(self._update_ownership)
         for kind in (Ask, Announce, Close):
             hub.on_message(kind, self._handle_entry_event)
         hub.on_message(ProgressBatch, self._handle_progress_batch)
@@ -165,7 +165,7 @@
         if controller is not None:
             self._run(controller, event)
 
-    def _reconsider(self) -> None:
+    def _update_ownership(self) -> None:
         """Take over and give up groups after a change among instances or runners."""
         own = self._hub.own.instance_id
         live = {one.instance_id for one in self._members.live}
