--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -51,14 +51,14 @@
         self._own_id = state.settings.instance_id
         self._roles = roles
         self._send = send
-        self._order = PlacerSelector()
+        self._placer_order = PlacerSelector()
         self._pending = PendingPlacements()
         self._pending_replies: dict[str, AsyncResult] = {}
         self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
     def place(self, asked: PlacementAsked) -> PlacementGiven | None:
         """Return the placement of a stream; None if this instance has to choose by itself."""
-        placer = self._order.select(self._roles().placers, self._state.now())
+        placer = self._placer_order.select(self._roles().placers, self._state.now())
         if placer is None:
             return None
         if placer == self._own_id:
@@ -70,7 +70,7 @@
         finally:
             del self._pending_replies[asked.request_id]
         if given is None:
-            self._order.record_timeout(placer, self._state.now())
+            self._placer_order.record_timeout(placer, self._state.now())
             log_event(
                 PREFIX_ROUTING, f"No placement from {placer} in time", request=asked.request_id
             )
