--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -56,7 +56,7 @@
     try:
         body = orjson.dumps(wanted)
         exchange = Exchange.open(
-            source.address, "POST", names.PATH_MOVE, headers, body, MOVE_TIMEOUT_S
+            source.address, "POST", names.PATH_KV_MOVE, headers, body, MOVE_TIMEOUT_S
         )
         observe(source, read_signals(exchange.status, exchange.headers), sent_at)
         raw = exchange.read()
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -89,7 +89,7 @@
 PATH_READY: Final = "/api/ready"
 PATH_LOCATE: Final = "/api/resolve"
 PATH_OBJECTS: Final = "/api/objects"
-PATH_MOVE: Final = "/api/kv-move"
+PATH_KV_MOVE: Final = "/api/kv-move"
 PATH_REPORT: Final = "/api/report"
 PATH_KV_HANDLE: Final = "/api/kv-handle"
 
