--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -124,7 +124,7 @@
             unique = f"{self._unique}-{message.shard}"
             holder = ClaimsHolder(message.shard, self._hub.own.instance_id, unique)
             self._holders[message.shard] = holder
-        self._run(holder, message)
+        self._dispatch(holder, message)
 
     def _flush(self) -> None:
         """Write groups of claims."""
@@ -137,9 +137,9 @@
                 bucket = TokenBucket(WRITES_PER_S / SHARDS, WRITE_BURST, now)
                 self._write_buckets[shard] = bucket
             if bucket.reserve(1.0, now) == 0.0:
-                self._run(holder, FlushDue())
+                self._dispatch(holder, FlushDue())
 
-    def _run(self, holder: ClaimsHolder, event: ClaimEvent) -> None:
+    def _dispatch(self, holder: ClaimsHolder, event: ClaimEvent) -> None:
         """Hand an event to a holder and carry out its actions."""
         for action in holder.handle(event, self._hub.wall()):
             if isinstance(action, ClaimAnswer):
@@ -150,9 +150,9 @@
     def _carry_out(self, holder: ClaimsHolder, action: ClaimAction) -> None:
         """Read or write a shard's object."""
         if isinstance(action, ReadShard):
-            self._run(holder, self._read(action.shard))
+            self._dispatch(holder, self._read(action.shard))
         elif isinstance(action, WriteShard):
-            self._run(holder, self._write(action))
+            self._dispatch(holder, self._write(action))
 
     def _read(self, shard: int) -> ClaimEvent:
         """Read a shard's object."""
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -110,7 +110,7 @@
             for one in self._fleet.groups[group]
             if self._fleet.may_get_work(one.runner_id)
         )
-        self._run(controller, RunnersChanged(group, runners))
+        self._dispatch(controller, RunnersChanged(group, runners))
 
     def _set_policy(self, controller: GrantsController) -> None:
         """Tell a controller the policy's weights and bound."""
@@ -129,20 +129,20 @@
         """Take an entry's event as the owner."""
         controller = self._controller(message.group)
         if controller is not None:
-            self._run(controller, message)
+            self._dispatch(controller, message)
 
     def _handle_progress_batch(self, _: str, message: ProgressBatch) -> None:
         """Take an entry's progress as the owner."""
         for item in message.items:
             controller = self._owned.get(item.group)
             if controller is not None:
-                self._run(controller, item)
+                self._dispatch(controller, item)
 
     def _tick(self) -> None:
         """Let time pass in all owned groups."""
         for controller in list(self._owned.values()):
             self._update_limits(controller)
-            self._run(controller, Tick())
+            self._dispatch(controller, Tick())
 
     def _update_limits(self, controller: GrantsController) -> None:
         """Tell a controller which of its runners name a limit, where that has changed."""
@@ -150,7 +150,7 @@
         limits = tuple((one, per_s) for one, per_s in found if per_s is not None)
         if limits != self._sent_limits.get(controller.group, ()):
             self._sent_limits[controller.group] = limits
-            self._run(controller, RunnersLimited(controller.group, limits))
+            self._dispatch(controller, RunnersLimited(controller.group, limits))
 
     def _poll(self) -> None:
         """Fetch reports for all owned groups."""
@@ -163,7 +163,7 @@
         """Take a runner's report or cache events as the owner."""
         controller = self._owned.get(event.group)
         if controller is not None:
-            self._run(controller, event)
+            self._dispatch(controller, event)
 
     def _update_ownership(self) -> None:
         """Take over and give up groups after a change among instances or runners."""
@@ -177,7 +177,7 @@
                 del self._owned[group]
                 continue
             for entry in lost:
-                self._run(controller, EntryLost(entry))
+                self._dispatch(controller, EntryLost(entry))
             self._set_runners(group, controller)
             if (
                 self._ownership.owner_for(group) != own
@@ -188,7 +188,7 @@
             if self._ownership.owner_for(group) == own:
                 self._controller(group)
 
-    def _run(self, controller: GrantsController, event: GrantEvent) -> None:
+    def _dispatch(self, controller: GrantsController, event: GrantEvent) -> None:
         """Hand an event to a controller and send what it answers."""
         now = self._hub.now()
         actions = controller.handle(event, now)
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -54,7 +54,7 @@
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
         if not is_first and not self._controller.has_lease(self._hub.now()):
             return
-        self._run(PlacementPeriod(is_first, self._wanted() if is_first else ()))
+        self._dispatch(PlacementPeriod(is_first, self._wanted() if is_first else ()))
 
     def _wanted(self) -> tuple[WantedModel, ...]:
         """Return what each model runner is to serve, and what it reports."""
@@ -70,12 +70,12 @@
                 wanted.append(WantedModel(one.runner_id, one.model, loaded, one.checks_fences))
         return tuple(wanted)
 
-    def _run(self, event: PlacementEvent) -> None:
+    def _dispatch(self, event: PlacementEvent) -> None:
         """Hand an event to the controller and carry out its actions."""
         for action in self._controller.handle(event, self._hub.now()):
             follow_up = self._carry_out(action)
             if follow_up is not None:
-                self._run(follow_up)
+                self._dispatch(follow_up)
 
     def _carry_out(self, action: PlacementAction) -> PlacementEvent | None:
         """Read or write the lease, or send an order."""
