--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -52,7 +52,7 @@
         self._roles = roles
         self._send = send
         self._placer_order = PlacerSelector()
-        self._pending = PendingPlacements()
+        self._pending_placements = PendingPlacements()
         self._pending_replies: dict[str, AsyncResult] = {}
         self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
@@ -90,7 +90,7 @@
 
     def handle_report(self, member: str) -> None:
         """Drop the pending placements that a member's report of its runs now covers."""
-        for request_id in self._pending.reported(member, self._state.now()):
+        for request_id in self._pending_placements.reported(member, self._state.now()):
             self._state.loads.remove_pending(request_id)
 
     def _choose(self, asked: PlacementAsked) -> PlacementGiven | None:
@@ -141,9 +141,9 @@
         tokens = asked.prompt_tokens + int(GROWTH_SHARE * asked.output_tokens)
         share = RequestLoad(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
         self._state.loads.set_pending(asked.request_id, share)
-        self._pending.add(asked.sender, asked.request_id, self._state.now())
+        self._pending_placements.add(asked.sender, asked.request_id, self._state.now())
 
     def _remove_expired(self) -> None:
         """Drop pending placements that no report has covered in time."""
-        for request_id in self._pending.expired(self._state.now()):
+        for request_id in self._pending_placements.expired(self._state.now()):
             self._state.loads.remove_pending(request_id)
