--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -91,7 +91,7 @@
 
     def __init__(self, address: str, token: str = "") -> None:
         """Take the store's address, IP and port, and an access token if it wants one."""
-        self._era_seen: Callable[[int], None] | None = None
+        self._on_era: Callable[[int], None] | None = None
         self._era: int | None = None
         self._address = address
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
@@ -109,7 +109,7 @@
 
     def subscribe_store_eras(self, era_seen: Callable[[int], None]) -> None:
         """Have somebody told of each era that an answer is the first to name."""
-        self._era_seen = era_seen
+        self._on_era = era_seen
 
     def use_address(self, address: str) -> None:
         """Call another address from now on."""
@@ -235,8 +235,8 @@
         era = int(told)
         if era != self._era:
             self._era = era
-            if self._era_seen is not None:
-                self._era_seen(era)
+            if self._on_era is not None:
+                self._on_era(era)
         return era
 
 
