--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -90,7 +90,7 @@
         shares = [one.load(now) for one in self._owned.values()]
         return sum(shares) / len(shares) if shares else 0.0
 
-    def _controller(self, group: str) -> GrantsController | None:
+    def _get_or_create_controller(self, group: str) -> GrantsController | None:
         """Return the controller of a group, building it if the group exists."""
         found = self._owned.get(group)
         if found is not None or group not in self._fleet.groups:
@@ -127,7 +127,7 @@
 
     def _handle_entry_event(self, _: str, message: Ask | Announce | Close) -> None:
         """Take an entry's event as the owner."""
-        controller = self._controller(message.group)
+        controller = self._get_or_create_controller(message.group)
         if controller is not None:
             self._dispatch(controller, message)
 
@@ -186,7 +186,7 @@
                 del self._owned[group]
         for group in self._fleet.groups:
             if self._ownership.owner_for(group) == own:
-                self._controller(group)
+                self._get_or_create_controller(group)
 
     def _dispatch(self, controller: GrantsController, event: GrantEvent) -> None:
         """Hand an event to a controller and send what it answers."""
