--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -147,16 +147,16 @@
             waits_since = self._state.now()
             try:
                 item = run.exchange.next(self._max_wait_s(run))
-            except UpstreamError as fault:
-                return fault
-            except TimeoutError as fault:
+            except UpstreamError as error:
+                return error
+            except TimeoutError as error:
                 if (
                     self._context.remaining_s() > 0
                     and not self._context.replicas.has_current_backup(run)
                 ):
                     # The backup engine has left meanwhile, so waiting is the only option.
                     continue
-                return fault
+                return error
             finally:
                 run.waited_s += self._state.now() - waits_since
             if isinstance(item, BodyChunk):
