--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -49,7 +49,7 @@
         now_ms = _now_ms()
         found = []
         for stored in self._store.list(names.KIND_CRASHES).objects:
-            told = _told(stored, now_ms)
+            told = _decode_report(stored, now_ms)
             if told is not None and told.crashes:
                 found.append(told)
             else:
@@ -78,7 +78,7 @@
         self._store.delete(names.KIND_CRASHES, fingerprint)
 
 
-def _told(stored: StoredObject, now_ms: int) -> PoisonReport | None:
+def _decode_report(stored: StoredObject, now_ms: int) -> PoisonReport | None:
     """Decode one object; None where it can't be read."""
     try:
         spec: dict[str, Any] = _SPEC(stored.spec)
