--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -38,7 +38,7 @@
 from driftstall.helpers.log import log_event
 from driftstall.platform.client import WriteState
 
-FLUSH_S: Final = 0.03
+FLUSH_PERIOD_S: Final = 0.03
 WRITES_PER_S: Final = 70.0
 """Writes a second of all shards together; the platform takes about 100."""
 WRITE_BURST: Final = 20.0
@@ -62,7 +62,7 @@
 
     def start(self) -> None:
         """Start to write groups of claims."""
-        self._hub.every(FLUSH_S, self._flush, PREFIX_CLAIMS)
+        self._hub.every(FLUSH_PERIOD_S, self._flush, PREFIX_CLAIMS)
 
     def claim(self, key: str, fingerprint: str, nonce: str) -> ClaimAnswer:
         """Return the answer to a claim; unavailable if none came in time."""
