--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -107,7 +107,9 @@
             values = [_versioned(one) for one in listing.objects]
             return listing.at.revision, tuple(values)
         answer = self._store.watch(kind, StoreVersion.of(self._store.era, after), WATCH_S)
-        return answer.at.revision, tuple(_value(event) for event in answer.events if not event.gone)
+        return answer.at.revision, tuple(
+            _value(event) for event in answer.events if not event.removed
+        )
 
     def members(self) -> tuple[ListedMember, ...]:
         """Return the platform's list of instances and runners."""
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -74,11 +74,11 @@
 
     def _change(self, event: WatchEvent) -> ItemChange[Item] | None:
         """Decode one change."""
-        if event.gone and self._decode_removed is not None:
+        if event.removed and self._decode_removed is not None:
             return ItemChange(self._decode_removed(event.changed), removed=True)
         item = self._item(event.changed)
         if item is not None:
-            return ItemChange(item, event.gone)
+            return ItemChange(item, event.removed)
         if self._decode_removed is not None:
             return ItemChange(self._decode_removed(event.changed), removed=True)
         return None
--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -66,7 +66,7 @@
     """Hold one change of an object."""
 
     changed: StoredObject
-    gone: bool
+    removed: bool
 
 
 @dataclass(frozen=True, slots=True)
