--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -56,8 +56,8 @@
         self._holders: dict[int, ClaimsHolder] = {}
         self._write_buckets: dict[int, TokenBucket] = {}
         self._pending: dict[str, AsyncResult[ClaimAnswer]] = {}
-        hub.on_message(ClaimAsked, self._holder_event)
-        hub.on_message(ClaimSettled, self._holder_event)
+        hub.on_message(ClaimAsked, self._handle_entry_event)
+        hub.on_message(ClaimSettled, self._handle_entry_event)
         hub.on_message(ClaimAnswer, self._answered)
 
     def start(self) -> None:
@@ -117,7 +117,7 @@
             # We gave up on this claim; the key was freed by the settle sent then.
             log_event(PREFIX_CLAIMS, f"Claim {message.nonce} was granted too late")
 
-    def _holder_event(self, _: str, message: ClaimAsked | ClaimSettled) -> None:
+    def _handle_entry_event(self, _: str, message: ClaimAsked | ClaimSettled) -> None:
         """Take an entry's event as the shard's holder."""
         holder = self._holders.get(message.shard)
         if holder is None:
