--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -182,7 +182,7 @@
 
     def _forward(self, run: StreamRun, events: list[Event]) -> Exception | None:
         """Write events to the caller; return an error if one is missing or the caller left."""
-        wanted: list[bytes] = []
+        next_events: list[bytes] = []
         fault: UpstreamError | None = None
         for event in events:
             order = self._order.check(event)
@@ -190,13 +190,13 @@
                 fault = UpstreamError("an event of the stream is missing", sent=True)
                 break
             if order is EventContinuity.NEXT:
-                wanted.append(event.data)
+                next_events.append(event.data)
                 run.last_event_id = event.event_id or run.last_event_id
         # Events before a gap are already counted as relayed: if they were not written, a resumed
         # stream would lack them.
-        if wanted:
-            self._count(run, len(wanted))
-            if not self._connection.write(encode_chunk(b"".join(wanted))):
+        if next_events:
+            self._count(run, len(next_events))
+            if not self._connection.write(encode_chunk(b"".join(next_events))):
                 self._context.is_caller_disconnected = True
                 return UpstreamError("the caller has disconnected", sent=True)
         return fault
