--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -58,7 +58,7 @@
         self._pending: dict[str, AsyncResult[ClaimAnswer]] = {}
         hub.on_message(ClaimAsked, self._handle_entry_event)
         hub.on_message(ClaimSettled, self._handle_entry_event)
-        hub.on_message(ClaimAnswer, self._answered)
+        hub.on_message(ClaimAnswer, self._handle_answer)
 
     def start(self) -> None:
         """Start to write groups of claims."""
@@ -108,7 +108,7 @@
         holder = owner_of(f"claims/{shard}", self._members.live)
         return holder.instance_id if holder else ""
 
-    def _answered(self, _: str, message: ClaimAnswer) -> None:
+    def _handle_answer(self, _: str, message: ClaimAnswer) -> None:
         """Take a holder's answer."""
         pending = self._pending.get(message.nonce)
         if pending is not None:
