--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -185,11 +185,11 @@
         next_events: list[bytes] = []
         fault: UpstreamError | None = None
         for event in events:
-            order = self._order.check(event)
-            if order is EventContinuity.GAP:
+            continuity = self._order.check(event)
+            if continuity is EventContinuity.GAP:
                 fault = UpstreamError("an event of the stream is missing", sent=True)
                 break
-            if order is EventContinuity.NEXT:
+            if continuity is EventContinuity.NEXT:
                 next_events.append(event.data)
                 run.last_event_id = event.event_id or run.last_event_id
         # Events before a gap are already counted as relayed: if they were not written, a resumed
