--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -52,7 +52,7 @@
         """Start holding nothing."""
         self._hub = hub
         self._members = members
-        self._unique = uuid.uuid4().hex[:12]
+        self._holder_nonce = uuid.uuid4().hex[:12]
         self._holders: dict[int, ClaimsHolder] = {}
         self._write_buckets: dict[int, TokenBucket] = {}
         self._pending: dict[str, AsyncResult[ClaimAnswer]] = {}
@@ -121,7 +121,7 @@
         """Take an entry's event as the shard's holder."""
         holder = self._holders.get(message.shard)
         if holder is None:
-            unique = f"{self._unique}-{message.shard}"
+            unique = f"{self._holder_nonce}-{message.shard}"
             holder = ClaimsHolder(message.shard, self._hub.own.instance_id, unique)
             self._holders[message.shard] = holder
         self._dispatch(holder, message)
