--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -67,7 +67,7 @@
         self._context = StreamContext(state, mover, call, admitted)
         self._resumer = StreamResumer(self._context)
         self._opener = StreamOpener(self._context, self._resumer)
-        self._order = EventSequence()
+        self._sequence = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
         self._keep = keep
@@ -185,7 +185,7 @@
         next_events: list[bytes] = []
         fault: UpstreamError | None = None
         for event in events:
-            continuity = self._order.check(event)
+            continuity = self._sequence.check(event)
             if continuity is EventContinuity.GAP:
                 fault = UpstreamError("an event of the stream is missing", sent=True)
                 break
