--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -20,7 +20,7 @@
 from driftstall.runners.engine import fetch_cache_events, fetch_report
 
 POLL_PERIOD_S: Final = 0.5
-FAILURES_TO_LEAVE: Final = 2
+MAX_POLL_FAILURES: Final = 2
 """Polls in a row without an answer after which a runner gets no new work."""
 
 
@@ -63,7 +63,7 @@
             runner_id in self._runners
             and runner_id not in self._said_leaving
             and not self._members.listed_leaving(runner_id)
-            and self._failures.get(runner_id, 0) < FAILURES_TO_LEAVE
+            and self._failures.get(runner_id, 0) < MAX_POLL_FAILURES
         )
 
     def groups_for(self, model: str) -> tuple[str, ...]:
@@ -107,7 +107,7 @@
         except UpstreamError:
             self._count_failure(runner_id)
             return
-        if self._failures.pop(runner_id, 0) >= FAILURES_TO_LEAVE:
+        if self._failures.pop(runner_id, 0) >= MAX_POLL_FAILURES:
             self._changed()
         self._loaded[runner_id] = report.model
         self._reported(runner_id, leaving=report.leaving)
@@ -154,7 +154,7 @@
         self._failures[runner_id] = self._failures.get(runner_id, 0) + 1
         # What answers next may be another start, which has signalled nothing.
         self._signalled.discard(runner_id)
-        if self._failures[runner_id] == FAILURES_TO_LEAVE:
+        if self._failures[runner_id] == MAX_POLL_FAILURES:
             log_event(PREFIX_ROUTING, f"Runner {runner_id} does not answer and gets no new work")
             self._changed()
 
