--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -57,7 +57,7 @@
         """Return the model that each polled runner last reported."""
         return self._loaded
 
-    def may_get_work(self, runner_id: str) -> bool:
+    def can_get_work(self, runner_id: str) -> bool:
         """Tell whether a runner may get new work."""
         return (
             runner_id in self._runners
@@ -75,7 +75,7 @@
         return tuple(
             one
             for one in self._runners.values()
-            if one.service == name and self.may_get_work(one.runner_id)
+            if one.service == name and self.can_get_work(one.runner_id)
         )
 
     def poll(self, group: str, deliver: Callable[[RunnerReport | CacheEvents], None]) -> None:
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -108,7 +108,7 @@
         runners = tuple(
             (one.runner_id, one.memory_tokens, one.zone)
             for one in self._fleet.groups[group]
-            if self._fleet.may_get_work(one.runner_id)
+            if self._fleet.can_get_work(one.runner_id)
         )
         self._dispatch(controller, RunnersChanged(group, runners))
 
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -224,7 +224,7 @@
                     "runner": one.runner_id,
                     "zone": one.zone,
                     "serves": one.model or one.service,
-                    "state": "live" if node.fleet.may_get_work(one.runner_id) else "leaving",
+                    "state": "live" if node.fleet.can_get_work(one.runner_id) else "leaving",
                     "open": len(state.grants) if state else None,
                     "memory": one.memory_tokens,
                     "forecast": round(state.forecast.peak(0.0)) if state else None,
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -55,7 +55,7 @@
         engines = [
             one
             for one in self._fleet.runners.values()
-            if one.model == model and self._fleet.may_get_work(one.runner_id)
+            if one.model == model and self._fleet.can_get_work(one.runner_id)
         ]
         return self.refusal(model, engines, request_id)
 
