--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -16,9 +16,9 @@
 KEEP_ALIVE_HEADER: Final = b"Connection: keep-alive"
 
 
-def encode_response(status: int, headers: Headers, body: bytes, *, keep: bool) -> bytes:
+def encode_response(status: int, headers: Headers, body: bytes, *, keep_alive: bool) -> bytes:
     """Return the bytes of a whole response."""
-    extra = (b"Content-Length: %d" % len(body), KEEP_ALIVE_HEADER if keep else CLOSE_HEADER)
+    extra = (b"Content-Length: %d" % len(body), KEEP_ALIVE_HEADER if keep_alive else CLOSE_HEADER)
     return encode_head(status, headers, extra) + body
 
 
@@ -29,4 +29,4 @@
         seconds = max(MIN_RETRY_S, problem.retry_after_s)
         headers.append((b"Retry-After", b"%.2f" % seconds))
     body = orjson.dumps(problem_fields(problem))
-    return encode_response(problem.status, tuple(headers), body, keep=keep)
+    return encode_response(problem.status, tuple(headers), body, keep_alive=keep)
