--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -70,7 +70,7 @@
         """Return the groups that serve a model."""
         return tuple(name for name in self._groups if name.rpartition("/")[0] == model)
 
-    def services(self, name: str) -> tuple[Runner, ...]:
+    def live_services(self, name: str) -> tuple[Runner, ...]:
         """Return the runners of a plain service that may get work."""
         return tuple(
             one
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -78,7 +78,7 @@
 
     def call(self, context: RequestContext) -> ServiceResponse | Problem:
         """Make a call and return its answer."""
-        if not self._fleet.services(context.service):
+        if not self._fleet.live_services(context.service):
             detail = f"no runner of the service {context.service} is live"
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
         if context.idempotency_key:
@@ -166,7 +166,7 @@
 
     def _choose(self, context: RequestContext, avoid: set[str]) -> Runner | Problem | None:
         """Choose a runner that may be sent the call now; a problem where limits allow none."""
-        live = self._fleet.services(context.service)
+        live = self._fleet.live_services(context.service)
         left_out = avoid | self._signals.backing_off
         runners = [one for one in live if one.runner_id not in left_out]
         if not runners:
