--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -91,7 +91,7 @@
         services = [one for one in self._runners.values() if one.service]
         gevent.joinall([gevent.spawn(self._poll_service, one) for one in services])
 
-    def failed(self, runner_id: str) -> None:
+    def record_failure(self, runner_id: str) -> None:
         """Learn that a connection to a runner was refused."""
         self._count_failure(runner_id)
 
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -368,7 +368,7 @@
             self._last_progress_at = self._opened_at = self._hub.now()
             self._stream = open_stream(runner, action.generation, self._payload, action.rank)
         except UpstreamError as fault:
-            self._service.fleet.failed(action.runner_id)
+            self._service.fleet.record_failure(action.runner_id)
             self._handle_stream_failure(fault)
 
     def _resume(self, action: ResumeStream) -> None:
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -215,7 +215,7 @@
                     runner, request_fingerprint(context), under_way=False
                 )
             else:
-                self._fleet.failed(runner_id)
+                self._fleet.record_failure(runner_id)
             return _SendResult(None, fault.sent, str(fault), broke=fault.sent)
         finally:
             self._open_calls[runner_id] -= 1
