--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -99,7 +99,7 @@
         self._state.stats.malformed += 1
         problem = Problem(CODE_BAD_REQUEST, int(fault.status), fault.detail, Ran.NOT_RUN)
         log_event(PREFIX_RELAY, f"Request answered with {problem.status}: {problem.detail}")
-        connection.write(encode_problem(problem, keep=False))
+        connection.write(encode_problem(problem, keep_alive=False))
 
     def _answer(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Answer one request; return whether the connection is kept."""
@@ -117,16 +117,16 @@
 
     def _answer_counted(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Admit one request and serve it."""
-        keep = call.keep_alive and self._state.stopping_since is None
+        keep_alive = call.keep_alive and self._state.stopping_since is None
         admitted = self._admit(call)
         if isinstance(admitted, AdmittedRequest):
             refusal = self._drain.refusal(admitted)
             if refusal is None:
-                return self._serve_admitted(connection, call, admitted, keep=keep)
+                return self._serve_admitted(connection, call, admitted, keep_alive=keep_alive)
             admitted = refusal
         # After contradictory headers, the bytes that follow cannot be trusted either.
-        keep = keep and admitted.code != CODE_BAD_REQUEST
-        return self._answer_problem(connection, admitted, keep=keep)
+        keep_alive = keep_alive and admitted.code != CODE_BAD_REQUEST
+        return self._answer_problem(connection, admitted, keep_alive=keep_alive)
 
     def _admit(self, call: CallerRequest) -> AdmittedRequest | Problem:
         """Decode the request's headers and run the admission filters."""
@@ -158,17 +158,21 @@
         call: CallerRequest,
         admitted: AdmittedRequest,
         *,
-        keep: bool,
+        keep_alive: bool,
     ) -> bool:
         """Serve an admitted request, and cancel it if its caller disconnects."""
         if admitted.route.repeat is Repeat.STREAM:
-            relay = StreamRelay(self._state, self._mover, connection, call, admitted, keep=keep)
+            relay = StreamRelay(
+                self._state, self._mover, connection, call, admitted, keep_alive=keep_alive
+            )
             return self._serve_watched(connection, relay.handle_disconnect, relay.serve)
         call_relay = CallRelay(self._state, call, admitted)
         return self._serve_watched(
             connection,
             call_relay.handle_disconnect,
-            lambda: self._answer_call(connection, call_relay.serve(), admitted, keep=keep),
+            lambda: self._answer_call(
+                connection, call_relay.serve(), admitted, keep_alive=keep_alive
+            ),
         )
 
     def _serve_watched(
@@ -193,7 +197,7 @@
         result: UpstreamResponse | Problem,
         admitted: AdmittedRequest,
         *,
-        keep: bool,
+        keep_alive: bool,
     ) -> bool:
         """Write the response to a plain call."""
         if isinstance(result, Problem):
@@ -204,21 +208,21 @@
                 route=admitted.route.name,
                 ran=result.ran.value,
             )
-            return self._answer_problem(connection, result, keep=keep)
+            return self._answer_problem(connection, result, keep_alive=keep_alive)
         self._state.stats.completed += 1
         self._state.stats.answer_s.observe({}, self._state.now() - admitted.started_at)
-        data = encode_response(result.status, result.headers, result.body, keep=keep)
-        return connection.write(data) and keep
+        data = encode_response(result.status, result.headers, result.body, keep_alive=keep_alive)
+        return connection.write(data) and keep_alive
 
     def _answer_problem(
-        self, connection: CallerConnection, problem: Problem, *, keep: bool
+        self, connection: CallerConnection, problem: Problem, *, keep_alive: bool
     ) -> bool:
         """Write a problem response, and count it."""
         if problem.retry_after_s is not None:
             self._state.stats.refused += 1
         else:
             self._state.stats.failed += 1
-        return connection.write(encode_problem(problem, keep=keep)) and keep
+        return connection.write(encode_problem(problem, keep_alive=keep_alive)) and keep_alive
 
 
 def request_fingerprint(call: CallerRequest, workspace: str) -> str:
@@ -263,9 +267,9 @@
         """Return the response to one readiness check."""
         target = call.target.decode("latin-1")
         if not self._state.dialect.is_readiness_check(target):
-            return encode_response(404, (), b"", keep=call.keep_alive)
+            return encode_response(404, (), b"", keep_alive=call.keep_alive)
         status = 200 if self._state.is_ready else 503
-        return encode_response(status, (), b"", keep=call.keep_alive)
+        return encode_response(status, (), b"", keep_alive=call.keep_alive)
 
 
 class MetricsHandler:
@@ -286,7 +290,9 @@
         if call.path.startswith(f"{CRASHES_PATH}/") and call.method == b"DELETE":
             return self._clear(call)
         body = render(self._state.stats, self._gauges())
-        return encode_response(200, ((b"Content-Type", b"text/plain"),), body, keep=call.keep_alive)
+        return encode_response(
+            200, ((b"Content-Type", b"text/plain"),), body, keep_alive=call.keep_alive
+        )
 
     def _crashes(self, call: CallerRequest) -> bytes:
         """List the quarantined requests, which are sent to no upstream."""
@@ -300,7 +306,7 @@
             for fingerprint, verdict in sorted(found.items())
         ]
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
-        return encode_response(200, headers, orjson.dumps(rows), keep=call.keep_alive)
+        return encode_response(200, headers, orjson.dumps(rows), keep_alive=call.keep_alive)
 
     def _clear(self, call: CallerRequest) -> bytes:
         """Clear a quarantined request, here and at the other instances."""
@@ -309,7 +315,7 @@
         if is_known:
             log_event(PREFIX_ROUTING, f"Request {fingerprint} cleared by an operator")
             self._state.record_success(fingerprint)
-        return encode_response(200 if is_known else 404, (), b"", keep=call.keep_alive)
+        return encode_response(200 if is_known else 404, (), b"", keep_alive=call.keep_alive)
 
 
 class LocateHandler:
@@ -324,19 +330,19 @@
         """Return the response to one locate request; 503 if no instance is ready."""
         zone = self._state.dialect.requested_zone(call.target.decode("latin-1"))
         if zone is None:
-            return encode_response(404, (), b"", keep=call.keep_alive)
+            return encode_response(404, (), b"", keep_alive=call.keep_alive)
         chosen = self._choose(zone)
         if not chosen:
             detail = "no instance is ready"
             problem = Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
-            return encode_problem(problem, keep=call.keep_alive)
+            return encode_problem(problem, keep_alive=call.keep_alive)
         keep_s = min(LOCATE_KEEP_S, self._state.settings.bounds.locate_keep_s)
         body = self._state.dialect.encode_locations(
             tuple(instance.address for instance in chosen), keep_s
         )
         log_event(PREFIX_LOCATE, f"Caller in zone {zone} directed to {len(chosen)} instances")
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
-        return encode_response(200, headers, body, keep=call.keep_alive)
+        return encode_response(200, headers, body, keep_alive=call.keep_alive)
 
     def _choose(self, zone: str) -> tuple[Instance, ...]:
         """Return the ready instances of the caller's zone if there are enough, else all."""
--- a/driftstall/gateway/responses.py
+++ b/driftstall/gateway/responses.py
@@ -22,11 +22,11 @@
     return encode_head(status, headers, extra) + body
 
 
-def encode_problem(problem: Problem, *, keep: bool) -> bytes:
+def encode_problem(problem: Problem, *, keep_alive: bool) -> bytes:
     """Return the bytes of a problem response, with Retry-After if the problem has one."""
     headers: list[tuple[bytes, bytes]] = [(b"Content-Type", PROBLEM_TYPE.encode())]
     if problem.retry_after_s is not None:
         seconds = max(MIN_RETRY_S, problem.retry_after_s)
         headers.append((b"Retry-After", b"%.2f" % seconds))
     body = orjson.dumps(problem_fields(problem))
-    return encode_response(problem.status, tuple(headers), body, keep_alive=keep)
+    return encode_response(problem.status, tuple(headers), body, keep_alive=keep_alive)
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -55,7 +55,7 @@
         call: CallerRequest,
         admitted: AdmittedRequest,
         *,
-        keep: bool,
+        keep_alive: bool,
     ) -> None:
         """Initialize with the caller's connection and request.
 
@@ -70,7 +70,7 @@
         self._sequence = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
-        self._keep = keep
+        self._keep = keep_alive
 
     def handle_disconnect(self) -> None:
         """Abandon the stream: closing the connection makes its upstream stop."""
@@ -127,7 +127,7 @@
         self._state.stats.failed += 1
         body = b"".join(parts)
         data = encode_response(
-            opened.head.status, opened.metadata.forwarded_headers, body, keep=self._keep
+            opened.head.status, opened.metadata.forwarded_headers, body, keep_alive=self._keep
         )
         return self._connection.write(data) and self._keep
 
@@ -272,4 +272,4 @@
             route=self._admitted.route.name,
             ran=problem.ran.value,
         )
-        return self._connection.write(encode_problem(problem, keep=self._keep)) and self._keep
+        return self._connection.write(encode_problem(problem, keep_alive=self._keep)) and self._keep
