--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -135,7 +135,7 @@
         self._failures.pop(runner.runner_id, None)
         self._reported(runner.runner_id, leaving=leaving)
 
-    def signalled_leaving(self, runner_id: str) -> None:
+    def handle_leaving_signal(self, runner_id: str) -> None:
         """Take in that a runner has signalled in a response that it leaves."""
         if runner_id in self._signalled:
             return
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -88,7 +88,7 @@
 
     @_handle.register
     def _(self, signal: LeavingSignal, runner_id: str, sent_at: float) -> None:
-        self._fleet.signalled_leaving(runner_id)
+        self._fleet.handle_leaving_signal(runner_id)
 
     @_handle.register
     def _(self, signal: BackoffSignal, runner_id: str, sent_at: float) -> None:
