--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -70,7 +70,7 @@
         self._sequence = EventSequence()
         self._head_sent = False
         self._longest_gap_s = 0.0
-        self._keep = keep_alive
+        self._keep_alive = keep_alive
 
     def handle_disconnect(self) -> None:
         """Abandon the stream: closing the connection makes its upstream stop."""
@@ -127,13 +127,16 @@
         self._state.stats.failed += 1
         body = b"".join(parts)
         data = encode_response(
-            opened.head.status, opened.metadata.forwarded_headers, body, keep_alive=self._keep
+            opened.head.status, opened.metadata.forwarded_headers, body, keep_alive=self._keep_alive
         )
-        return self._connection.write(data) and self._keep
+        return self._connection.write(data) and self._keep_alive
 
     def _send_head(self, opened: OpenedResponse) -> bool:
         """Send the response head to the caller."""
-        extra = (b"Transfer-Encoding: chunked", KEEP_ALIVE_HEADER if self._keep else CLOSE_HEADER)
+        extra = (
+            b"Transfer-Encoding: chunked",
+            KEEP_ALIVE_HEADER if self._keep_alive else CLOSE_HEADER,
+        )
         self._head_sent = True
         return self._connection.write(
             encode_head(opened.head.status, opened.metadata.forwarded_headers, extra)
@@ -238,7 +241,7 @@
             moves=run.moves,
             longest_gap_ms=int(self._longest_gap_s * 1000),
         )
-        return self._connection.write(LAST_CHUNK) and self._keep
+        return self._connection.write(LAST_CHUNK) and self._keep_alive
 
     def _break_off(self, run: StreamRun, cause: str) -> bool:
         """End a stream that cannot resume; the missing last chunk tells the caller."""
@@ -272,4 +275,7 @@
             route=self._admitted.route.name,
             ran=problem.ran.value,
         )
-        return self._connection.write(encode_problem(problem, keep_alive=self._keep)) and self._keep
+        return (
+            self._connection.write(encode_problem(problem, keep_alive=self._keep_alive))
+            and self._keep_alive
+        )
