--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -33,7 +33,7 @@
         self._members = members
         self._runners: dict[str, Runner] = {}
         self._groups: dict[str, tuple[Runner, ...]] = {}
-        self._said_leaving: set[str] = set()
+        self._leaving: set[str] = set()
         self._signalled: set[str] = set()
         """Those that have signalled so in a response; reports may be older."""
         self._failures: dict[str, int] = {}
@@ -61,7 +61,7 @@
         """Tell whether a runner may get new work."""
         return (
             runner_id in self._runners
-            and runner_id not in self._said_leaving
+            and runner_id not in self._leaving
             and not self._members.listed_leaving(runner_id)
             and self._failures.get(runner_id, 0) < MAX_POLL_FAILURES
         )
@@ -146,7 +146,7 @@
         """Take in a runner's report, which may be older than what it has signalled."""
         if runner_id in self._signalled:
             return
-        if leaving != (runner_id in self._said_leaving):
+        if leaving != (runner_id in self._leaving):
             self._spread_leaving(runner_id, leaving)
 
     def _count_failure(self, runner_id: str) -> None:
@@ -176,12 +176,12 @@
 
     def _mark(self, runner_id: str, leaving: bool) -> None:
         """Mark a runner as leaving or not."""
-        if leaving == (runner_id in self._said_leaving):
+        if leaving == (runner_id in self._leaving):
             return
         if leaving:
-            self._said_leaving.add(runner_id)
+            self._leaving.add(runner_id)
         else:
-            self._said_leaving.discard(runner_id)
+            self._leaving.discard(runner_id)
         word = "is leaving and gets no new work" if leaving else "is back"
         log_event(PREFIX_ROUTING, f"Runner {runner_id} {word}")
         self._changed()
