--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -34,7 +34,7 @@
         self._runners: dict[str, Runner] = {}
         self._groups: dict[str, tuple[Runner, ...]] = {}
         self._leaving: set[str] = set()
-        self._signalled: set[str] = set()
+        self._signalled_leaving: set[str] = set()
         """Those that have signalled so in a response; reports may be older."""
         self._failures: dict[str, int] = {}
         self._loaded: dict[str, str] = {}
@@ -137,14 +137,14 @@
 
     def handle_leaving_signal(self, runner_id: str) -> None:
         """Take in that a runner has signalled in a response that it leaves."""
-        if runner_id in self._signalled:
+        if runner_id in self._signalled_leaving:
             return
-        self._signalled.add(runner_id)
+        self._signalled_leaving.add(runner_id)
         self._spread_leaving(runner_id, True)
 
     def _reported(self, runner_id: str, *, leaving: bool) -> None:
         """Take in a runner's report, which may be older than what it has signalled."""
-        if runner_id in self._signalled:
+        if runner_id in self._signalled_leaving:
             return
         if leaving != (runner_id in self._leaving):
             self._spread_leaving(runner_id, leaving)
@@ -153,7 +153,7 @@
         """Count a poll without an answer."""
         self._failures[runner_id] = self._failures.get(runner_id, 0) + 1
         # What answers next may be another start, which has signalled nothing.
-        self._signalled.discard(runner_id)
+        self._signalled_leaving.discard(runner_id)
         if self._failures[runner_id] == MAX_POLL_FAILURES:
             log_event(PREFIX_ROUTING, f"Runner {runner_id} does not answer and gets no new work")
             self._changed()
@@ -163,15 +163,15 @@
         self._mark(runner_id, leaving)
         for one in self._members.live:
             if one.instance_id != self._hub.own.instance_id:
-                signalled = runner_id in self._signalled
+                signalled = runner_id in self._signalled_leaving
                 self._hub.send(one.instance_id, RunnerLeaving(runner_id, leaving, signalled))
 
     def _told(self, _: str, message: RunnerLeaving) -> None:
         """Learn from a peer that a runner is leaving or back."""
         if message.signalled:
-            self._signalled.add(message.runner_id)
+            self._signalled_leaving.add(message.runner_id)
         elif not message.leaving:
-            self._signalled.discard(message.runner_id)
+            self._signalled_leaving.discard(message.runner_id)
         self._mark(message.runner_id, message.leaving)
 
     def _mark(self, runner_id: str, leaving: bool) -> None:
