--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -110,7 +110,7 @@
         if self._failures.pop(runner_id, 0) >= MAX_POLL_FAILURES:
             self._changed()
         self._loaded[runner_id] = report.model
-        self._reported(runner_id, leaving=report.leaving)
+        self._record_leaving_report(runner_id, leaving=report.leaving)
         deliver(
             RunnerReport(
                 group,
@@ -133,7 +133,7 @@
             self._count_failure(runner.runner_id)
             return
         self._failures.pop(runner.runner_id, None)
-        self._reported(runner.runner_id, leaving=leaving)
+        self._record_leaving_report(runner.runner_id, leaving=leaving)
 
     def handle_leaving_signal(self, runner_id: str) -> None:
         """Take in that a runner has signalled in a response that it leaves."""
@@ -142,7 +142,7 @@
         self._signalled_leaving.add(runner_id)
         self._spread_leaving(runner_id, True)
 
-    def _reported(self, runner_id: str, *, leaving: bool) -> None:
+    def _record_leaving_report(self, runner_id: str, *, leaving: bool) -> None:
         """Take in a runner's report, which may be older than what it has signalled."""
         if runner_id in self._signalled_leaving:
             return
