--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -140,14 +140,14 @@
         if runner_id in self._signalled_leaving:
             return
         self._signalled_leaving.add(runner_id)
-        self._spread_leaving(runner_id, True)
+        self._publish_leaving(runner_id, True)
 
     def _record_leaving_report(self, runner_id: str, *, leaving: bool) -> None:
         """Take in a runner's report, which may be older than what it has signalled."""
         if runner_id in self._signalled_leaving:
             return
         if leaving != (runner_id in self._leaving):
-            self._spread_leaving(runner_id, leaving)
+            self._publish_leaving(runner_id, leaving)
 
     def _count_failure(self, runner_id: str) -> None:
         """Count a poll without an answer."""
@@ -158,7 +158,7 @@
             log_event(PREFIX_ROUTING, f"Runner {runner_id} does not answer and gets no new work")
             self._changed()
 
-    def _spread_leaving(self, runner_id: str, leaving: bool) -> None:
+    def _publish_leaving(self, runner_id: str, leaving: bool) -> None:
         """Take a runner's own word and pass it on to all peers."""
         self._mark(runner_id, leaving)
         for one in self._members.live:
