--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -40,7 +40,7 @@
         self._loaded: dict[str, str] = {}
         self._cache_at: dict[str, int] = {}
         hub.on_config(self._handle_config)
-        hub.on_message(RunnerLeaving, self._told)
+        hub.on_message(RunnerLeaving, self._handle_peer_report)
 
     @property
     def runners(self) -> dict[str, Runner]:
@@ -166,7 +166,7 @@
                 signalled = runner_id in self._signalled_leaving
                 self._hub.send(one.instance_id, RunnerLeaving(runner_id, leaving, signalled))
 
-    def _told(self, _: str, message: RunnerLeaving) -> None:
+    def _handle_peer_report(self, _: str, message: RunnerLeaving) -> None:
         """Learn from a peer that a runner is leaving or back."""
         if message.signalled:
             self._signalled_leaving.add(message.runner_id)
