--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -160,7 +160,7 @@
 
     def _publish_leaving(self, runner_id: str, leaving: bool) -> None:
         """Take a runner's own word and pass it on to all peers."""
-        self._mark(runner_id, leaving)
+        self._set_leaving(runner_id, leaving)
         for one in self._members.live:
             if one.instance_id != self._hub.own.instance_id:
                 signalled = runner_id in self._signalled_leaving
@@ -172,9 +172,9 @@
             self._signalled_leaving.add(message.runner_id)
         elif not message.leaving:
             self._signalled_leaving.discard(message.runner_id)
-        self._mark(message.runner_id, message.leaving)
+        self._set_leaving(message.runner_id, message.leaving)
 
-    def _mark(self, runner_id: str, leaving: bool) -> None:
+    def _set_leaving(self, runner_id: str, leaving: bool) -> None:
         """Mark a runner as leaving or not."""
         if leaving == (runner_id in self._leaving):
             return
