--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -108,7 +108,7 @@
             self._count_failure(runner_id)
             return
         if self._failures.pop(runner_id, 0) >= MAX_POLL_FAILURES:
-            self._changed()
+            self._notify_changed()
         self._loaded[runner_id] = report.model
         self._record_leaving_report(runner_id, leaving=report.leaving)
         deliver(
@@ -156,7 +156,7 @@
         self._signalled_leaving.discard(runner_id)
         if self._failures[runner_id] == MAX_POLL_FAILURES:
             log_event(PREFIX_ROUTING, f"Runner {runner_id} does not answer and gets no new work")
-            self._changed()
+            self._notify_changed()
 
     def _publish_leaving(self, runner_id: str, leaving: bool) -> None:
         """Take a runner's own word and pass it on to all peers."""
@@ -184,9 +184,9 @@
             self._leaving.discard(runner_id)
         word = "is leaving and gets no new work" if leaving else "is back"
         log_event(PREFIX_ROUTING, f"Runner {runner_id} {word}")
-        self._changed()
+        self._notify_changed()
 
-    def _changed(self) -> None:
+    def _notify_changed(self) -> None:
         """Tell listeners that runners changed."""
         self._hub.members_changed()
 
@@ -205,4 +205,4 @@
             for one in document.runners
         }
         self._groups = group_runners(self._runners.values())
-        self._changed()
+        self._notify_changed()
