--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -38,7 +38,7 @@
         """Those that have signalled so in a response; reports may be older."""
         self._failures: dict[str, int] = {}
         self._loaded: dict[str, str] = {}
-        self._cache_at: dict[str, int] = {}
+        self._cache_positions: dict[str, int] = {}
         hub.on_config(self._handle_config)
         hub.on_message(RunnerLeaving, self._handle_peer_report)
 
@@ -102,7 +102,7 @@
         runner_id = runner.runner_id
         try:
             report = fetch_report(runner)
-            after = self._cache_at.get(runner_id, 0)
+            after = self._cache_positions.get(runner_id, 0)
             position, stored, evicted = fetch_cache_events(runner, after)
         except UpstreamError:
             self._count_failure(runner_id)
@@ -121,7 +121,7 @@
                 self._hub.now(),
             )
         )
-        self._cache_at[runner_id] = position
+        self._cache_positions[runner_id] = position
         if stored or evicted:
             deliver(CacheEvents(group, runner_id, stored, evicted))
 
