--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -37,7 +37,7 @@
         self._signalled_leaving: set[str] = set()
         """Those that have signalled so in a response; reports may be older."""
         self._failures: dict[str, int] = {}
-        self._loaded: dict[str, str] = {}
+        self._loaded_models: dict[str, str] = {}
         self._cache_positions: dict[str, int] = {}
         hub.on_config(self._handle_config)
         hub.on_message(RunnerLeaving, self._handle_peer_report)
@@ -55,7 +55,7 @@
     @property
     def loaded(self) -> dict[str, str]:
         """Return the model that each polled runner last reported."""
-        return self._loaded
+        return self._loaded_models
 
     def can_get_work(self, runner_id: str) -> bool:
         """Tell whether a runner may get new work."""
@@ -109,7 +109,7 @@
             return
         if self._failures.pop(runner_id, 0) >= MAX_POLL_FAILURES:
             self._notify_changed()
-        self._loaded[runner_id] = report.model
+        self._loaded_models[runner_id] = report.model
         self._record_leaving_report(runner_id, leaving=report.leaving)
         deliver(
             RunnerReport(
