--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -323,5 +323,5 @@
 
 
 def _outcome_of(answer: UpstreamResponse) -> Outcome:
-    """Return the outcome of a whole response by its status."""
+    """Return FAILED for a response with a server error, else GOOD."""
     return Outcome.FAILED if answer.status >= FIRST_SERVER_ERROR else Outcome.GOOD
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -59,7 +59,7 @@
     ) -> None:
         """Initialize with the caller's connection and request.
 
-        With keep, the connection may serve further requests afterwards.
+        With keep_alive, the connection may serve further requests afterwards.
         """
         self._state = state
         self._connection = connection
@@ -95,15 +95,15 @@
         if not self._head_sent and not self._send_head(opened):
             return False
         while True:
-            broken = self._relay_events(run)
-            if broken is None:
+            error = self._relay_events(run)
+            if error is None:
                 return self._complete(run)
             if self._context.is_caller_disconnected:
                 return False
-            self._context.handle_break(run, broken)
-            resumed = self._resumer.resume(run, str(broken))
+            self._context.handle_break(run, error)
+            resumed = self._resumer.resume(run, str(error))
             if resumed is None:
-                return self._break_off(run, str(broken))
+                return self._break_off(run, str(error))
             assert self._context.run is not None
             run = self._context.run
 
@@ -147,7 +147,7 @@
         assert run.exchange is not None
         splitter = EventSplitter()
         while True:
-            waits_since = self._state.now()
+            wait_began_at = self._state.now()
             try:
                 item = run.exchange.next(self._max_wait_s(run))
             except UpstreamError as error:
@@ -161,11 +161,11 @@
                     continue
                 return error
             finally:
-                run.waited_s += self._state.now() - waits_since
+                run.waited_s += self._state.now() - wait_began_at
             if isinstance(item, BodyChunk):
-                fault_or_none = self._forward(run, splitter.feed(item.data))
-                if fault_or_none is not None:
-                    return fault_or_none
+                relay_error = self._forward(run, splitter.feed(item.data))
+                if relay_error is not None:
+                    return relay_error
             elif isinstance(item, ResponseEnd):
                 if splitter.is_inside_event:
                     return UpstreamError("the stream ended inside an event", sent=True)
