--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -221,9 +221,9 @@
         try:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._remaining_s()))
             exchange = self._state.connect(upstream, timeout_s)
-        except UpstreamError as fault:
+        except UpstreamError as error:
             self._state.loads.remove_load(request_id)
-            return SendFailure(Outcome.UNREACHABLE, SendOutcome.UNSENT, str(fault))
+            return SendFailure(Outcome.UNREACHABLE, SendOutcome.UNSENT, str(error))
         self._exchange = exchange
         try:
             if self._is_caller_disconnected:
@@ -235,12 +235,12 @@
             if first:
                 self._state.retry_budget(upstream.service).record_request(self._state.now())
             return self._read_answer(upstream, exchange)
-        except UpstreamError as fault:
+        except UpstreamError as error:
             return SendFailure(
-                Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(fault), is_broken_off=True
+                Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(error), is_broken_off=True
             )
-        except TimeoutError as fault:
-            return SendFailure(Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(fault))
+        except TimeoutError as error:
+            return SendFailure(Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(error))
         finally:
             exchange.close()
             self._exchange = None
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -122,9 +122,9 @@
             connection = socket.create_connection(split_address(address), timeout_s)
             tune(connection)
             return cls(connection)
-        except OSError as fault:
-            detail = f"no connection to {address}: {type(fault).__name__}"
-            raise UpstreamError(detail, sent=False) from fault
+        except OSError as error:
+            detail = f"no connection to {address}: {type(error).__name__}"
+            raise UpstreamError(detail, sent=False) from error
 
     def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes, timeout_s: float
@@ -140,8 +140,8 @@
         self.sent_at = clock.now()
         try:
             self._send_data(data, until)
-        except OSError as fault:
-            raise UpstreamError(f"sending failed: {type(fault).__name__}", sent=True) from fault
+        except OSError as error:
+            raise UpstreamError(f"sending failed: {type(error).__name__}", sent=True) from error
 
     def _send_data(self, data: bytes, until: float) -> None:
         """Send the data, a large request in pieces until the upstream responds."""
@@ -192,17 +192,17 @@
             data = self._connection.recv(RECEIVE_BYTES)
         except TimeoutError:
             return
-        except OSError as fault:
-            raise UpstreamError(f"receiving failed: {type(fault).__name__}", sent=True) from fault
+        except OSError as error:
+            raise UpstreamError(f"receiving failed: {type(error).__name__}", sent=True) from error
         if not data:
             self._ended()
             return
         try:
             self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._builder.items:
-                detail = f"invalid HTTP response: {type(fault).__name__}"
-                raise UpstreamError(detail, sent=True) from fault
+                detail = f"invalid HTTP response: {type(error).__name__}"
+                raise UpstreamError(detail, sent=True) from error
         finally:
             heads, self._builder.new_heads = self._builder.new_heads, []
             for head in heads:
--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -68,7 +68,7 @@
         """Start before the first request."""
         self._limits = limits
         self.requests: deque[CallerRequest] = deque()
-        self.fault: MalformedRequest | None = None
+        self.error: MalformedRequest | None = None
         self.parser: Any = None
         self.wants_continue = False
         self.begun_at: float | None = None
@@ -126,7 +126,7 @@
 
     def on_message_complete(self) -> None:
         """Queue a whole request."""
-        if self.fault is None:
+        if self.error is None:
             host = next(value for name, value in self._headers if name.lower() == b"host")
             request = CallerRequest(
                 method=self.parser.get_method(),
@@ -149,7 +149,7 @@
 
     def _fail(self, status: HTTPStatus, detail: str) -> None:
         """Record the first error; later ones are ignored."""
-        self.fault = self.fault or MalformedRequest(status, detail)
+        self.error = self.error or MalformedRequest(status, detail)
 
 
 class CallerConnection:
@@ -176,8 +176,8 @@
         while True:
             if self._builder.requests:
                 return self._builder.requests.popleft()
-            if self._builder.fault is not None:
-                return self._builder.fault
+            if self._builder.error is not None:
+                return self._builder.error
             if self._broken:
                 return ConnectionClosed()
             self._send_continue()
@@ -226,10 +226,10 @@
         except httptools.HttpParserUpgrade:
             # Upgrades are not supported: the request is answered, and nothing more is read.
             self._broken = True
-        except (httptools.HttpParserError, httptools.HttpParserCallbackError) as fault:
-            known = self._builder.fault
-            detail = f"the request is malformed: {fault}"
-            self._builder.fault = known or MalformedRequest(HTTPStatus.BAD_REQUEST, detail)
+        except (httptools.HttpParserError, httptools.HttpParserCallbackError) as error:
+            known = self._builder.error
+            detail = f"the request is malformed: {error}"
+            self._builder.error = known or MalformedRequest(HTTPStatus.BAD_REQUEST, detail)
 
     def _send_continue(self) -> None:
         """Send 100 Continue if the caller waits for it."""
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -94,10 +94,10 @@
         finally:
             connection.close()
 
-    def _reject(self, connection: CallerConnection, fault: MalformedRequest) -> None:
+    def _reject(self, connection: CallerConnection, error: MalformedRequest) -> None:
         """Answer malformed input with an error."""
         self._state.stats.malformed += 1
-        problem = Problem(CODE_BAD_REQUEST, int(fault.status), fault.detail, Ran.NOT_RUN)
+        problem = Problem(CODE_BAD_REQUEST, int(error.status), error.detail, Ran.NOT_RUN)
         log_event(PREFIX_RELAY, f"Request answered with {problem.status}: {problem.detail}")
         connection.write(encode_problem(problem, keep_alive=False))
 
@@ -107,9 +107,9 @@
         self._state.open_requests += 1
         try:
             return self._answer_counted(connection, call)
-        except Exception as fault:
+        except Exception as error:
             # A defect closes the connection, which also holds further requests, so it is logged.
-            log_event(PREFIX_RELAY, f"Request failed with {type(fault).__name__}: {fault}")
+            log_event(PREFIX_RELAY, f"Request failed with {type(error).__name__}: {error}")
             self._state.stats.failed += 1
             return False
         finally:
@@ -137,8 +137,8 @@
             return Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, NOT_READY_RETRY_S)
         try:
             metadata = self._state.dialect.read_request(call.headers)
-        except BadHeaders as fault:
-            return Problem(CODE_BAD_REQUEST, 400, str(fault), Ran.NOT_RUN)
+        except BadHeaders as error:
+            return Problem(CODE_BAD_REQUEST, 400, str(error), Ran.NOT_RUN)
         admission = Admission(
             table,
             self._state.policy,
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -85,8 +85,8 @@
             self._state.signals.log_send(run.upstream, run.request_id)
             run.exchange.send(call.method, call.target, headers, call.body, self._remaining_s())
             return self._read_head(run.exchange)
-        except UpstreamError as fault:
-            return fault
+        except UpstreamError as error:
+            return error
         except TimeoutError:
             return UpstreamError("no answer in time", sent=True)
 
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -72,14 +72,14 @@
         """Take one retry from the shared budget; return False if it is used up."""
         return self.state.try_take_retry(upstream.service, self.admitted.metadata.request_id)
 
-    def handle_break(self, run: StreamRun, fault: Exception | None = None) -> None:
+    def handle_break(self, run: StreamRun, error: Exception | None = None) -> None:
         """Report a broken run, so that it is checked whether its upstream has crashed.
 
         A run that was broken off by its caller or by a final copy is not reported.
         """
         if self.is_caller_disconnected or run.pending_final_copy is not None:
             return
-        if isinstance(fault, TimeoutError):
+        if isinstance(error, TimeoutError):
             # A silent upstream has not crashed; it may be leaving, or be partitioned.
             self.state.on_upstream_suspected(run.upstream)
             return
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -118,9 +118,9 @@
                     break
                 if isinstance(item, BodyChunk):
                     parts.append(item.data)
-        except (UpstreamError, TimeoutError) as fault:
-            log_event(PREFIX_RELAY, f"Error response broke off: {fault}", request=run.request_id)
-            self._context.handle_break(run, fault)
+        except (UpstreamError, TimeoutError) as error:
+            log_event(PREFIX_RELAY, f"Error response broke off: {error}", request=run.request_id)
+            self._context.handle_break(run, error)
             problem = Problem(CODE_RUNNER_FAILED, 502, "the answer broke off", Ran.UNKNOWN)
             return self._answer_problem(problem)
         self._context.record_outcome(run, Outcome.FAILED)
@@ -186,11 +186,11 @@
     def _forward(self, run: StreamRun, events: list[Event]) -> Exception | None:
         """Write events to the caller; return an error if one is missing or the caller left."""
         next_events: list[bytes] = []
-        fault: UpstreamError | None = None
+        error: UpstreamError | None = None
         for event in events:
             continuity = self._sequence.check(event)
             if continuity is EventContinuity.GAP:
-                fault = UpstreamError("an event of the stream is missing", sent=True)
+                error = UpstreamError("an event of the stream is missing", sent=True)
                 break
             if continuity is EventContinuity.NEXT:
                 next_events.append(event.data)
@@ -202,7 +202,7 @@
             if not self._connection.write(encode_chunk(b"".join(next_events))):
                 self._context.is_caller_disconnected = True
                 return UpstreamError("the caller has disconnected", sent=True)
-        return fault
+        return error
 
     def _count(self, run: StreamRun, events: int) -> None:
         """Update progress, times and load after the arrival of events."""
