--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -53,7 +53,7 @@
         return self._groups
 
     @property
-    def loaded(self) -> dict[str, str]:
+    def loaded_models(self) -> dict[str, str]:
         """Return the model that each polled runner last reported."""
         return self._loaded_models
 
