--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -30,7 +30,7 @@
 from driftstall.platform.client import WriteState
 from driftstall.runners.engine import fetch_report, order_load
 
-PERIOD_S: Final = 1.0
+PLACEMENT_PERIOD_S: Final = 1.0
 LEASE_KEY: Final = f"{KEY_LEASE}/placement"
 
 
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Start the periodic work."""
-        self._hub.every(PERIOD_S, self._period, PREFIX_PLACEMENT)
+        self._hub.every(PLACEMENT_PERIOD_S, self._period, PREFIX_PLACEMENT)
 
     def _period(self) -> None:
         """Renew the lease and order what differs from the configuration."""
