--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -56,7 +56,7 @@
 
     def start(self) -> None:
         """Start to probe and to read the platform's list."""
-        self._hub.every(PERIOD_S, self._period, PREFIX_MEMBERSHIP)
+        self._hub.every(PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
         self._hub.every(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
 
     def leave(self) -> None:
@@ -67,7 +67,7 @@
         """Tell whether the platform's list shows a runner as leaving."""
         return self._listed_runners.get(runner_id, False)
 
-    def _period(self) -> None:
+    def _run_period(self) -> None:
         """Let time pass in the controller."""
         self._apply(Period())
 
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -46,9 +46,9 @@
 
     def start(self) -> None:
         """Start the periodic work."""
-        self._hub.every(PLACEMENT_PERIOD_S, self._period, PREFIX_PLACEMENT)
+        self._hub.every(PLACEMENT_PERIOD_S, self._run_period, PREFIX_PLACEMENT)
 
-    def _period(self) -> None:
+    def _run_period(self) -> None:
         """Renew the lease and order what differs from the configuration."""
         first = owner_of("placement", self._members.live)
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
