--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -155,7 +155,7 @@
             remaining_s = until - clock.now()
             if remaining_s <= 0:
                 raise TimeoutError("the upstream does not read the request")
-            wait_s = min(remaining_s, clock.LONGEST_WAIT_S)
+            wait_s = min(remaining_s, clock.MAX_WAIT_SLICE_S)
             readable, writable, _ = select.select(
                 [self._connection], [self._connection], [], wait_s
             )
@@ -175,7 +175,7 @@
             remaining_s = until - clock.now()
             if remaining_s <= 0:
                 raise TimeoutError("the response timed out")
-            self._connection.settimeout(min(remaining_s, clock.LONGEST_WAIT_S))
+            self._connection.settimeout(min(remaining_s, clock.MAX_WAIT_SLICE_S))
             self._receive()
         item = self._builder.items.popleft()
         if isinstance(item, ResponseHead):
--- a/driftstall/util/clock.py
+++ b/driftstall/util/clock.py
@@ -9,7 +9,7 @@
 import time
 from typing import Final
 
-LONGEST_WAIT_S: Final = 0.5
+MAX_WAIT_SLICE_S: Final = 0.5
 """Waits with a deadline are taken in pieces of this length: the event loop's timers stand still in
 a suspension as well, so after one a wait ends at most this much too late."""
 
