--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -80,7 +80,7 @@
     def _carry_out(self, action: PlacementAction) -> PlacementEvent | None:
         """Read or write the lease, or send an order."""
         if isinstance(action, OrderLoad):
-            self._order(action)
+            self._send_order(action)
             return None
         try:
             if isinstance(action, ReadLease):
@@ -95,7 +95,7 @@
             return LeaseWritten(result.version)
         return LeaseLost()
 
-    def _order(self, order: OrderLoad) -> None:
+    def _send_order(self, order: OrderLoad) -> None:
         """Send one order, if the lease still holds right before."""
         runner = self._fleet.runners.get(order.runner_id)
         if runner is None or self._hub.now() >= order.not_after:
