--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -20,7 +20,7 @@
 from driftstall.gateway.model import Header, Headers
 from driftstall.util import clock
 from driftstall.util.addresses import split_address
-from driftstall.util.http import tune
+from driftstall.util.http import configure_socket
 
 RECEIVE_BYTES: Final = 65_536
 SEND_PIECE_BYTES: Final = 16_384
@@ -120,7 +120,7 @@
         """Open a connection; raise UpstreamError if it cannot be established in time."""
         try:
             connection = socket.create_connection(split_address(address), timeout_s)
-            tune(connection)
+            configure_socket(connection)
             return cls(connection)
         except OSError as error:
             detail = f"no connection to {address}: {type(error).__name__}"
--- a/driftstall/peers/link.py
+++ b/driftstall/peers/link.py
@@ -24,7 +24,7 @@
 from driftstall.peers.envelope import Envelope
 from driftstall.util import clock
 from driftstall.util.addresses import split_address
-from driftstall.util.http import tune
+from driftstall.util.http import configure_socket
 
 MAX_QUEUED_MESSAGES: Final = 4_096
 CONNECT_TIMEOUT_S: Final = 1.0
@@ -197,7 +197,7 @@
 def _dial(address: str) -> _Link:
     """Open a connection to a peer; raises OSError."""
     connection = socket.create_connection(split_address(address), CONNECT_TIMEOUT_S)
-    tune(connection)
+    configure_socket(connection)
     connection.settimeout(SEND_TIMEOUT_S)
     return _Link(connection, clock.now())
 
--- a/driftstall/util/http.py
+++ b/driftstall/util/http.py
@@ -54,7 +54,7 @@
             refused = isinstance(fault, ConnectionRefusedError)
             raise UpstreamError(detail, sent=False, refused=refused) from fault
         try:
-            tune(connection)
+            configure_socket(connection)
             connection.settimeout(timeout_s)
             connection.sendall(_head(address, method, path, headers, len(body)) + body)
             return cls(connection, HTTPSocketResponse(connection, method=method))
@@ -117,7 +117,7 @@
         self._connection.close()
 
 
-def tune(connection: socket.socket) -> None:
+def configure_socket(connection: socket.socket) -> None:
     """Send at once, and notice within seconds that the other end is cut off."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
