--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -54,9 +54,9 @@
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
         if not is_first and not self._get_or_create_controller.has_lease(self._hub.now()):
             return
-        self._dispatch(PlacementPeriod(is_first, self._wanted() if is_first else ()))
+        self._dispatch(PlacementPeriod(is_first, self._read_wanted_models() if is_first else ()))
 
-    def _wanted(self) -> tuple[WantedModel, ...]:
+    def _read_wanted_models(self) -> tuple[WantedModel, ...]:
         """Return what each model runner is to serve, and what it reports."""
         wanted = []
         for one in self._fleet.runners.values():
