--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -62,7 +62,7 @@
 
     def start(self) -> None:
         """Start to write groups of claims."""
-        self._hub.every(FLUSH_PERIOD_S, self._flush, PREFIX_CLAIMS)
+        self._hub.run_periodically(FLUSH_PERIOD_S, self._flush, PREFIX_CLAIMS)
 
     def claim(self, key: str, fingerprint: str, nonce: str) -> ClaimAnswer:
         """Return the answer to a claim; unavailable if none came in time."""
--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -79,7 +79,7 @@
     def start(self) -> None:
         """Start to watch the platform and to compare with peers."""
         keep_running(PREFIX_CONFIGURATION, self._watch)
-        self._hub.every(GOSSIP_PERIOD_S, self._compare, PREFIX_CONFIGURATION)
+        self._hub.run_periodically(GOSSIP_PERIOD_S, self._compare, PREFIX_CONFIGURATION)
 
     def submit(self, change: ConfigChange) -> Submission:
         """Carry an operator's change to the platform, and tell all peers at once."""
--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Start to report progress."""
-        self._hub.every(PROGRESS_PERIOD_S, self._report_progress, PREFIX_ADMISSION)
+        self._hub.run_periodically(PROGRESS_PERIOD_S, self._report_progress, PREFIX_ADMISSION)
 
     def acquire(
         self,
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -81,8 +81,8 @@
 
     def start(self) -> None:
         """Start the periodic work."""
-        self._hub.every(TICK_S, self._tick, PREFIX_ADMISSION)
-        self._hub.every(POLL_PERIOD_S, self._poll, PREFIX_ROUTING)
+        self._hub.run_periodically(TICK_S, self._tick, PREFIX_ADMISSION)
+        self._hub.run_periodically(POLL_PERIOD_S, self._poll, PREFIX_ROUTING)
 
     def load(self) -> float:
         """Return the forecast share of memory in use, in groups owned here."""
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -95,7 +95,7 @@
         self.stats.messages_received += 1
         self._handlers[type(message)](sender, message)
 
-    def every(self, period_s: float, work: Callable[[], None], prefix: str) -> None:
+    def run_periodically(self, period_s: float, work: Callable[[], None], prefix: str) -> None:
         """Do something again and again in a greenlet; a fault is logged, not fatal."""
         gevent.spawn(self._loop, period_s, work, prefix)
 
--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -56,8 +56,8 @@
 
     def start(self) -> None:
         """Start to look after what falls to this instance, and to tell peers."""
-        self._hub.every(TEND_S, self._tend, PREFIX_ROUTING)
-        self._hub.every(TELL_S, self._tell, PREFIX_ROUTING)
+        self._hub.run_periodically(TEND_S, self._tend, PREFIX_ROUTING)
+        self._hub.run_periodically(TELL_S, self._tell, PREFIX_ROUTING)
 
     def per_s(self, runner_id: str) -> float | None:
         """Return what the owner of a runner's group may have it begin in a second."""
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -56,8 +56,8 @@
 
     def start(self) -> None:
         """Start to probe and to read the platform's list."""
-        self._hub.every(PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
-        self._hub.every(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
+        self._hub.run_periodically(PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
+        self._hub.run_periodically(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
 
     def leave(self) -> None:
         """Tell peers that this instance is leaving."""
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -84,8 +84,8 @@
         self.placement.start()
         self.poison.start()
         self.limits.start()
-        self.hub.every(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
-        self.hub.every(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
+        self.hub.run_periodically(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
+        self.hub.run_periodically(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
 
     def locatable(self) -> tuple[Instance, ...]:
         """Return the instances that callers may be sent to."""
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Start the periodic work."""
-        self._hub.every(PLACEMENT_PERIOD_S, self._run_period, PREFIX_PLACEMENT)
+        self._hub.run_periodically(PLACEMENT_PERIOD_S, self._run_period, PREFIX_PLACEMENT)
 
     def _run_period(self) -> None:
         """Renew the lease and order what differs from the configuration."""
