--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -80,11 +80,11 @@
         self._current = current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
-    def admit(self, passage: RequestProgress, wall: float) -> AdmittedRequest | Problem:
+    def admit(self, progress: RequestProgress, wall: float) -> AdmittedRequest | Problem:
         """Return the admitted request, or a problem; wall is the Unix time in seconds."""
         hour = datetime.fromtimestamp(wall, UTC).hour
         self._hour = hour
-        result = run_chain(self._filters, passage)
+        result = run_chain(self._filters, progress)
         if isinstance(result, Problem):
             return result
         assert result.route is not None and result.service is not None
@@ -101,45 +101,45 @@
             result.started_at + allowed_s,
         )
 
-    def _find_route(self, passage: RequestProgress) -> RequestProgress | Problem:
+    def _find_route(self, progress: RequestProgress) -> RequestProgress | Problem:
         """Set the route, and one service of its traffic split."""
-        route = self._table.route(passage.host, passage.path)
+        route = self._table.route(progress.host, progress.path)
         if route is None:
             return self._unless_outdated(Problem(CODE_NOT_FOUND, 404, "no such route", Ran.NOT_RUN))
         service = self._table.service(pick_service(route, self._chance()))
         if service is None:
             detail = "the route's service is not configured"
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
-        return replace(passage, route=route, service=service, rank=route.rank)
+        return replace(progress, route=route, service=service, rank=route.rank)
 
-    def _authenticate(self, passage: RequestProgress) -> RequestProgress | Problem:
+    def _authenticate(self, progress: RequestProgress) -> RequestProgress | Problem:
         """Set the workspace that the key belongs to."""
-        assert passage.route is not None
+        assert progress.route is not None
         if not self._table.has_workspaces:
-            return passage
-        workspace = self._table.workspace(passage.metadata.key)
+            return progress
+        workspace = self._table.workspace(progress.metadata.key)
         if workspace is None:
-            if passage.route.allows_anonymous:
-                return passage
+            if progress.route.allows_anonymous:
+                return progress
             detail = "the workspace key is not known"
             return self._unless_outdated(Problem(CODE_UNAUTHENTICATED, 401, detail, Ran.NOT_RUN))
-        rank = passage.rank if workspace.rank is None else workspace.rank
-        return replace(passage, workspace=workspace.name, rank=rank)
+        rank = progress.rank if workspace.rank is None else workspace.rank
+        return replace(progress, workspace=workspace.name, rank=rank)
 
-    def _apply_policy(self, passage: RequestProgress) -> RequestProgress | Problem:
+    def _apply_policy(self, progress: RequestProgress) -> RequestProgress | Problem:
         """Set the verdict of the first policy rule that matches."""
-        assert passage.route is not None and passage.service is not None
+        assert progress.route is not None and progress.service is not None
         facts = Facts(
-            kind=passage.route.repeat.value,
-            workspace=passage.workspace,
-            model=passage.metadata.model,
-            input_tokens=passage.metadata.input_tokens,
-            max_tokens=passage.metadata.max_tokens,
-            load=self._load(passage.service.name),
+            kind=progress.route.repeat.value,
+            workspace=progress.workspace,
+            model=progress.metadata.model,
+            input_tokens=progress.metadata.input_tokens,
+            max_tokens=progress.metadata.max_tokens,
+            load=self._load(progress.service.name),
             hour=self._hour,
-            route_rank=passage.rank,
+            route_rank=progress.rank,
         )
-        return replace(passage, verdict=evaluate(self._policy, facts))
+        return replace(progress, verdict=evaluate(self._policy, facts))
 
     def _unless_outdated(self, problem: Problem) -> Problem:
         """Return the problem, or a retryable one if the configuration may be outdated."""
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -146,8 +146,8 @@
             load=self._state.memory_load,
             current=self._current,
         )
-        passage = RequestProgress(call.host, call.path, metadata, call.read_at)
-        admitted = admission.admit(passage, self._state.wall_time_s())
+        progress = RequestProgress(call.host, call.path, metadata, call.read_at)
+        admitted = admission.admit(progress, self._state.wall_time_s())
         if isinstance(admitted, Problem):
             return admitted
         return replace(admitted, fingerprint=request_fingerprint(call, admitted.workspace))
