--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -148,7 +148,7 @@
             environ["PATH_INFO"],
             _headers(environ),
             body,
-            self._hub.wall(),
+            self._hub.wall_time(),
         )
 
     def _chain(self) -> tuple[Filter, ...]:
@@ -233,7 +233,7 @@
         """Answer with server-sent events; headers wait for the first token."""
         items = iter(relay)
         first = next(items, None)
-        self._hub.stats.stall.observe({}, self._hub.wall() - request.asked_at)
+        self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
         if first is None:
             return
         if isinstance(first, Failed):
@@ -280,7 +280,7 @@
         for item in relay:
             if isinstance(item, Tokens):
                 if not parts:
-                    self._hub.stats.stall.observe({}, self._hub.wall() - request.asked_at)
+                    self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
                 parts += [_content(one.data) for one in item.tokens]
             elif isinstance(item, Failed):
                 return self._fail(start, item.problem)
--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -141,7 +141,7 @@
 
     def _dispatch(self, holder: ClaimsHolder, event: ClaimEvent) -> None:
         """Hand an event to a holder and carry out its actions."""
-        for action in holder.handle(event, self._hub.wall()):
+        for action in holder.handle(event, self._hub.wall_time()):
             if isinstance(action, ClaimAnswer):
                 self._hub.send(action.entry, action)
             else:
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -51,7 +51,7 @@
         return clock.now()
 
     @staticmethod
-    def wall() -> float:
+    def wall_time() -> float:
         """Return the wall clock, in seconds."""
         return time.time()
 
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -41,7 +41,7 @@
     def __init__(self, hub: Hub) -> None:
         """Build the controller; its incarnation grows with each start."""
         self._hub = hub
-        incarnation = int(hub.wall() * 1000)
+        incarnation = int(hub.wall_time() * 1000)
         self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.source)
         self._listed_runners: dict[str, bool] = {}
         self._read_once = False
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -135,7 +135,7 @@
                 if not maybe_ran:
                     return runner
                 break
-            if runner is None or context.deadline <= self._hub.wall():
+            if runner is None or context.deadline <= self._hub.wall_time():
                 break
             if self._signals.backoff_s(runner.runner_id):
                 # Requested while the call waited for its turn.
@@ -199,7 +199,7 @@
     def _send(self, runner: Runner, context: RequestContext) -> _SendResult:
         """Send a call once."""
         headers = _forwarded_headers(context.headers)
-        timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall()))
+        timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall_time()))
         runner_id, sent_at = runner.runner_id, self._hub.now()
         self._open_calls[runner_id] = self._open_calls.get(runner_id, 0) + 1
         try:
