--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -80,9 +80,9 @@
         self._current = current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
-    def admit(self, progress: RequestProgress, wall: float) -> AdmittedRequest | Problem:
+    def admit(self, progress: RequestProgress, unix_time_s: float) -> AdmittedRequest | Problem:
         """Return the admitted request, or a problem; wall is the Unix time in seconds."""
-        hour = datetime.fromtimestamp(wall, UTC).hour
+        hour = datetime.fromtimestamp(unix_time_s, UTC).hour
         self._hour = hour
         result = run_chain(self._filters, progress)
         if isinstance(result, Problem):
