--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -163,7 +163,7 @@
         found = config_from_json(stored[0].value) if stored else EMPTY
         if found.generation >= self.document.generation or not self._is_keeper():
             return
-        gevent.sleep(KEEPER_PAUSE_S * self._hub.source.random())
+        gevent.sleep(KEEPER_PAUSE_S * self._hub.rng.random())
         value = config_to_json(self.document)
         expected = stored[0].version if stored else 0
         result = self._hub.platform.put(KEY_CONFIG, value, expected)
@@ -188,7 +188,7 @@
         own = self._hub.own.instance_id
         peers = [one.instance_id for one in self._members.live if one.instance_id != own]
         if peers:
-            peer = self._hub.source.choice(peers)
+            peer = self._hub.rng.choice(peers)
             self._hub.send(peer, ConfigAsked(own, self.document.generation))
 
     def _asked(self, _: str, message: ConfigAsked) -> None:
@@ -209,7 +209,7 @@
         peers = [one.instance_id for one in self._members.live if one.instance_id != own]
         if len(peers) > PASS_ON_PEERS:
             # The others take it from the platform, or from peers as they compare.
-            peers = self._hub.source.sample(peers, PASS_ON_PEERS)
+            peers = self._hub.rng.sample(peers, PASS_ON_PEERS)
         for peer in peers:
             self._hub.send(peer, ConfigOffer(own, document))
 
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -32,7 +32,7 @@
         self.own = Instance(
             settings.instance_id, settings.listen, settings.peer_listen, settings.zone
         )
-        self.source = random.Random()
+        self.rng = random.Random()
         self.platform = PlatformClient(settings.platform, settings.platform_token)
         self.key = settings.peer_key.encode()
         kinds = message_types_of(DaemonMessage)
@@ -107,4 +107,4 @@
             except Exception as fault:
                 log_event(prefix, f"A periodic task failed with {type(fault).__name__}: {fault}")
                 self.stats.task_failures += 1
-            gevent.sleep(period_s * (0.9 + 0.2 * self.source.random()))
+            gevent.sleep(period_s * (0.9 + 0.2 * self.rng.random()))
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -42,7 +42,7 @@
         """Build the controller; its incarnation grows with each start."""
         self._hub = hub
         incarnation = int(hub.wall_time() * 1000)
-        self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.source)
+        self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.rng)
         self._listed_runners: dict[str, bool] = {}
         self._read_once = False
         hub.use_addresses(self._get_or_create_controller.address_of)
--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -40,7 +40,7 @@
             broadcast=self._broadcast,
         )
         own_id = hub.own.instance_id
-        self._sharing = PoisonSharing(self.tracker, own_id, others, now=hub.now, source=hub.source)
+        self._sharing = PoisonSharing(self.tracker, own_id, others, now=hub.now, source=hub.rng)
         hub.on_message(BlamesTold, self._told)
 
     def start(self) -> None:
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -191,7 +191,7 @@
             key=lambda one: (
                 self._open_calls.get(one.runner_id, 0),
                 one.zone != zone,
-                self._hub.source.random(),
+                self._hub.rng.random(),
             ),
             default=None,
         )
