--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -144,7 +144,7 @@
             self._state.policy,
             chance=self._state.rng.random,
             load=self._state.memory_load,
-            current=self._current,
+            is_current=self._current,
         )
         progress = RequestProgress(call.host, call.path, metadata, call.read_at)
         admitted = admission.admit(progress, self._state.wall_time_s())
