--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -67,7 +67,7 @@
         """Register who wants to know of changes among instances."""
         self._member_listeners.append(listener)
 
-    def use_addresses(self, address_of: Callable[[str], str | None]) -> None:
+    def set_address_lookup(self, address_of: Callable[[str], str | None]) -> None:
         """Take over how a peer's address is found."""
         self._address_of = address_of
 
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -45,7 +45,7 @@
         self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.rng)
         self._listed_runners: dict[str, bool] = {}
         self._read_once = False
-        hub.use_addresses(self._get_or_create_controller.address_of)
+        hub.set_address_lookup(self._get_or_create_controller.address_of)
         for kind in (Ping, Ack, PingRequest):
             hub.on_message(kind, self._receive)
 
