--- a/features/steps/gateway_collector_steps.py
+++ b/features/steps/gateway_collector_steps.py
@@ -1,4 +1,4 @@
-"""Check who collects the reports of a large fleet, and how sums are read."""
+"""Test the choice of collectors and followers in a large fleet, and the use of their sums."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def instance_of(index: int, link_mbps: int = 100, zone: str = "a") -> Instance:
-    """Return an instance."""
+    """Return a fleet member with the given link capacity and zone."""
     name = f"instance-{index}"
     return Instance(name, f"10.0.0.{index}:1", f"10.0.0.{index}:2", zone, link_mbps=link_mbps)
 
 
 @then("16 instances need no collectors and 17 do")
 def small_and_large(context: Any) -> None:
-    """Compare both sides of the limit."""
+    """Check the fleet sizes on both sides of the threshold."""
     assert not is_large([instance_of(index) for index in range(16)])
     assert is_large([instance_of(index) for index in range(17)])
 
 
 @given("78 instances in 3 zones, of which a third have links of 100 Mbit/s and the others of 5")
 def unequal_fleet(context: Any) -> None:
-    """Make a fleet; in each zone some are strong and some weak."""
+    """Create a fleet with fast and slow links in every zone."""
     context.fleet = [
         instance_of(index, 100 if index // 3 % 3 == 0 else 5, "abc"[index % 3])
         for index in range(78)
@@ -38,8 +38,8 @@
 
 
 def ids(instances: Any) -> set[str]:
-    """Return the names of instances."""
-    return {one.instance_id for one in instances}
+    """Return the ids of the instances."""
+    return {instance.instance_id for instance in instances}
 
 
 @then("all see the same 2 strong collectors in each zone, whatever the order of their lists")
@@ -56,43 +56,55 @@
         assert len(of_zone) == 2 and len(roles.remote_collectors) == 4, roles
         assert not ids(roles.zone_members) & of_zone
         assert all(
-            one.link_mbps == 100 for one in (*roles.own_collectors, *roles.remote_collectors)
+            collector.link_mbps == 100
+            for collector in (*roles.own_collectors, *roles.remote_collectors)
         )
 
 
 @then("3 of them follow the platform, of 3 zones")
 def three_follow(context: Any) -> None:
-    """Count those that follow."""
-    follow = [one for one in context.fleet if FleetRoles.from_fleet(one, context.fleet).is_follower]
-    assert len(follow) == 3 and {one.zone for one in follow} == set("abc"), follow
-    assert all(FleetRoles.from_fleet(one, context.fleet).is_collector for one in follow)
+    """Check that there is one follower per zone, and that followers are collectors."""
+    followers = [
+        instance
+        for instance in context.fleet
+        if FleetRoles.from_fleet(instance, context.fleet).is_follower
+    ]
+    assert len(followers) == 3 and {instance.zone for instance in followers} == set("abc"), (
+        followers
+    )
+    assert all(
+        FleetRoles.from_fleet(instance, context.fleet).is_collector for instance in followers
+    )
 
 
 @then("each instance is told by a collector of its zone")
-def all_told(context: Any) -> None:
-    """Every instance collects or is a member in the eyes of a collector of its zone."""
-    told: set[str] = set()
+def all_reached(context: Any) -> None:
+    """Check that each instance is a collector or a zone member that a collector publishes to."""
+    reached: set[str] = set()
     for own in context.fleet:
         roles = FleetRoles.from_fleet(own, context.fleet)
         if roles.is_collector:
-            told |= ids(roles.zone_members) | {own.instance_id}
-    assert told == ids(context.fleet)
+            reached |= ids(roles.zone_members) | {own.instance_id}
+    assert reached == ids(context.fleet)
 
 
 @then("when one collector leaves the other one stays and a third takes its place")
 def others_stay(context: Any) -> None:
-    """Take one collector away."""
-    gone, stays = sorted(context.collectors["a"])
-    left = [one for one in context.fleet if one.instance_id != gone]
-    observer = next(one for one in left if one.zone == "b")
-    of_a = {one.instance_id for one in FleetRoles.from_fleet(observer, left).remote_collectors}
-    of_a = {name for name in of_a if name in ids(one for one in left if one.zone == "a")}
-    assert stays in of_a and len(of_a) == 2, of_a
+    """Remove one collector of a zone and compute the roles of the remaining fleet."""
+    removed, kept = sorted(context.collectors["a"])
+    fleet = [instance for instance in context.fleet if instance.instance_id != removed]
+    observer = next(instance for instance in fleet if instance.zone == "b")
+    of_a = {
+        instance.instance_id
+        for instance in FleetRoles.from_fleet(observer, fleet).remote_collectors
+    }
+    of_a = {name for name in of_a if name in ids(member for member in fleet if member.zone == "a")}
+    assert kept in of_a and len(of_a) == 2, of_a
 
 
 @given('an instance that reported 700 tokens on "u1" and then 900')
 def two_reports(context: Any) -> None:
-    """Report twice."""
+    """Record two own reports."""
     context.reports = OwnReportHistory()
     context.number = context.reports.add((Use("u1", 1, 700),), ())
     context.reports.add((Use("u1", 1, 900),), ())
@@ -100,14 +112,14 @@
 
 @when('a summary that has taken in its first report tells of 1500 tokens on "u1"')
 def summary(context: Any) -> None:
-    """Read a summary."""
+    """Subtract the own share from a summary that includes only the first report."""
     counts = sum_by_service([RepeatCount("s", 10, 1), RepeatCount("s", 5, 2)])
     context.others = context.reports.subtract_own(context.number, (Use("u1", 3, 1500),), counts)
 
 
 @then("the others have 800 tokens there")
 def without_own(context: Any) -> None:
-    """Compare the sums."""
+    """Check the load and the retry counts of the other instances."""
     uses, repeats = context.others
     assert uses == (Use("u1", 2, 800),), uses
     assert repeats == (RepeatCount("s", 15, 3),), repeats
@@ -115,7 +127,7 @@
 
 @given("a collector tells that 77 other instances made 20 repeats of a budget of 196")
 def large_budget(context: Any) -> None:
-    """Let a collector tell of all others."""
+    """Record a collector's report on the whole fleet."""
     count = InstanceCount()
     count.record(78, 0.0)
     context.budget = SharedRetryBudget("s", Bounds(retry_extra=196.0), count)
@@ -124,6 +136,6 @@
 
 @then("this instance may make more than its even part, and not all that is left")
 def more_than_even(context: Any) -> None:
-    """Take as many as are allowed."""
+    """Take retries until the budget refuses, and compare with the even share."""
     made = sum(context.budget.try_take(1.5) for _ in range(500))
     assert 196 / 78 < made < 196 - 20, made
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -1,4 +1,4 @@
-"""Check how the store is followed, and what is read from it."""
+"""Test how the store's feeds are followed and how its objects are decoded."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 class ScriptedFeed:
-    """Answer with what a script says, step by step."""
+    """A feed whose list and watch calls return scripted answers in order."""
 
     def __init__(self, steps: list[Any]) -> None:
-        """Take the answers; an exception is raised."""
+        """Set the answers; an exception among them is raised."""
         self._steps = steps
 
     def _next(self) -> Any:
@@ -51,38 +51,38 @@
         return step
 
     def list(self) -> Snapshot[str]:
-        """Return the next answer."""
+        """Return the next scripted answer."""
         found: Snapshot[str] = self._next()
         return found
 
     def watch(self, at: int, wait_s: float) -> Changes[str]:
-        """Return the next answer."""
+        """Return the next scripted answer."""
         found: Changes[str] = self._next()
         return found
 
 
 class Recorder:
-    """Record what a follower tells."""
+    """Record the callbacks of a follower."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.told: list[str] = []
+        """Start with no events."""
+        self.events: list[str] = []
 
     def listed(self, items: tuple[str, ...], at: int) -> None:
         """Record a list."""
-        self.told.append("listed")
+        self.events.append("listed")
 
     def changed(self, change: ItemChange[str]) -> None:
         """Record a change."""
-        self.told.append("changed")
+        self.events.append("changed")
 
     def platform_unreachable(self, cause: str) -> None:
         """Record an outage."""
-        self.told.append("lost")
+        self.events.append("lost")
 
     def platform_reachable(self) -> None:
         """Record an outage's end."""
-        self.told.append("back")
+        self.events.append("back")
 
 
 SLOW_ANSWER_S = 0.1
@@ -103,7 +103,7 @@
 
 
 class EndingFeed(ScriptedFeed):
-    """Answer with what a script says, then say nothing more."""
+    """A scripted feed that blocks once its script is at its end."""
 
     def _next(self) -> Any:
         if not self._steps:
@@ -113,13 +113,13 @@
 
 @given("a feed that is listed, fails in a way that nobody expects, and is listed again")
 def fails_unexpectedly(context: Any) -> None:
-    """Script it."""
+    """Script a list, an exception of an unexpected type, and a list."""
     context.steps = [LIST, KeyError("events"), LIST]
 
 
 @when("it is followed")
 def followed(context: Any) -> None:
-    """Follow it in a greenlet of its own, as instances do, until the script is at its end."""
+    """Run the follower in its own greenlet, as instances do, until the script is at its end."""
     context.recorder = Recorder()
     feed = EndingFeed(context.steps)
     pace = DelegatedWatchPacing(
@@ -130,20 +130,20 @@
     )
     running = gevent.spawn(context.follower.run)
     context.add_cleanup(running.kill)
-    wait_for("all was read", lambda: len(context.recorder.told) == 2 or running.dead)
+    wait_for("all was read", lambda: len(context.recorder.events) == 2 or running.dead)
 
 
 @then("it is current again")
 def current_again(context: Any) -> None:
-    """Ask it."""
+    """Check that the follower considers itself current."""
     assert context.follower.is_current
 
 
 class AnsweringStore(Store):
-    """Answer every call with one body."""
+    """A store that answers every call with the same body."""
 
     def __init__(self, body: Any) -> None:
-        """Take the body."""
+        """Set the body."""
         super().__init__("127.0.0.1:1")
         self._body = body
 
@@ -153,13 +153,13 @@
 
 @given("a store that answers {body}")
 def answering(context: Any, body: str) -> None:
-    """Make it."""
+    """Create a store with that body."""
     context.store = AnsweringStore(orjson.loads(body))
 
 
 @then("its list and its watch report that the platform gave no answer")
 def reports_no_answer(context: Any) -> None:
-    """Call both."""
+    """Check that list and watch both raise PlatformUnavailable."""
     for call in (
         lambda: context.store.list("k"),
         lambda: context.store.watch("k", StoreVersion(1), 1.0),
@@ -168,51 +168,51 @@
             call()
         except PlatformUnavailable:
             continue
-        raise AssertionError("the answer was taken")
+        raise AssertionError("the answer was accepted")
 
 
 @given("a feed whose watch is cut once")
 def cut_once(context: Any) -> None:
-    """Cut one watch."""
+    """Follow a feed whose second watch fails."""
     follow(context, [LIST, CHANGE, PlatformUnavailable("cut"), CHANGE])
 
 
 @then("it is listed once and no outage is told")
 def listed_once(context: Any) -> None:
-    """Compare what was told."""
-    assert context.recorder.told == ["listed", "changed", "changed"], context.recorder.told
+    """Check the callbacks."""
+    assert context.recorder.events == ["listed", "changed", "changed"], context.recorder.events
 
 
 @given("a feed whose history is gone")
 def history_gone(context: Any) -> None:
-    """Forget the history."""
+    """Follow a feed whose store no longer has the watched revision."""
     follow(context, [LIST, HistoryUnavailable(), LIST])
 
 
 @then("it is listed twice and no outage is told")
 def listed_twice(context: Any) -> None:
-    """Compare what was told."""
-    assert context.recorder.told == ["listed", "listed"], context.recorder.told
+    """Check the callbacks."""
+    assert context.recorder.events == ["listed", "listed"], context.recorder.events
 
 
 @given("a feed that fails 5 times and answers again")
 def fails_and_answers(context: Any) -> None:
-    """Let an outage begin and end."""
+    """Follow a feed through an outage and its end."""
     failures = [PlatformUnavailable("down") for _ in range(5)]
     follow(context, [LIST, *failures, CHANGE])
 
 
 @then("the outage is told once and its end before the next change")
-def outage_told(context: Any) -> None:
-    """Compare what was told."""
-    assert context.recorder.told == ["listed", "lost", "back", "changed"], context.recorder.told
+def outage_reported(context: Any) -> None:
+    """Check the callbacks."""
+    assert context.recorder.events == ["listed", "lost", "back", "changed"], context.recorder.events
 
 
 @then(
     "where an instance must have caught up after {seconds:g} s it has an answer {spare:g} s earlier"
 )
 def answered_in_time(context: Any, seconds: float, spare: float) -> None:
-    """Add up what passes until the answer on another connection."""
+    """Add up the watch timeout, the backoff and a slow answer on another connection."""
     given_up_s = max_watch_wait_s(seconds) + ANSWER_MARGIN_S
     max_backoff_s = INITIAL_BACKOFF_S * 2 * 1.5
     assert given_up_s + max_backoff_s + SLOW_ANSWER_S <= seconds - spare
@@ -220,7 +220,7 @@
 
 @given("a settings file with a wrong address and without a zone")
 def wrong_settings(context: Any) -> None:
-    """Write a wrong settings file."""
+    """Write the settings file."""
     listen = {"front": "nowhere", "ready": "127.0.0.1:1", "directory": "127.0.0.1:2"}
     listen["control"] = "127.0.0.1:3"
     raw = {"nodeName": "n", "ip": "127.0.0.1", "listen": listen}
@@ -231,35 +231,35 @@
 
 @then("reading it names both faults")
 def names_both(context: Any) -> None:
-    """Read the file."""
+    """Check that the error lists both settings."""
     try:
         read_settings(context.path)
     except SettingsError as fault:
         text = "\n".join(fault.faults)
         assert "listen.front" in text and "zone" in text, text
         return
-    raise AssertionError("wrong settings were taken")
+    raise AssertionError("wrong settings were accepted")
 
 
 class FixedStore(Store):
-    """Hold a fixed list."""
+    """A store with a fixed list of one malformed and one valid entry."""
 
     def list(self, kind: str, *, stale: bool = False) -> Listing:
         """Return the list."""
-        whole = entry_spec("127.0.0.1:1")
-        without = {name: value for name, value in whole.items() if name != "address"}
+        valid = entry_spec("127.0.0.1:1")
+        malformed = {name: value for name, value in valid.items() if name != "address"}
         return Listing(
             (
-                StoredObject("a", StoreVersion(1), without),
-                StoredObject("b", StoreVersion(2), whole),
+                StoredObject("a", StoreVersion(1), malformed),
+                StoredObject("b", StoreVersion(2), valid),
             ),
             StoreVersion(3),
         )
 
 
 @then("at least {turns:d} turns of another greenlet pass while {count:d} routes are decoded")
-def others_go_on(context: Any, turns: int, count: int) -> None:
-    """Count what another greenlet does meanwhile."""
+def decoding_yields(context: Any, turns: int, count: int) -> None:
+    """Count the turns of another greenlet while a large routing document is decoded."""
     raw = document(5)
     raw["routes"] = [route(f"r-{n}", f"/many{n}/", "safe", "portal") for n in range(count)]
     text = orjson.dumps(raw).decode()
@@ -278,18 +278,18 @@
 
 @given("a stored entry without an address and a whole one")
 def one_broken(context: Any) -> None:
-    """Take a list of two."""
+    """Read the list through the upstream feed."""
     context.items = upstream_feed(FixedStore("127.0.0.1:1")).list().items
 
 
 @then("only the whole one is listed")
 def only_whole(context: Any) -> None:
-    """Compare the list."""
-    assert [one.upstream_id for one in context.items] == ["b"], context.items
+    """Check that the malformed entry was left out."""
+    assert [upstream.upstream_id for upstream in context.items] == ["b"], context.items
 
 
 class RemovingStore(Store):
-    """Tell of one removed object."""
+    """A store whose watch returns the removal of one object."""
 
     def watch(self, kind: str, at: int, wait_s: float) -> WatchAnswer:
         """Return the removal."""
@@ -300,7 +300,7 @@
 
 @given("a watch that tells of a removed entry without its content")
 def removed_entry(context: Any) -> None:
-    """Watch once."""
+    """Watch once and keep the changes."""
     context.changes = (
         upstream_feed(RemovingStore("127.0.0.1:1")).watch(StoreVersion(1), 1.0).changes
     )
@@ -308,19 +308,19 @@
 
 @then("the change says which upstream is gone")
 def says_which(context: Any) -> None:
-    """Compare the change."""
+    """Check the id and the revision of the removed upstream."""
     (change,) = context.changes
     assert change.removed and change.item.upstream_id == "a" and change.item.revision == 7
 
 
 def routing_text(version: int) -> RoutingText:
-    """Return a routing document of a version."""
+    """Return a routing document with the given version."""
     return RoutingText(read_routing(document(version)), "")
 
 
 @given("routing version 7 is in force")
 def version_seven(context: Any) -> None:
-    """Start with a version."""
+    """Apply version 7 as the first list."""
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
     context.world.state.route_table = None
@@ -330,13 +330,13 @@
 
 @when("versions 5, 9 and 8 arrive")
 def versions_arrive(context: Any) -> None:
-    """Let old and new versions arrive."""
+    """Apply changes with older and newer versions."""
     for version in (5, 9, 8):
         context.routing.changed(ItemChange(routing_text(version), False))
 
 
 @then("version 9 is in force")
 def version_nine(context: Any) -> None:
-    """Compare the version."""
+    """Check that the newest version is used."""
     assert context.routing.version == 9
     assert context.world.state.route_table.version == 9
