--- a/driftstall/platform/checks.py
+++ b/driftstall/platform/checks.py
@@ -1,6 +1,6 @@
-"""Check fields of stored documents: other writers may have put anything there.
+"""Validators for the fields of stored documents, which other writers may have filled with anything.
 
-Nothing is coerced: a text of digits is no number, and true is none either.
+Values are not coerced: neither a string of digits nor a boolean is accepted as a number.
 """
 
 from __future__ import annotations
@@ -14,65 +14,65 @@
 from driftstall.util.addresses import split_address
 
 MAX_INTEGER: Final = 2**63 - 1
-"""What travels between instances as a whole number has 64 bits."""
+"""Largest integer accepted: integers are sent between instances as signed 64-bit values."""
 MAX_NAME_LENGTH: Final = 256
-"""Characters of a name that goes into a header."""
+"""Longest name, in characters, that may be sent in a header."""
 
 
 def text(value: Any) -> str:
-    """Return a text that is not empty and can be passed on."""
+    """Return the value if it is a non-empty, printable string."""
     if not isinstance(value, str) or not value or not value.isprintable():
-        raise vol.Invalid("expected a text")
+        raise vol.Invalid("expected a non-empty printable string")
     return value
 
 
 def name(value: Any) -> str:
-    """Return a text that may stand in a header."""
+    """Return the value if it is a string that is valid in a header."""
     found = text(value)
-    if len(found) > MAX_NAME_LENGTH or not all("!" <= sign <= "~" for sign in found):
-        raise vol.Invalid("expected a name of printable signs without blanks")
+    if len(found) > MAX_NAME_LENGTH or not all("!" <= character <= "~" for character in found):
+        raise vol.Invalid("expected a name of printable ASCII characters without spaces")
     return found
 
 
 def flag(value: Any) -> bool:
-    """Return a truth value."""
+    """Return the value if it is a boolean."""
     if not isinstance(value, bool):
         raise vol.Invalid("expected true or false")
     return value
 
 
-def integer(least: int = 0) -> Callable[[Any], int]:
-    """Return a check for whole numbers that are not smaller."""
+def integer(minimum: int = 0) -> Callable[[Any], int]:
+    """Return a validator for integers of at least a minimum."""
 
     def check(value: Any) -> int:
-        if type(value) is not int or not least <= value <= MAX_INTEGER:
-            raise vol.Invalid(f"expected a whole number from {least} on")
+        if type(value) is not int or not minimum <= value <= MAX_INTEGER:
+            raise vol.Invalid(f"expected an integer of at least {minimum}")
         return value
 
     return check
 
 
-def number(least: float = 0.0) -> Callable[[Any], float]:
-    """Return a check for finite numbers that are not smaller."""
+def number(minimum: float = 0.0) -> Callable[[Any], float]:
+    """Return a validator for finite numbers of at least a minimum."""
 
     def check(value: Any) -> float:
-        if type(value) not in (int, float) or not math.isfinite(value) or value < least:
-            raise vol.Invalid(f"expected a number from {least:g} on")
+        if type(value) not in (int, float) or not math.isfinite(value) or value < minimum:
+            raise vol.Invalid(f"expected a number of at least {minimum:g}")
         return float(value)
 
     return check
 
 
 def address(value: Any) -> str:
-    """Return an address, IP and port."""
+    """Return the value if it is an address of the form IP:port."""
     found = text(value)
     try:
         split_address(found)
     except ValueError as fault:
-        raise vol.Invalid("expected an IP and a port") from fault
+        raise vol.Invalid("expected an address of the form IP:port") from fault
     return found
 
 
 def or_none(check: Any) -> Any:
-    """Return a check that lets a field stand empty."""
+    """Return a validator that also accepts None."""
     return vol.Any(None, check)
--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -24,17 +24,17 @@
 from driftstall.platform import checks
 
 MBIT_BYTES: Final = 125_000
-"""Bytes in a megabit."""
+"""Bytes per megabit."""
 REPEAT_BY_KIND: Final = {"safe": Repeat.SAFE, "unsafe": Repeat.ONCE, "streaming": Repeat.STREAM}
 ROUTES_PER_PAUSE: Final = 50
-"""Routes decoded without a pause: about two milliseconds."""
+"""Routes decoded between two pauses: about two milliseconds of processor time."""
 STATE_READY: Final = "ready"
 STATE_LEAVING: Final = "draining"
 MS_PER_S: Final = 1000
 DEFAULT_EVENT_TOKENS: Final = 1
 
 ALLOW_EXTRA: Final = vol.ALLOW_EXTRA
-"""Fields may be added to the platform's documents at any time."""
+"""The platform may add fields to its documents at any time, so unknown fields are accepted."""
 
 _ROUTE: Final = vol.Schema(
     {
@@ -134,111 +134,113 @@
     },
     extra=ALLOW_EXTRA,
 )
-"""What an upstream says of itself, whole: an entry that lacks any of it is from another writer.
-Those of an older kind do not say when they started."""
+"""Schema of the entry that an upstream writes for itself. An entry that lacks a required field was
+written by something else and is rejected. Upstreams of older versions omit their start (born)."""
 
 
 class DocumentFault(DriftstallError):
-    """Report a stored document that cannot be read."""
+    """Raised when a stored document is invalid."""
 
 
 def read_routing(spec: Any, pause: Callable[[], None] = lambda: None) -> RoutingDocument:
-    """Decode the operators' routing configuration; raise DocumentFault.
+    """Decode the operators' routing configuration.
 
-    A document of 1,700 routes takes some 75 ms of processor time, and twice that on a small
-    machine. So after some routes a pause is called, in which open streams go on.
+    Decoding 1,700 routes takes about 75 ms of processor time, and twice that on a small machine.
+    `pause` is called after every ROUTES_PER_PAUSE routes so that open streams are served meanwhile.
+    Raises DocumentFault if the document is invalid.
     """
     try:
         found = _ROUTING(spec)
         return RoutingDocument(
             version=found["version"],
             routes=tuple(_routes(found["routes"], pause)),
-            services=tuple(_service(one) for one in found.get("services") or ()),
-            workspaces=tuple(_workspace(one) for one in found.get("tenants") or ()),
+            services=tuple(_service(service) for service in found.get("services") or ()),
+            workspaces=tuple(_workspace(workspace) for workspace in found.get("tenants") or ()),
             limits=_limits(found.get("limits") or {}),
         )
     except (vol.Invalid, KeyError) as fault:
-        raise DocumentFault(f"the routing configuration cannot be read: {fault}") from fault
+        raise DocumentFault(f"invalid routing configuration: {fault}") from fault
 
 
 def _routes(raw: list[Any], pause: Callable[[], None]) -> Iterator[Route]:
-    """Decode the routes, with pauses between."""
-    for number, one in enumerate(raw, start=1):
-        yield _route(_ROUTE(one))
+    """Decode the routes, pausing after every ROUTES_PER_PAUSE routes."""
+    for number, route in enumerate(raw, start=1):
+        yield _route(_ROUTE(route))
         if number % ROUTES_PER_PAUSE == 0:
             pause()
 
 
-def _route(one: dict[str, Any]) -> Route:
-    """Decode one route."""
-    parts = one.get("trafficSplit") or ()
+def _route(raw: dict[str, Any]) -> Route:
+    """Decode a validated route."""
+    parts = raw.get("trafficSplit") or ()
     split = tuple(SplitPart(part["service"], part["weight"]) for part in parts)
     if not split:
-        split = (SplitPart(checks.text(one.get("service")), 1.0),)
+        split = (SplitPart(checks.text(raw.get("service")), 1.0),)
     return Route(
-        name=one["name"],
-        host=one["hostname"].lower(),
-        path_prefix=one["pathPrefix"],
-        repeat=REPEAT_BY_KIND[one["kind"]],
-        timeout_s=float(one["timeoutMs"]) / 1000,
-        target_s=float(one.get("targetLatencyMs") or one["timeoutMs"]) / 1000,
-        rank=int(one.get("priority") or 0),
+        name=raw["name"],
+        host=raw["hostname"].lower(),
+        path_prefix=raw["pathPrefix"],
+        repeat=REPEAT_BY_KIND[raw["kind"]],
+        timeout_s=float(raw["timeoutMs"]) / 1000,
+        target_s=float(raw.get("targetLatencyMs") or raw["timeoutMs"]) / 1000,
+        rank=int(raw.get("priority") or 0),
         split=split,
-        max_upstreams=max(1, int(one.get("maxAttempts") or 1)),
-        allows_anonymous=bool(one.get("allowAnonymous")),
-        is_resumable=bool(one.get("streamResume")),
-        gap_s=float(one.get("gap_aim_ms") or 0) / 1000,
+        max_upstreams=max(1, int(raw.get("maxAttempts") or 1)),
+        allows_anonymous=bool(raw.get("allowAnonymous")),
+        is_resumable=bool(raw.get("streamResume")),
+        gap_s=float(raw.get("gap_aim_ms") or 0) / 1000,
     )
 
 
-def _service(one: dict[str, Any]) -> Service:
-    """Decode one service."""
+def _service(raw: dict[str, Any]) -> Service:
+    """Decode a validated service."""
     return Service(
-        name=one["name"],
-        health_path=one.get("healthPath") or "",
-        max_connections=int(one.get("maxConnections") or 0),
-        engine=_engine(one["engine"]) if one.get("engine") else None,
-        cold_start_s=one.get("coldStartS") or 0.0,
-        cold_rate=one.get("coldPerS") or 0.0,
+        name=raw["name"],
+        health_path=raw.get("healthPath") or "",
+        max_connections=int(raw.get("maxConnections") or 0),
+        engine=_engine(raw["engine"]) if raw.get("engine") else None,
+        cold_start_s=raw.get("coldStartS") or 0.0,
+        cold_rate=raw.get("coldPerS") or 0.0,
     )
 
 
-def _engine(one: dict[str, Any]) -> Engine:
-    """Decode the engine of a service."""
+def _engine(raw: dict[str, Any]) -> Engine:
+    """Decode the engine properties of a service."""
     return Engine(
-        slots=int(one.get("slots") or 1),
-        memory_tokens=int(one.get("kvCacheTokens") or 0),
-        token_bytes=int(one.get("kvTokenBytes") or 0),
-        link_bytes_per_s=float(one.get("linkMbps") or 0) * MBIT_BYTES,
-        can_move=bool(one.get("moves")),
-        can_backup=bool(one.get("backups")),
-        event_tokens=int(one.get("stride") or DEFAULT_EVENT_TOKENS),
+        slots=int(raw.get("slots") or 1),
+        memory_tokens=int(raw.get("kvCacheTokens") or 0),
+        token_bytes=int(raw.get("kvTokenBytes") or 0),
+        link_bytes_per_s=float(raw.get("linkMbps") or 0) * MBIT_BYTES,
+        can_move=bool(raw.get("moves")),
+        can_backup=bool(raw.get("backups")),
+        event_tokens=int(raw.get("stride") or DEFAULT_EVENT_TOKENS),
     )
 
 
-def _workspace(one: dict[str, Any]) -> Workspace:
-    """Decode one workspace."""
-    rank = one.get("priority")
+def _workspace(raw: dict[str, Any]) -> Workspace:
+    """Decode a validated workspace."""
+    rank = raw.get("priority")
     return Workspace(
-        name=one["name"],
-        keys=tuple(one.get("apiKeys") or ()),
+        name=raw["name"],
+        keys=tuple(raw.get("apiKeys") or ()),
         rank=None if rank is None else int(rank),
     )
 
 
-def _limits(one: dict[str, Any]) -> Limits:
-    """Decode the limits of the callers' listener."""
-    usual = Limits()
+def _limits(raw: dict[str, Any]) -> Limits:
+    """Decode the limits of the callers' listener; missing fields keep their defaults."""
+    defaults = Limits()
     return Limits(
-        header_bytes=int(one.get("maxHeaderBytes") or usual.header_bytes),
-        body_bytes=int(one.get("maxBodyBytes") or usual.body_bytes),
-        header_timeout_s=float(one.get("headerTimeoutMs") or usual.header_timeout_s * 1000) / 1000,
-        idle_timeout_s=float(one.get("idleTimeoutMs") or usual.idle_timeout_s * 1000) / 1000,
+        header_bytes=int(raw.get("maxHeaderBytes") or defaults.header_bytes),
+        body_bytes=int(raw.get("maxBodyBytes") or defaults.body_bytes),
+        header_timeout_s=float(raw.get("headerTimeoutMs") or defaults.header_timeout_s * 1000)
+        / 1000,
+        idle_timeout_s=float(raw.get("idleTimeoutMs") or defaults.idle_timeout_s * 1000) / 1000,
     )
 
 
 def read_upstream(upstream_name: str, revision: StoreVersion, spec: Any) -> Upstream:
-    """Decode an upstream's own entry; raise DocumentFault."""
+    """Decode an upstream's entry; raise DocumentFault if it is invalid."""
     try:
         found = _UPSTREAM(spec)
         return Upstream(
@@ -253,11 +255,11 @@
             cold_s=found["coldRemainingMs"] / MS_PER_S,
         )
     except vol.Invalid as fault:
-        raise DocumentFault(f"it names no upstream to use: {fault}") from fault
+        raise DocumentFault(f"invalid upstream entry: {fault}") from fault
 
 
 def removed_upstream(upstream_name: str, revision: StoreVersion) -> Upstream:
-    """Return what is told of an upstream whose entry was removed: only which one it was."""
+    """Return a removed upstream, of which only the name and the revision are known."""
     return Upstream(
         name=upstream_name,
         service="",
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -1,4 +1,4 @@
-"""Read the platform's kinds of objects as the gateway's own items."""
+"""List and watch the platform's kinds of objects, decoded into the gateway's types."""
 
 from __future__ import annotations
 
@@ -22,11 +22,14 @@
 
 Item = TypeVar("Item")
 MAX_LOGGED_OBJECTS: Final = 500
-"""Objects remembered that could not be read."""
+"""Objects remembered as logged, so that each invalid object is logged once per reason."""
 
 
 class KindFeed(Generic[Item]):
-    """Read one kind; what cannot be decoded is logged, and never stands for what was known."""
+    """List and watch the objects of one kind.
+
+    An object that cannot be decoded is logged, and what was known of it before is not kept.
+    """
 
     def __init__(
         self,
@@ -38,13 +41,14 @@
         name: str | None = None,
         stale: bool = False,
     ) -> None:
-        """Take the store, the kind and how its objects are decoded.
-
-        Where a name is given, objects of other names stand for nothing.
-        What is gone may come without its content, so it may be decoded in another way. So is what
-        has changed into an object that cannot be decoded: it counts as gone, since what was known
-        of it before holds no more. Without the other way such an object is left out.
-        A list that may be some seconds old costs a tenth; a watch from it misses nothing.
+        """Initialize the feed of a kind.
+
+        With `name`, objects of other names are ignored. `decode_removed` decodes removed objects,
+        which may come without their content. It also decodes an object that has changed into one
+        that cannot be decoded: it counts as removed, since what was known of it no longer holds.
+        Without `decode_removed` such an object is left out.
+        With `stale`, lists may be some seconds old, at a tenth of the cost; a watch that starts
+        from such a list misses no change.
         """
         self._store = store
         self._kind = kind
@@ -52,24 +56,24 @@
         self._decode_removed = decode_removed
         self._name = name
         self._stale = stale
-        self._logged: dict[str, str] = {}
-        """Why an object could not be read, by its name: it is listed again and again."""
+        self._logged_reasons: dict[str, str] = {}
+        """Logged decoding errors by object name; an invalid object appears in every list."""
 
     def list(self) -> Snapshot[Item]:
-        """Return all items of the kind."""
+        """Return all items of the kind that can be decoded."""
         listing = self._store.list(self._kind, stale=self._stale)
-        items = [self._item(one) for one in listing.objects if self._is_meant(one)]
+        items = [self._item(stored) for stored in listing.objects if self._is_selected(stored)]
         return Snapshot(tuple(item for item in items if item is not None), listing.at)
 
     def watch(self, at: StoreVersion, wait_s: float) -> Changes[Item]:
-        """Wait for changes after a revision."""
+        """Wait up to `wait_s` seconds for changes after a version."""
         answer = self._store.watch(self._kind, at, wait_s)
-        meant = (event for event in answer.events if self._is_meant(event.changed))
-        changes = (self._change(event) for event in meant)
-        return Changes(tuple(one for one in changes if one is not None), answer.at)
+        selected = (event for event in answer.events if self._is_selected(event.changed))
+        changes = (self._change(event) for event in selected)
+        return Changes(tuple(change for change in changes if change is not None), answer.at)
 
-    def _is_meant(self, stored: StoredObject) -> bool:
-        """Tell whether an object is one that this feed is of."""
+    def _is_selected(self, stored: StoredObject) -> bool:
+        """Return True if the feed covers an object."""
         return self._name is None or stored.name == self._name
 
     def _change(self, event: WatchEvent) -> ItemChange[Item] | None:
@@ -84,24 +88,24 @@
         return None
 
     def _item(self, stored: StoredObject) -> Item | None:
-        """Decode one object."""
+        """Decode an object; return None and log the reason if it is invalid."""
         try:
             item = self._decode(stored)
         except DocumentFault as fault:
             self._log_unreadable(stored.name, str(fault))
             return None
-        self._logged.pop(stored.name, None)
+        self._logged_reasons.pop(stored.name, None)
         return item
 
     def _log_unreadable(self, name: str, reason: str) -> None:
-        """Log once why an object is not used."""
-        if self._logged.get(name) == reason:
+        """Log why an object is ignored, once per reason."""
+        if self._logged_reasons.get(name) == reason:
             return
-        if len(self._logged) >= MAX_LOGGED_OBJECTS:
-            self._logged.clear()
-        self._logged[name] = reason
+        if len(self._logged_reasons) >= MAX_LOGGED_OBJECTS:
+            self._logged_reasons.clear()
+        self._logged_reasons[name] = reason
         log_event(
-            PREFIX_CONFIGURATION, f"An object cannot be read: {reason}", kind=self._kind, name=name
+            PREFIX_CONFIGURATION, f"Stored object ignored: {reason}", kind=self._kind, name=name
         )
 
 
@@ -120,8 +124,8 @@
     return KindFeed(
         store,
         names.KIND_UPSTREAMS,
-        lambda one: documents.read_upstream(one.name, one.revision, one.spec),
-        lambda one: documents.removed_upstream(one.name, one.revision),
+        lambda stored: documents.read_upstream(stored.name, stored.revision, stored.spec),
+        lambda stored: documents.removed_upstream(stored.name, stored.revision),
     )
 
 
@@ -131,7 +135,7 @@
 
 
 def cordon_feed(store: Store) -> KindFeed[Cordon]:
-    """Return the feed of cordoned zones; the name of an object is all that counts of it."""
+    """Return the feed of cordoned zones, each of which is named by the name of its object."""
     return KindFeed(store, names.KIND_CORDONS, _cordon)
 
 
@@ -141,7 +145,7 @@
 
 
 def instance_feed(store: Store, *, stale: bool = False) -> KindFeed[Instance]:
-    """Return the feed of this system's own instances; a stale one is cheap."""
+    """Return the feed of this system's instances; stale lists cost the store less."""
     return KindFeed(store, names.KIND_INSTANCES, _instance, stale=stale)
 
 
@@ -149,11 +153,11 @@
     """Read and write the submitted policy; each call may raise PlatformUnavailable."""
 
     def __init__(self, store: Store) -> None:
-        """Take the store."""
+        """Initialize with the platform's object store."""
         self._store = store
 
     def read(self) -> PolicyText | None:
-        """Return what is stored; None where nothing is, or nothing that can be read."""
+        """Return the stored policy; None if there is none or it is invalid."""
         stored = self._store.get(names.KIND_POLICY, names.NAME_POLICY)
         try:
             return _policy_text(stored) if stored else None
@@ -161,7 +165,7 @@
             return None
 
     def write(self, text: str, instead_of: PolicyText | None) -> bool:
-        """Store a policy, unless something else is there by now; return whether it is stored."""
+        """Replace a policy if it is still the stored one; return True if it was replaced."""
         kind, name, spec = names.KIND_POLICY, names.NAME_POLICY, {"text": text}
         if instead_of is None:
             return self._store.create(kind, name, spec) is not None
@@ -169,7 +173,7 @@
 
 
 def register_instance(store: Store, instance: Instance) -> None:
-    """Write this instance's own entry, or raise PlatformUnavailable."""
+    """Create or replace this instance's entry, or raise PlatformUnavailable."""
     spec = {
         "address": instance.address,
         "peer_address": instance.peer_address,
@@ -190,11 +194,11 @@
     try:
         return Cordon(checks.text(stored.name), stored.revision)
     except vol.Invalid as fault:
-        raise DocumentFault(f"the cordon {stored.name!r} names no zone") from fault
+        raise DocumentFault(f"invalid zone name of cordon {stored.name!r}") from fault
 
 
 def _routing_text(stored: StoredObject) -> RoutingText:
-    """Decode a routing configuration; the text is kept to pass it on."""
+    """Decode a routing configuration; its text is kept to be sent to other instances."""
     document = documents.read_routing(stored.spec, lambda: gevent.sleep(0))
     return RoutingText(document, orjson.dumps(stored.spec).decode())
 
@@ -202,7 +206,7 @@
 def _policy_text(stored: StoredObject) -> PolicyText:
     """Decode a submitted policy."""
     if not isinstance(stored.spec, dict) or not isinstance(stored.spec.get("text"), str):
-        raise DocumentFault(f"the policy {stored.name} has no text")
+        raise DocumentFault(f"policy {stored.name!r} has no text")
     return PolicyText(stored.revision, stored.spec["text"])
 
 
@@ -211,7 +215,5 @@
     try:
         spec = _INSTANCE(stored.spec)
     except vol.Invalid as fault:
-        raise DocumentFault(
-            f"the entry of instance {stored.name} cannot be read: {fault}"
-        ) from fault
+        raise DocumentFault(f"invalid entry of instance {stored.name}: {fault}") from fault
     return Instance(stored.name, spec["address"], spec["peer_address"], spec["zone"])
