--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -77,7 +77,7 @@
         self._policy = policy
         self._chance = chance
         self._load = load
-        self._current = current
+        self._is_current = current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
     def admit(self, progress: RequestProgress, unix_time_s: float) -> AdmittedRequest | Problem:
@@ -143,7 +143,7 @@
 
     def _unless_outdated(self, problem: Problem) -> Problem:
         """Return the problem, or a retryable one if the configuration may be outdated."""
-        if self._current():
+        if self._is_current():
             return problem
         detail = "the configuration here may be old"
         return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -65,7 +65,7 @@
         self._state = state
         self._mover = mover
         self._drain = drain
-        self._current = current
+        self._is_current = current
         address = split_address(state.settings.caller_listen)
         self._server = StreamServer(address, self._serve, backlog=BACKLOG)
 
@@ -144,7 +144,7 @@
             self._state.policy,
             chance=self._state.rng.random,
             load=self._state.memory_load,
-            is_current=self._current,
+            is_current=self._is_current,
         )
         progress = RequestProgress(call.host, call.path, metadata, call.read_at)
         admitted = admission.admit(progress, self._state.wall_time_s())
