--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -221,4 +221,4 @@
         if document.policy and (document.policy != before or self._policy is None):
             self._policy = parse_policy(document.policy)
         log_event(PREFIX_CONFIGURATION, f"Generation {document.generation} is in force")
-        self._hub.config_changed(document)
+        self._hub.notify_config(document)
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -71,7 +71,7 @@
         """Take over how a peer's address is found."""
         self._address_of = address_of
 
-    def config_changed(self, document: ConfigDocument) -> None:
+    def notify_config(self, document: ConfigDocument) -> None:
         """Tell listeners of a new configuration."""
         for listener in self._config_listeners:
             listener(document)
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -47,7 +47,7 @@
         platform=StoredConfigs(),
         on_message=lambda kind, handler: None,
         every=lambda period_s, work, prefix: None,
-        config_changed=lambda document: None,
+        notify_config=lambda document: None,
     )
     context.config_service = ConfigService(cast(Hub, hub), cast(MembershipService, None))
 
