--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -103,7 +103,7 @@
         self._builder = _ResponseBuilder()
         self._parser = httptools.HttpResponseParser(self._builder)
         self._builder.parser = self._parser
-        self._framed = True
+        self._is_framed = True
         self._at_end = False
         self.sent_at = 0.0
         """Time when sending the request began, in seconds."""
@@ -113,7 +113,7 @@
     @property
     def is_framed(self) -> bool:
         """Return True if the response is framed; otherwise it ends with its connection."""
-        return self._framed
+        return self._is_framed
 
     @classmethod
     def connect(cls, address: str, timeout_s: float) -> UpstreamExchange:
@@ -179,7 +179,7 @@
             self._receive()
         item = self._builder.items.popleft()
         if isinstance(item, ResponseHead):
-            self._framed = item.is_framed
+            self._is_framed = item.is_framed
         return item
 
     def close(self) -> None:
@@ -213,7 +213,7 @@
 
         A closed connection returns empty reads forever, so it ends only one response.
         """
-        if self._framed or self._at_end:
+        if self._is_framed or self._at_end:
             raise UpstreamError("the response ended early", sent=True)
         self._at_end = True
         self._builder.items.append(ResponseEnd())
