--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -188,7 +188,7 @@
 
     def _notify_changed(self) -> None:
         """Tell listeners that runners changed."""
-        self._hub.members_changed()
+        self._hub.notify_members()
 
     def _handle_config(self, document: ConfigDocument) -> None:
         """Take over the configured runners."""
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -76,7 +76,7 @@
         for listener in self._config_listeners:
             listener(document)
 
-    def members_changed(self) -> None:
+    def notify_members(self) -> None:
         """Tell listeners of a change among instances."""
         for listener in self._member_listeners:
             listener()
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -90,7 +90,7 @@
         if runners != self._listed_runners:
             self._tell_changes(runners)
             self._listed_runners = runners
-            self._hub.members_changed()
+            self._hub.notify_members()
 
     def _is_reader(self) -> bool:
         """Tell whether this instance reads the list for the fleet."""
@@ -117,7 +117,7 @@
         actions = self._get_or_create_controller.handle(event, self._hub.now())
         changed = [one for one in actions if not self._carry_out(one)]
         if changed:
-            self._hub.members_changed()
+            self._hub.notify_members()
 
     def _carry_out(self, action: MembershipAction) -> bool:
         """Carry out one action; return whether it was a message."""
