--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -76,8 +76,8 @@
         if status < FIRST_FINAL_STATUS:
             return
         names = {name.lower() for name, _ in self._headers}
-        framed = bool(names & {b"content-length", b"transfer-encoding"}) or status in BODYLESS
-        head = ResponseHead(status, tuple(self._headers), framed)
+        is_framed = bool(names & {b"content-length", b"transfer-encoding"}) or status in BODYLESS
+        head = ResponseHead(status, tuple(self._headers), is_framed)
         self.items.append(head)
         self.new_heads.append(head)
         self._in_body = True
