--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -100,13 +100,13 @@
 
     def _ready(self, start: StartResponse) -> Iterable[bytes]:
         """Tell whether this instance may be used."""
-        if self._node.ready:
+        if self._node.is_ready:
             return send(start, 200, b"ready\n", "text/plain")
         return send(start, 503, b"not ready\n", "text/plain")
 
     def _serve(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Run the filter chain, then what the path asks for."""
-        if not self._node.ready:
+        if not self._node.is_ready:
             detail = "this instance has no configuration yet"
             return send_problem(start, Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, 1.0))
         context = self._context(environ)
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -59,7 +59,7 @@
         self._drain = DrainController(settings.locate_keep)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether requests can be served."""
         return self.config.ready
 
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -185,7 +185,7 @@
         return {
             "instance": node.hub.own.instance_id,
             "version": VERSION,
-            "ready": node.ready,
+            "ready": node.is_ready,
             "phase": node.drain_phase.value,
             "generation": node.config.document.generation,
             "policy": node.config.policy.name if node.config.policy else "",
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -96,7 +96,7 @@
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
     fronts = {one.listen["front"] for one in context.nodes}
     for node in context.nodes:
-        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} is ready", node.is_ready)
         wait_for_processes(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
 
 
@@ -198,7 +198,7 @@
         context.add_cleanup(node.process.wait)
         context.add_cleanup(node.process.kill)
     for node in nodes:
-        wait_for_processes(f"{node.name} is ready again", node.ready)
+        wait_for_processes(f"{node.name} is ready again", node.is_ready)
 
 
 @when("the first instance is killed and starts anew")
