--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -104,7 +104,7 @@
         self._parser = httptools.HttpResponseParser(self._builder)
         self._builder.parser = self._parser
         self._is_framed = True
-        self._at_end = False
+        self._has_ended = False
         self.sent_at = 0.0
         """Time when sending the request began, in seconds."""
         self.observe: Callable[[ResponseHead], None] = _ignore
@@ -213,9 +213,9 @@
 
         A closed connection returns empty reads forever, so it ends only one response.
         """
-        if self._is_framed or self._at_end:
+        if self._is_framed or self._has_ended:
             raise UpstreamError("the response ended early", sent=True)
-        self._at_end = True
+        self._has_ended = True
         self._builder.items.append(ResponseEnd())
 
 
