--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -72,7 +72,7 @@
         return self._policy
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether a configuration is in force."""
         return self._policy is not None
 
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -61,7 +61,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether requests can be served."""
-        return self.config.ready
+        return self.config.is_ready
 
     @property
     def drain_phase(self) -> DrainPhase:
