--- a/driftstall/bootstrap.py
+++ b/driftstall/bootstrap.py
@@ -30,7 +30,7 @@
     gevent.signal_handler(signal.SIGTERM, node.ask_stop)
     gevent.signal_handler(signal.SIGINT, node.ask_stop)
     log_event(PREFIX_MEMBERSHIP, f"Instance {settings.instance_id} listens on {settings.listen}")
-    while not node.stopped:
+    while not node.is_stopped:
         gevent.sleep(STOP_CHECK_S)
     callers.stop(timeout=1)
     operators.stop(timeout=1)
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -69,7 +69,7 @@
         return self._drain.phase
 
     @property
-    def stopped(self) -> bool:
+    def is_stopped(self) -> bool:
         """Tell whether a planned stop has come to its end."""
         return self._drain.phase is DrainPhase.STOPPED
 
