--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -234,7 +234,7 @@
             self._state.exchanges.add(upstream.upstream_id, exchange)
             if first:
                 self._state.retry_budget(upstream.service).record_request(self._state.now())
-            return self._read_answer(upstream, exchange)
+            return self._read_response(upstream, exchange)
         except UpstreamError as error:
             return SendFailure(
                 Outcome.BROKEN, SendOutcome.MAY_HAVE_RUN, str(error), is_broken_off=True
@@ -247,7 +247,7 @@
             self._state.loads.remove_load(request_id)
             self._state.notify_call_load_changed()
 
-    def _read_answer(
+    def _read_response(
         self, upstream: Upstream, exchange: UpstreamExchange
     ) -> UpstreamResponse | SendFailure:
         """Send the request, then read the response that carries its id."""
