--- a/driftstall/bootstrap.py
+++ b/driftstall/bootstrap.py
@@ -27,8 +27,8 @@
     node.start()
     operators.start()
     callers.start()
-    gevent.signal_handler(signal.SIGTERM, node.ask_stop)
-    gevent.signal_handler(signal.SIGINT, node.ask_stop)
+    gevent.signal_handler(signal.SIGTERM, node.request_stop)
+    gevent.signal_handler(signal.SIGINT, node.request_stop)
     log_event(PREFIX_MEMBERSHIP, f"Instance {settings.instance_id} listens on {settings.listen}")
     while not node.is_stopped:
         gevent.sleep(STOP_CHECK_S)
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -94,7 +94,7 @@
             one for one in self.members.live if one.instance_id != own or self._drain.is_located
         )
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop."""
         self._run_drain(StopAsked())
 
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -119,7 +119,7 @@
             self._node.poison.record_success(route.rpartition("/")[2])
             return send_json(start, 200, {"crashes": self._crashes()})
         if route == "POST /operator/drain":
-            self._node.ask_stop()
+            self._node.request_stop()
             return send_json(start, 200, {"phase": self._node.drain_phase.value})
         return send_problem(start, Problem(CODE_NOT_FOUND, 404, f"no {route}", Ran.NOT_RUN))
 
