--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -48,7 +48,7 @@
 """Share of a call's latency target for which it waits for its turn at a cold upstream; the call
 itself takes about a fifth of the target."""
 FIRST_SERVER_ERROR: Final = 500
-MAX_ANSWER_BYTES: Final = 16_000_000
+MAX_RESPONSE_BYTES: Final = 16_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -272,7 +272,7 @@
             elif isinstance(item, BodyChunk):
                 parts.append(item.data)
                 size += len(item.data)
-                if size > MAX_ANSWER_BYTES:
+                if size > MAX_RESPONSE_BYTES:
                     raise UpstreamError("the response is too large", sent=True)
             elif isinstance(item, ResponseEnd) and head is not None:
                 metadata = self._state.dialect.read_response(head.status, head.headers)
