--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -182,7 +182,7 @@
         zone = parse_qs(environ.get("QUERY_STRING", "")).get("zone", [""])[0]
         workspace = checked.workspace
         owners = self._node.ownership.owners_for(workspace)
-        ranked = locate(workspace, owners, self._node.locatable(), zone)
+        ranked = locate(workspace, owners, self._node.locatable_instances(), zone)
         chosen = ranked[0].instance_id if ranked else "none"
         sentence = f"Workspace {workspace} is sent to {chosen} of {len(ranked)} instances"
         log_event(PREFIX_LOCATE, sentence, zone=zone)
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -87,7 +87,7 @@
         self.hub.run_periodically(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
         self.hub.run_periodically(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
 
-    def locatable(self) -> tuple[Instance, ...]:
+    def locatable_instances(self) -> tuple[Instance, ...]:
         """Return the instances that callers may be sent to."""
         own = self.hub.own.instance_id
         return tuple(
