--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -215,8 +215,8 @@
         With first, no upstream has received the request yet; it is then counted in the budget.
         """
         request_id = self._admitted.metadata.request_id
-        share = RequestLoad(upstream.upstream_id)
-        self._state.loads.set_load(request_id, share)
+        load = RequestLoad(upstream.upstream_id)
+        self._state.loads.set_load(request_id, load)
         self._state.notify_call_load_changed()
         try:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, self._remaining_s()))
