--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -185,7 +185,7 @@
         first = not attempts.history.has_arrived
         attempts.history.begin(upstream.upstream_id)
         started = self._state.now()
-        result = self._exchange_with(upstream, attempts, first=first)
+        result = self._exchange_with(upstream, attempts, is_first=first)
         seconds = self._state.now() - started
         outcome = result.outcome if isinstance(result, SendFailure) else _outcome_of(result)
         if not self._is_caller_disconnected:
@@ -208,7 +208,7 @@
         return None
 
     def _exchange_with(
-        self, upstream: Upstream, attempts: _Attempts, *, first: bool
+        self, upstream: Upstream, attempts: _Attempts, *, is_first: bool
     ) -> UpstreamResponse | SendFailure:
         """Send the request to one upstream and read its response.
 
@@ -232,7 +232,7 @@
                 detail = "the upstream takes no more requests"
                 return SendFailure(Outcome.NOT_SENT, SendOutcome.UNSENT, detail)
             self._state.exchanges.add(upstream.upstream_id, exchange)
-            if first:
+            if is_first:
                 self._state.retry_budget(upstream.service).record_request(self._state.now())
             return self._read_response(upstream, exchange)
         except UpstreamError as error:
