--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -182,10 +182,10 @@
     def _send(self, upstream: Upstream, attempts: _Attempts) -> UpstreamResponse | None:
         """Try one upstream; return the final response, or None to continue with another."""
         attempts.avoid.add(upstream.upstream_id)
-        first = not attempts.history.has_arrived
+        is_first = not attempts.history.has_arrived
         attempts.history.begin(upstream.upstream_id)
         started = self._state.now()
-        result = self._exchange_with(upstream, attempts, is_first=first)
+        result = self._exchange_with(upstream, attempts, is_first=is_first)
         seconds = self._state.now() - started
         outcome = result.outcome if isinstance(result, SendFailure) else _outcome_of(result)
         if not self._is_caller_disconnected:
