--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -161,14 +161,14 @@
 ) -> Option | None:
     """Select the backup engine of a run; return None if no engine has room for the replica."""
     known = list(options)
-    line = backup_fill_limit(run_memory_share(known, engine))
+    max_memory_share = backup_fill_limit(run_memory_share(known, engine))
     fitting = [
         option
         for option in known
         if option.upstream.upstream_id != primary.upstream_id
         and not option.is_ejected
         and not option.cold_s
-        and _memory_share(option.use, engine, requirement.total) <= line
+        and _memory_share(option.use, engine, requirement.total) <= max_memory_share
     ]
 
     def cost(option: Option) -> float:
