--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -106,7 +106,7 @@
         self._state.stats.requests += 1
         self._state.open_requests += 1
         try:
-            return self._answer_counted(connection, call)
+            return self._handle_counted(connection, call)
         except Exception as error:
             # A defect closes the connection, which also holds further requests, so it is logged.
             log_event(PREFIX_RELAY, f"Request failed with {type(error).__name__}: {error}")
@@ -115,7 +115,7 @@
         finally:
             self._state.open_requests -= 1
 
-    def _answer_counted(self, connection: CallerConnection, call: CallerRequest) -> bool:
+    def _handle_counted(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Admit one request and serve it."""
         keep_alive = call.keep_alive and self._state.stopping_since is None
         admitted = self._admit(call)
