--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -89,7 +89,7 @@
                 if isinstance(call, MalformedRequest):
                     self._reject(connection, call)
                     return
-                if not self._answer(connection, call):
+                if not self._handle_request(connection, call):
                     return
         finally:
             connection.close()
@@ -101,7 +101,7 @@
         log_event(PREFIX_RELAY, f"Request answered with {problem.status}: {problem.detail}")
         connection.write(encode_problem(problem, keep_alive=False))
 
-    def _answer(self, connection: CallerConnection, call: CallerRequest) -> bool:
+    def _handle_request(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Answer one request; return whether the connection is kept."""
         self._state.stats.requests += 1
         self._state.open_requests += 1
