--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -47,12 +47,14 @@
         self.grants = GrantsService(
             self.hub, self.members, self.config, self.fleet, self.ownership, self.limits
         )
-        self.asking = GrantClient(self.hub, self.members, self.fleet, self.ownership)
+        self.grant_client = GrantClient(self.hub, self.members, self.fleet, self.ownership)
         self.claims = ClaimsService(self.hub, self.members)
         self.placement = PlacementService(self.hub, self.members, self.fleet)
         self.poison = PoisonService(self.hub, self.members)
         self.signals = SignalService(self.hub, self.fleet, self.limits.limits)
-        self.relay = RelayService(self.hub, self.fleet, self.asking, self.poison, self.signals)
+        self.relay = RelayService(
+            self.hub, self.fleet, self.grant_client, self.poison, self.signals
+        )
         self.services = ServiceCalls(
             self.hub, self.fleet, self.claims, self.poison, self.limits.limits, self.signals
         )
@@ -79,7 +81,7 @@
         self.members.start()
         self.config.start()
         self.grants.start()
-        self.asking.start()
+        self.grant_client.start()
         self.claims.start()
         self.placement.start()
         self.poison.start()
--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -102,7 +102,7 @@
         self,
         hub: Hub,
         fleet: FleetService,
-        asking: GrantClient,
+        grant_client: GrantClient,
         poison: PoisonService,
         signals: SignalService,
     ) -> None:
@@ -111,7 +111,7 @@
         self.poison = poison
         self.hub = hub
         self.fleet = fleet
-        self.asking = asking
+        self.grant_client = grant_client
         self.budget = RetryBudget()
 
     def start_relay(
@@ -210,7 +210,7 @@
             return
         machine, request_id = self._machine, self._machine.grant_id
         runner_id, deadline = machine.runner_id, self._request.deadline
-        asking, stats = self._service.asking, self._hub.stats
+        grant_client, stats = self._service.grant_client, self._hub.stats
         try:
             for events in stream:
                 tokens = []
@@ -227,7 +227,7 @@
                         return
                 if tokens:
                     self._last_progress_at = self._hub.now()
-                    asking.progress(request_id, machine.produced)
+                    grant_client.progress(request_id, machine.produced)
                     stats.tokens += len(tokens)
                     yield Tokens(tuple(tokens))
                 if self._output or self._stream is not stream or machine.is_done:
@@ -249,7 +249,7 @@
             self._feed(StreamEnded(event.generation, event.total, event.data))
         elif not self._caller_waits():
             self._handle_disconnect()
-        elif self._service.asking.is_paused(self._machine.grant_id):
+        elif self._service.grant_client.is_paused(self._machine.grant_id):
             self._last_progress_at = self._hub.now()
         elif self._hub.now() - self._last_progress_at >= STALL_TIMEOUT_S:
             raise UpstreamError("the engine sends no token", sent=True)
@@ -305,7 +305,7 @@
                 if runner is not None:
                     gevent.spawn(control, runner, action.generation, "cancel")
             case CloseGrant():
-                self._service.asking.close(
+                self._service.grant_client.close(
                     action.grant_id, action.produced, action.finished, self._cached_prefix
                 )
             case Deliver():
@@ -333,7 +333,7 @@
             return
         request = with_request_id(self._request, action.grant_id)
         ticket, self.ticket = self.ticket, ""
-        answer = self._service.asking.acquire(
+        answer = self._service.grant_client.acquire(
             request,
             self._verdict,
             ticket,
