--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -72,7 +72,7 @@
         self.parser: Any = None
         self.wants_continue = False
         self.begun_at: float | None = None
-        self.head_done = False
+        self.is_head_complete = False
         self._reset()
 
     def _reset(self) -> None:
@@ -82,7 +82,7 @@
         self._head_bytes = 0
         self._body: list[bytes] = []
         self.body_bytes = 0
-        self.head_done = False
+        self.is_head_complete = False
         self.begun_at = None
 
     def on_message_begin(self) -> None:
@@ -97,12 +97,12 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header; trailers are dropped."""
         self._count_head(len(name) + len(value) + 4)
-        if not self.head_done:
+        if not self.is_head_complete:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Validate the head: Host, transfer coding and length."""
-        self.head_done = True
+        self.is_head_complete = True
         values: dict[bytes, list[bytes]] = {}
         for name, value in self._headers:
             values.setdefault(name.lower(), []).append(value.strip())
@@ -209,7 +209,7 @@
         if begun_at is None:
             return idle_until
         until = begun_at + self._limits.header_timeout_s
-        if self._builder.head_done:
+        if self._builder.is_head_complete:
             until += self._builder.body_bytes / MIN_BODY_BYTES_PER_S + WRITE_TIMEOUT_S
         return until
 
@@ -233,7 +233,7 @@
 
     def _send_continue(self) -> None:
         """Send 100 Continue if the caller waits for it."""
-        if self._builder.wants_continue and self._builder.head_done:
+        if self._builder.wants_continue and self._builder.is_head_complete:
             self._builder.wants_continue = False
             self.write(CONTINUE)
 
