--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -46,7 +46,7 @@
     hub = SimpleNamespace(
         platform=StoredConfigs(),
         on_message=lambda kind, handler: None,
-        every=lambda period_s, work, prefix: None,
+        run_periodically=lambda period_s, work, prefix: None,
         notify_config=lambda document: None,
     )
     context.config_service = ConfigService(cast(Hub, hub), cast(MembershipService, None))
