--- a/features/steps/gateway_admission_steps.py
+++ b/features/steps/gateway_admission_steps.py
@@ -1,4 +1,4 @@
-"""Check what the gateway admits, and how it reads callers' bytes."""
+"""Test the gateway's admission of requests and its HTTP parsing."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @given("the configuration may be old")
 def may_be_old(context: Any) -> None:
-    """Let the instance be unsure of its configuration."""
+    """Mark the instance's configuration as possibly outdated."""
     world_of(context).current = False
 
 
 @given("no configuration has been read")
 def no_configuration(context: Any) -> None:
-    """Take the configuration away."""
+    """Remove the configuration."""
     world = world_of(context)
     world.state.route_table = None
     world.state.configured.clear()
@@ -38,21 +38,21 @@
 
 @given("a first configuration that comes while the request waits")
 def configuration_comes(context: Any) -> None:
-    """Take the configuration away and bring it back soon."""
+    """Remove the configuration, and apply it once a request waits."""
     world = world_of(context)
     no_configuration(context)
 
-    def bring() -> None:
+    def configure() -> None:
         wait_for("the request waits", lambda: world.state.open_requests > 0)
         world.use(document())
         world.state.notify_if_configured()
 
-    gevent.spawn(bring)
+    gevent.spawn(configure)
 
 
 @then('"{first}" leads to route "{first_name}" and "{second}" to "{second_name}"')
 def leads_to(context: Any, first: str, first_name: str, second: str, second_name: str) -> None:
-    """Look two paths up."""
+    """Look up the routes of two paths."""
     table = world_of(context).state.route_table
     assert table is not None
     for path, name in ((first, first_name), (second, second_name)):
@@ -62,7 +62,7 @@
 
 @then("of 1000 requests on a route split 90 to 10 about 900 go to the first service")
 def split(context: Any) -> None:
-    """Count over evenly spread chances."""
+    """Count the services chosen for evenly spaced random values."""
     parts = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     raw = document()
     raw["routes"][0] |= {"trafficSplit": parts, "service": None}
@@ -97,7 +97,7 @@
 
 @when("a caller sends {what}")
 def send_input(context: Any, what: str) -> None:
-    """Send malformed input and wait for the connection's end."""
+    """Send malformed input, serve another caller, and read until the connection ends."""
     world = world_of(context)
     connection = world.connect()
     connection.sendall(INPUTS[what])
@@ -108,21 +108,21 @@
 
 @then("it is answered {status:d} and closed")
 def answered_closed(context: Any, status: int) -> None:
-    """Compare the answer."""
+    """Check the status and the Connection header."""
     assert context.answer.status == status, context.answer
     assert context.answer.headers["connection"] == "close"
 
 
 @then("another caller is served meanwhile")
 def others_served(context: Any) -> None:
-    """Look at the other caller, and that nothing of the input has run."""
+    """Check the other caller's response, and that the malformed request was not run."""
     assert context.other.status == 200
     assert not runs(world_of(context), "bad")
 
 
 @when("two requests come in one packet")
 def two_in_one(context: Any) -> None:
-    """Send two requests at once."""
+    """Send two pipelined requests and read both responses."""
     connection = world_of(context).connect()
     keep = request_bytes("/once/a", "p1", Connection="keep-alive")
     connection.sendall(keep + request_bytes("/once/b", "p2"))
@@ -135,7 +135,7 @@
 
 @then("both are answered in order on the same connection")
 def both_answered(context: Any) -> None:
-    """Take both answers apart."""
+    """Split and check both responses."""
     first, second = context.both.split(b"HTTP/1.1 ")[1:]
     for part, request_id in ((first, "p1"), (second, "p2")):
         answer = parse_answer(b"HTTP/1.1 " + part)
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -1,4 +1,4 @@
-"""Check the log and the story of one request."""
+"""Test the bounded log writer and the `explain` command."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @given("a log whose reader takes nothing")
 def full_pipe(context: Any) -> None:
-    """Fill a pipe."""
+    """Create a log writer on a pipe that is full."""
     context.reader, writer = os.pipe()
     os.set_blocking(writer, False)
     with contextlib.suppress(BlockingIOError):
@@ -30,20 +30,20 @@
 
 @when("50 lines are written")
 def write_lines(context: Any) -> None:
-    """Write lines that nobody takes."""
+    """Write lines while the pipe is full."""
     for number in range(50):
         context.log({"message": "m", "number": number})
 
 
 @then("none has waited and the loss is counted")
 def loss_counted(context: Any) -> None:
-    """Having come here, none has waited."""
+    """Check the count of dropped lines; a blocking write would never have returned."""
     assert context.log.dropped == 50, context.log.dropped
 
 
 @then("once the reader takes lines again the next one tells of the loss")
-def loss_told(context: Any) -> None:
-    """Empty the pipe and write once more."""
+def loss_reported(context: Any) -> None:
+    """Empty the pipe, write a line, and check the dropped count in it."""
     os.set_blocking(context.reader, False)
     with contextlib.suppress(BlockingIOError):
         while os.read(context.reader, 65_536):
@@ -55,12 +55,14 @@
 
 @given('logs of two instances that name request "r1"')
 def two_logs(context: Any) -> None:
-    """Write two logs; one as a collector writes it, with the instance before each line."""
+    """Write two logs, one as a log collector writes it with the instance before each line."""
     folder = Path(tempfile.mkdtemp())
     placed = {"timestamp": 2.0, "message": "placed on u1", "request": "r1", "upstream": "u1"}
     notice = {"timestamp": 2.5, "message": "Upstream u1 is leaving"}
     other = {"timestamp": 2.6, "message": "placed", "request": "r2"}
-    (folder / "a.log").write_bytes(b"\n".join(orjson.dumps(one) for one in (notice, placed, other)))
+    (folder / "a.log").write_bytes(
+        b"\n".join(orjson.dumps(line) for line in (notice, placed, other))
+    )
     resumed = {"timestamp": 3.0, "message": "goes on", "request": "r1", "left": "u1"}
     (folder / "b.log").write_bytes(b" 3.0 instance-b " + orjson.dumps(resumed))
     context.files = [str(folder / "a.log"), str(folder / "b.log")]
@@ -68,7 +70,7 @@
 
 @then('explaining "r1" shows its lines in order, and the notice of its upstream')
 def explained(context: Any) -> None:
-    """Run the command's part."""
+    """Run the command's function and check its lines."""
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         assert explain_request("r1", context.files) == 0
@@ -84,7 +86,7 @@
     ' "r1" did'
 )
 def crash_logs(context: Any) -> None:
-    """Write a log."""
+    """Write a log with crashes attributed to two requests and a refusal."""
     folder = Path(tempfile.mkdtemp())
     lines: tuple[dict[str, Any], ...] = (
         {"message": "Upstream u1 has crashed with 2 runs", "fingerprints": ["f1", "f2"]},
@@ -94,14 +96,14 @@
         {"message": "placed", "fingerprint": "f1", "request": "r1"},
         {"message": "not sent on", "fingerprint": "f1", "request": "r3"},
     )
-    stamped = (one | {"timestamp": 2.0 + at * 10} for at, one in enumerate(lines))
-    (folder / "a.log").write_bytes(b"\n".join(orjson.dumps(one) for one in stamped))
+    stamped = (line | {"timestamp": 2.0 + at * 10} for at, line in enumerate(lines))
+    (folder / "a.log").write_bytes(b"\n".join(orjson.dumps(line) for line in stamped))
     context.files = [str(folder / "a.log")]
 
 
 @then('explaining "r3" shows the crashes under "r1" and its own refusal, and nothing of "r2"')
 def crashes_explained(context: Any) -> None:
-    """Run the command's part."""
+    """Run the command's function and check its lines."""
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         assert explain_request("r3", context.files) == 0
