--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -107,20 +107,20 @@
         for name, value in self._headers:
             values.setdefault(name.lower(), []).append(value.strip())
         if len(values.get(b"host", ())) != 1:
-            self._fail(HTTPStatus.BAD_REQUEST, "one Host header is needed")
+            self._set_error(HTTPStatus.BAD_REQUEST, "one Host header is needed")
         codings = values.get(b"transfer-encoding", [CHUNKED])
         if [coding.lower() for coding in codings] != [CHUNKED]:
-            self._fail(HTTPStatus.BAD_REQUEST, "only the chunked transfer coding is known")
+            self._set_error(HTTPStatus.BAD_REQUEST, "only the chunked transfer coding is known")
         length = values.get(b"content-length", [b"0"])[0]
         if not length.isdigit() or int(length) > self._limits.body_bytes:
-            self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            self._set_error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.wants_continue = [v.lower() for v in values.get(b"expect", ())] == [b"100-continue"]
 
     def on_body(self, data: bytes) -> None:
         """Collect a chunk of the body."""
         self.body_bytes += len(data)
         if self.body_bytes > self._limits.body_bytes:
-            self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            self._set_error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
             return
         self._body.append(data)
 
@@ -145,9 +145,9 @@
         """Enforce the size limit of the head."""
         self._head_bytes += size
         if self._head_bytes > self._limits.header_bytes:
-            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
+            self._set_error(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
 
-    def _fail(self, status: HTTPStatus, detail: str) -> None:
+    def _set_error(self, status: HTTPStatus, detail: str) -> None:
         """Record the first error; later ones are ignored."""
         self.error = self.error or MalformedRequest(status, detail)
 
