--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -64,24 +64,24 @@
         table: RouteTable,
         policy: Policy,
         *,
-        chance: Callable[[], float],
+        random: Callable[[], float],
         load: Callable[[str], float],
-        current: Callable[[], bool],
+        is_current: Callable[[], bool],
     ) -> None:
         """Initialize with the current routes and policy, and with readers.
 
-        The reader chance returns a random number from 0 to 1, load the load of a service from
-        0 to 1, and current whether the configuration is known to be the newest.
+        The reader random returns a random number from 0 to 1, load the load of a service from
+        0 to 1, and is_current whether the configuration is known to be the newest.
         """
         self._table = table
         self._policy = policy
-        self._chance = chance
+        self._random = random
         self._load = load
-        self._is_current = current
+        self._is_current = is_current
         self._filters = (self._find_route, self._authenticate, self._apply_policy)
 
     def admit(self, progress: RequestProgress, unix_time_s: float) -> AdmittedRequest | Problem:
-        """Return the admitted request, or a problem; wall is the Unix time in seconds."""
+        """Return the admitted request, or a problem; the policy's hour is that of unix_time_s."""
         hour = datetime.fromtimestamp(unix_time_s, UTC).hour
         self._hour = hour
         result = run_chain(self._filters, progress)
@@ -106,7 +106,7 @@
         route = self._table.route(progress.host, progress.path)
         if route is None:
             return self._unless_outdated(Problem(CODE_NOT_FOUND, 404, "no such route", Ran.NOT_RUN))
-        service = self._table.service(pick_service(route, self._chance()))
+        service = self._table.service(pick_service(route, self._random()))
         if service is None:
             detail = "the route's service is not configured"
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, UNSURE_RETRY_S)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -59,13 +59,13 @@
     """Listener that serves callers' requests."""
 
     def __init__(
-        self, state: GatewayState, mover: Mover, drain: Drain, current: Callable[[], bool]
+        self, state: GatewayState, mover: Mover, drain: Drain, is_current: Callable[[], bool]
     ) -> None:
-        """Initialize with the shared state; current returns whether the routing is the newest."""
+        """Initialize with the shared state; is_current tells if the routing is the newest."""
         self._state = state
         self._mover = mover
         self._drain = drain
-        self._is_current = current
+        self._is_current = is_current
         address = split_address(state.settings.caller_listen)
         self._server = StreamServer(address, self._serve, backlog=BACKLOG)
 
@@ -142,7 +142,7 @@
         admission = Admission(
             table,
             self._state.policy,
-            chance=self._state.rng.random,
+            random=self._state.rng.random,
             load=self._state.memory_load,
             is_current=self._is_current,
         )
