--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""Call a model engine: to copy a run's memory to another one, or to ask whether it stays."""
+"""Calls to a model engine: KV cache transfers for migration, and probes of the engine's state."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
 from driftstall.util.http import Exchange
 
 MOVE_TIMEOUT_S: Final = 4.0
-"""Copies queue behind each other on a link; an engine seldom lives longer after its notice."""
+"""Copies queue behind each other on a link. An engine seldom lives longer than this after its
+termination notice."""
 
 DROP_TIMEOUT_S: Final = 1.0
 
 PROBE_TIMEOUT_S: Final = 0.5
-"""An engine answers in a few milliseconds; one that does not is asked again soon."""
+"""Engines answer within a few milliseconds; one that does not is probed again soon."""
 
 STATES: Final = frozenset({"ready", "draining"})
-"""What engines call their own standing in a report."""
+"""Values of the state in an engine's report."""
 
 NOT_STOPPED_STATUSES: Final = frozenset({HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT})
-"""Answers to a last step by which the run is not there, or another step is going on."""
+"""Answers to a final copy that leave the run as it is: it does not exist, or another copy of it is
+in progress."""
 
 
 def move(
@@ -47,14 +49,17 @@
     *,
     last: bool,
 ) -> MoveResult:
-    """Copy a run's memory from one engine to another; wait until the copy is whole."""
-    wanted: dict[str, Any] = {"id": request_id, "targetVersion": target.address}
+    """Copy a run's KV cache from one engine to another and wait until the copy is complete.
+
+    With `last`, the source stops the run first (final copy of a stop-and-copy migration).
+    """
+    payload: dict[str, Any] = {"id": request_id, "targetVersion": target.address}
     if last:
-        wanted["last"] = True
+        payload["last"] = True
     headers = {"Content-Type": "application/json"}
     sent_at = clock.now()
     try:
-        body = orjson.dumps(wanted)
+        body = orjson.dumps(payload)
         exchange = Exchange.open(
             source.address, "POST", names.PATH_KV_MOVE, headers, body, MOVE_TIMEOUT_S
         )
@@ -68,13 +73,13 @@
             copy_of="",
             detail=str(fault),
         )
-    copy_of = _copy_name(source, answer)
+    copy_of = _replica_name(source, answer)
     if exchange.status == HTTPStatus.OK and copy_of:
         return MoveDone(copy_of)
     return MoveFailed(
         no_such_run=exchange.status == HTTPStatus.NOT_FOUND,
         may_have_stopped=exchange.status not in NOT_STOPPED_STATUSES,
-        # Only this answer means that the run has stopped and its memory was kept.
+        # Only this answer means that the run was stopped and its KV cache kept.
         copy_of=copy_of if last and exchange.status == HTTPStatus.SERVICE_UNAVAILABLE else "",
         detail=f"the engine answered {exchange.status}",
         target_refused=exchange.status == HTTPStatus.SERVICE_UNAVAILABLE,
@@ -82,7 +87,7 @@
 
 
 def probe_state(engine: Upstream, observe: SignalObserver = ignore_signals) -> ReportedState:
-    """Ask an engine whether it stays; what it says is some hundred milliseconds old."""
+    """Ask an engine for its state; the answer may be some hundred milliseconds old."""
     sent_at = clock.now()
     try:
         exchange = Exchange.open(engine.address, "GET", names.PATH_REPORT, {}, b"", PROBE_TIMEOUT_S)
@@ -93,23 +98,23 @@
         return ReportedState.UNKNOWN
     born = report.get("born") if isinstance(report, dict) else None
     if type(born) is int and engine.born and born != engine.born:
-        # Another start answers there: what was asked for has ended.
+        # A later start of the process answers at this address: the probed one has terminated.
         return ReportedState.TERMINATED
     observe(engine, read_signals(exchange.status, exchange.headers), sent_at)
     if not isinstance(report, dict) or report.get("state") not in STATES:
         return ReportedState.UNKNOWN
-    # The time it has left is told only by one whose end is fixed; others drain until the
-    # platform has taken their notice.
+    # Only an engine whose end is fixed reports its remaining time. Others drain until the platform
+    # has accepted their notice.
     return ReportedState.LEAVING if report.get("leaves_ms") is not None else ReportedState.SERVING
 
 
 def backup_replica_name(backup: Upstream, request_id: str) -> str:
-    """Name the copy that a backup engine keeps of a run."""
+    """Return the name of the replica that a backup engine keeps of a run."""
     return f"{backup.address}/{request_id}"
 
 
 def drop_replica(holder: Upstream, copy_of: str, observe: SignalObserver = ignore_signals) -> None:
-    """Free a copy's memory; a call to its source frees it at both engines."""
+    """Free a replica's memory; a call to the source engine frees it at both engines."""
     handle = copy_of.rpartition("/")[2]
     path = f"{names.PATH_KV_HANDLE}/{handle}"
     sent_at = clock.now()
@@ -118,10 +123,10 @@
         observe(holder, read_signals(exchange.status, exchange.headers), sent_at)
         exchange.read()
     except UpstreamError as fault:
-        log_event(PREFIX_RELAY, f"A copy is left to be freed by time: {fault}")
+        log_event(PREFIX_RELAY, f"Replica not freed, it expires by timeout: {fault}")
 
 
-def _copy_name(source: Upstream, answer: Any) -> str:
-    """Name a copy by the source's address and the handle that the source gave."""
+def _replica_name(source: Upstream, answer: Any) -> str:
+    """Return a replica's name: the source's address and the handle in its answer, or empty."""
     handle = answer.get("handle") if isinstance(answer, dict) else None
     return f"{source.address}/{handle}" if handle else ""
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -1,4 +1,4 @@
-"""Decode the headers of callers and upstreams, and write our own."""
+"""Decode the headers of requests and responses, and write those of requests to upstreams."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 INTERNAL_RESPONSE_HEADERS: Final = frozenset(
     {names.HEADER_LOAD, names.HEADER_NOT_EXECUTED, names.HEADER_RATE_LIMIT}
 )
-"""Headers of an upstream's answer that do not go on to the caller."""
+"""Headers of an upstream's response that are not forwarded to the caller."""
 
 
 def read_request(headers: Headers) -> CallerMetadata:
-    """Decode a caller's headers; raise BadHeaders where they contradict themselves."""
+    """Decode a caller's headers; raise BadHeaders if they are contradictory."""
     counts = Counter(name.lower() for name, _ in headers)
     if any(counts[name] > 1 for name in SINGLE_VALUE_HEADERS):
         raise BadHeaders("a header that may stand once stands twice")
@@ -57,12 +57,12 @@
         length_hint=_whole(first.get(names.HEADER_LENGTH_HINT, b"")),
         prompt=_prompt(first.get(names.HEADER_PROMPT, b"")),
         last_event_id=_text(first.get(names.HEADER_LAST_EVENT_ID, b"")),
-        forwarded_headers=_passed(headers, first),
+        forwarded_headers=_forwarded(headers, first),
     )
 
 
-def write_request(passed: Headers, send: SendMetadata) -> Headers:
-    """Return the headers of a request to an upstream."""
+def write_request(forwarded: Headers, send: SendMetadata) -> Headers:
+    """Return the headers of a request to an upstream: the forwarded ones and our own."""
     own: list[Header] = [
         (b"X-Driftstall-Deadline-Ms", b"%d" % max(1, int(send.remaining_s * 1000))),
         (b"X-Driftstall-Expect-Instance", send.upstream_name.encode()),
@@ -77,13 +77,14 @@
         own.append((b"Kv-From", send.copy_of.encode()))
     if send.last_event_id:
         own.append((b"Last-Event-Id", send.last_event_id.encode()))
-    return (*passed, *own)
+    return (*forwarded, *own)
 
 
 def read_response(status: int, headers: Headers) -> ResponseMetadata:
-    """Decode the status and headers of an upstream's answer.
+    """Decode the status and headers of an upstream's response.
 
-    An upstream that is not the one the request was meant for may say so by the status alone.
+    An upstream that is not the one the request was addressed to may answer with status 421
+    (misdirected request) alone, which means that the request was not executed.
     """
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
     listed = _listed(first.get(b"connection", b""))
@@ -102,9 +103,10 @@
 
 
 def read_signals(status: int, first: Mapping[bytes, bytes]) -> tuple[Signal, ...]:
-    """Return what an upstream signals about itself, by headers with names in lower case.
+    """Return the signals in an upstream's response headers, given by their lower-case names.
 
-    A response of another upstream than the one that was meant signals nothing about that one.
+    A misdirected response (421) came from another upstream, so it carries no signals about the
+    addressed one.
     """
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return ()
@@ -129,12 +131,12 @@
 
 
 def _unreadable(name: bytes, value: bytes) -> UnreadableSignal:
-    """Return a signal whose value can't be decoded."""
+    """Return a signal for a header whose value cannot be decoded."""
     return UnreadableSignal(_text(name), _text(value))
 
 
-def _passed(headers: Headers, first: dict[bytes, bytes]) -> Headers:
-    """Return the headers that go on to the upstream."""
+def _forwarded(headers: Headers, first: dict[bytes, bytes]) -> Headers:
+    """Return the caller's headers that are forwarded to the upstream."""
     dropped = (
         names.HOP_BY_HOP_HEADERS | names.RESERVED_HEADERS | _listed(first.get(b"connection", b""))
     )
@@ -144,22 +146,22 @@
 
 
 def _listed(value: bytes) -> frozenset[bytes]:
-    """Return the names that a Connection header lists."""
+    """Return the lower-case names in a Connection header."""
     return frozenset(part.strip().lower() for part in value.split(b",") if part.strip())
 
 
 def _text(value: bytes) -> str:
-    """Return a header value as text."""
+    """Decode a header value to a string."""
     return value.decode("latin-1")
 
 
 def _whole(value: bytes) -> int:
-    """Return a whole number, or zero where there is none."""
+    """Decode an integer of up to 11 digits; return zero for anything else."""
     return int(value) if value.isdigit() and len(value) < 12 else 0
 
 
 def _seconds(value: bytes | None) -> float | None:
-    """Return milliseconds as seconds."""
+    """Convert the milliseconds of the deadline header to seconds; raise BadHeaders if invalid."""
     if value is None:
         return None
     try:
@@ -169,20 +171,20 @@
 
 
 def _bearer(value: bytes) -> str:
-    """Return the key of a bearer token."""
+    """Return the bearer token of an Authorization header; empty if there is none."""
     if value[: len(BEARER)].lower() != BEARER:
         return ""
     return _text(value[len(BEARER) :].strip())
 
 
 def _token_counts(value: bytes) -> tuple[int, int]:
-    """Return the prompt's tokens and the most tokens out."""
+    """Return the number of prompt tokens and the maximum number of output tokens."""
     first, _, second = value.partition(b",")
     return _whole(first.strip()), _whole(second.strip())
 
 
 def _prompt(value: bytes) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt in order."""
+    """Decode the prompt's parts (`digest:tokens`, comma-separated) in order."""
     parts = []
     for piece in value.split(b","):
         digest, colon, tokens = piece.strip().partition(b":")
@@ -192,7 +194,7 @@
 
 
 def _load(value: bytes) -> UpstreamLoad | None:
-    """Return the load that an upstream tells: running, waiting, slots."""
+    """Decode the load that an upstream reports as `running,waiting,slots`; None if invalid."""
     parts = value.split(b",")
     if len(parts) != 3:
         return None
@@ -201,7 +203,7 @@
 
 
 def _keep_alive(value: bytes) -> float:
-    """Return how long a connection may rest, in seconds; unbounded if it is not told."""
+    """Return the idle timeout of a Keep-Alive header in seconds; infinity without one."""
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout":
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -1,4 +1,4 @@
-"""List the platform's header names and paths, each in one place."""
+"""Names of the platform's headers, paths and kinds of objects."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 HEADER_UPSTREAM_ID: Final = b"x-driftstall-expect-instance"
 HEADER_LOAD: Final = b"x-driftstall-server-load"
 HEADER_RATE_LIMIT: Final = b"server-limit"
-"""The requests a second that an upstream takes from all instances together."""
+"""Requests per second that an upstream accepts from all instances together."""
 HEADER_LEAVING: Final = b"server-leaving"
-"""Set to 1 in all responses of an upstream that leaves."""
+"""Set to 1 in all responses of a leaving upstream."""
 HEADER_RETRY_AFTER: Final = b"retry-after"
-"""With 429 and 503: seconds for which the upstream wants no requests from this instance."""
+"""With 429 and 503: seconds for which this instance should send the upstream no requests."""
 HEADER_NOT_EXECUTED: Final = b"x-driftstall-not-executed"
 HEADER_LAST_EVENT_ID: Final = b"last-event-id"
 HEADER_KEY: Final = b"authorization"
@@ -41,7 +41,8 @@
         b"proxy-authenticate",
     }
 )
-"""Headers that concern one connection only; lengths are written anew."""
+"""Hop-by-hop headers, which are not forwarded; Content-Length is among them because it is computed
+again for each message."""
 
 KNOWN_UPSTREAM_HEADERS: Final = frozenset(
     {
@@ -55,8 +56,9 @@
         b"server-timing",
     }
 )
-"""Headers of responses that begin as signals do and are known."""
+"""Known response headers whose names start with a signal prefix."""
 SIGNAL_PREFIXES: Final = (b"server-", b"x-driftstall-")
+"""A response header with one of these prefixes that is not known is reported as unknown signal."""
 
 RESERVED_HEADERS: Final = frozenset(
     {
@@ -81,10 +83,11 @@
         b"x-driftstall-instance-id",
     }
 )
-"""Headers that only the system may set; what a caller sends in them is dropped."""
+"""Headers that only the system may set; they are removed from callers' requests."""
 
 HEADER_ERA: Final = "store-era"
-"""Rises each time that the store has come back from an older copy; in all its answers."""
+"""Era of the store, in all its answers; it rises each time that the store was restored from an
+older copy."""
 
 PATH_READY: Final = "/api/ready"
 PATH_LOCATE: Final = "/api/resolve"
@@ -95,11 +98,11 @@
 
 KIND_UPSTREAMS: Final = "servers"
 KIND_CORDONS: Final = "evacuations"
-"""An object stands for a zone, by its name alone."""
+"""Each object cordons the zone that it is named after; its content is ignored."""
 KIND_CONFIG: Final = "config"
 NAME_CONFIG: Final = "main"
 KIND_INSTANCES: Final = "driftstall-instances"
 KIND_CRASHES: Final = "driftstall-crashes"
-"""An object stands for a request that has crashed upstreams, by its fingerprint."""
+"""One object per request that has crashed upstreams, named after the request's fingerprint."""
 KIND_POLICY: Final = "driftstall-policies"
 NAME_POLICY: Final = "current"
