--- a/driftstall/platform/__init__.py
+++ b/driftstall/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Talk to the platform's object API."""
+"""Adapter to the platform: its object store, documents, headers and engine calls."""
 
 from __future__ import annotations
--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -3,8 +3,8 @@
 Usage:
   python3 -m driftstall.platform
 
-The standard library is left as it is: all that waits here is gevent's own. To patch it would make
-the start half as long again, and after a kill callers find nobody until then.
+The standard library is not monkey-patched: all blocking calls here are gevent's own. Patching would
+make the start take half as long again, during which callers are not served after a kill.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def main() -> int:
-    """Read the settings and run; wrong settings are named together."""
+    """Read the settings and run; print all faults of invalid settings together."""
     try:
         path = settings_path(os.environ)
         settings = read_settings(path)
@@ -43,7 +43,7 @@
 
 
 def platform_access(settings: GatewaySettings) -> PlatformAccess:
-    """Return the adapter's parts for one instance."""
+    """Return the platform adapter's components for an instance."""
     store = Store(settings.platform_address)
     return PlatformAccess(
         dialect=PlatformDialect(),
--- a/driftstall/platform/client.py
+++ b/driftstall/platform/client.py
@@ -1,7 +1,8 @@
-"""Keep the product's own documents in the platform's object store.
+"""Client for the product's own documents in the platform's object store.
 
-A key such as driftstall/config or driftstall/claims/7 names an object of a kind of
-ours; a version is the store's revision of the object, and zero stands for none.
+A key such as driftstall/config or driftstall/claims/7 names an object of one of the product's
+kinds (driftstall-config, driftstall-claims). A version is the store's revision of the object;
+version zero means that the object does not exist.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from driftstall.platform import names
 from driftstall.platform.store import Store, StoredObject, WatchEvent
 
-CATCH_UP_S: Final = 3.0
-"""How long an instance may go on with what it knew while its connection is dead; an accepted
-configuration is to be in force everywhere within five seconds."""
-WATCH_S: Final = max_watch_wait_s(CATCH_UP_S)
+MAX_STALE_S: Final = 3.0
+"""Longest time that an instance may work with outdated documents on a dead connection: an accepted
+configuration must be in force everywhere within five seconds."""
+WATCH_WAIT_S: Final = max_watch_wait_s(MAX_STALE_S)
 STATE_READY: Final = "ready"
 SINGLETON_NAME: Final = "main"
-"""The name of the object where a kind has only one."""
+"""Name of the object of a kind that has only one."""
 
 
 class WriteState(StrEnum):
-    """Name how a write ended."""
+    """Outcome of a write."""
 
     DONE = "done"
     CONFLICT = "conflict"
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedValue:
-    """Hold one value; version zero stands for none."""
+    """A stored value and its version; version zero means that there is none."""
 
     key: str
     version: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """Tell how a write ended, and the version it made."""
+    """Outcome of a write, and the version that it created."""
 
     state: WriteState
     version: int = 0
@@ -52,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedMember:
-    """Hold one row of the platform's list; it lags."""
+    """A row of the platform's list of instances and runners, which lags behind their state."""
 
     member_id: str
     role: str
-    """entry or runner."""
+    """Either "entry" or "runner"."""
     address: str
     peer_address: str
     zone: str
@@ -67,7 +68,7 @@
     """Read, write and watch the product's own documents."""
 
     def __init__(self, address: str, token: str = "") -> None:
-        """Take the store's address (IP and port) and an access token, if it wants one."""
+        """Initialize with the store's address (IP:port) and its access token, if it needs one."""
         self._store = Store(address, token)
         self.reads = 0
         self.writes = 0
@@ -75,15 +76,18 @@
     def get(self, key: str) -> VersionedValue:
         """Return a value, or raise PlatformUnavailable."""
         self.reads += 1
-        stored = self._store.get(*_place(key))
+        stored = self._store.get(*_split_key(key))
         if stored is None:
             return VersionedValue(key, 0, None)
         return VersionedValue(key, stored.revision.revision, stored.spec)
 
     def put(self, key: str, value: Any, expected: int) -> WriteResult:
-        """Write a value if its version is still the expected one."""
+        """Write a value if its version is still the expected one (zero: does not exist).
+
+        Raises PlatformUnavailable if the write was certainly not executed.
+        """
         self.writes += 1
-        kind, name = _place(key)
+        kind, name = _split_key(key)
         try:
             if expected:
                 at = StoreVersion.of(self._store.era, expected)
@@ -99,14 +103,17 @@
         return WriteResult(WriteState.DONE, stored.revision.revision)
 
     def watch(self, key: str, after: int) -> tuple[int, tuple[VersionedValue, ...]]:
-        """Wait for changes of a key's kind after a revision; zero reads what is there."""
+        """Wait for changes of a key's kind after a revision; with zero, list all objects.
+
+        Returns the revision to watch from next, and the listed or changed values.
+        """
         self.reads += 1
-        kind, _ = _place(key)
+        kind, _ = _split_key(key)
         if not after:
             listing = self._store.list(kind)
-            values = [_versioned(one) for one in listing.objects]
+            values = [_versioned(stored) for stored in listing.objects]
             return listing.at.revision, tuple(values)
-        answer = self._store.watch(kind, StoreVersion.of(self._store.era, after), WATCH_S)
+        answer = self._store.watch(kind, StoreVersion.of(self._store.era, after), WATCH_WAIT_S)
         return answer.at.revision, tuple(
             _value(event) for event in answer.events if not event.removed
         )
@@ -114,32 +121,32 @@
     def members(self) -> tuple[ListedMember, ...]:
         """Return the platform's list of instances and runners."""
         self.reads += 2
-        rows = [("entry", one) for one in self._store.list(names.KIND_INSTANCES).objects]
-        rows += [("runner", one) for one in self._store.list(names.KIND_UPSTREAMS).objects]
+        rows = [("entry", stored) for stored in self._store.list(names.KIND_INSTANCES).objects]
+        rows += [("runner", stored) for stored in self._store.list(names.KIND_UPSTREAMS).objects]
         return tuple(
             ListedMember(
-                one.name,
+                stored.name,
                 role,
-                one.spec["address"],
-                one.spec.get("peer_address", ""),
-                one.spec.get("zone", ""),
-                one.spec.get("state", STATE_READY) != STATE_READY,
+                stored.spec["address"],
+                stored.spec.get("peer_address", ""),
+                stored.spec.get("zone", ""),
+                stored.spec.get("state", STATE_READY) != STATE_READY,
             )
-            for role, one in rows
+            for role, stored in rows
         )
 
 
-def _place(key: str) -> tuple[str, str]:
+def _split_key(key: str) -> tuple[str, str]:
     """Return the kind and the name of the object that holds a key's value."""
-    product, part, *rest = key.split("/", 2)
-    return f"{product}-{part}", rest[0] if rest else SINGLETON_NAME
+    product, part, *names_below = key.split("/", 2)
+    return f"{product}-{part}", names_below[0] if names_below else SINGLETON_NAME
 
 
 def _value(event: WatchEvent) -> VersionedValue:
-    """Return the value that a change has brought."""
+    """Return the value after a change."""
     return _versioned(event.changed)
 
 
 def _versioned(stored: StoredObject) -> VersionedValue:
-    """Return an object as one of the product's own values."""
+    """Return an object's content and revision as a versioned value."""
     return VersionedValue(stored.name, stored.revision.revision, stored.spec)
--- a/driftstall/platform/crashes.py
+++ b/driftstall/platform/crashes.py
@@ -1,7 +1,7 @@
-"""Keep in the platform's store which requests have crashed upstreams: one object for each.
+"""Store which requests have crashed upstreams, one object per request, in the platform's store.
 
-They outlast the end of all instances at once. The store knows no clock of ours, and a steady clock
-ends with its machine, so objects tell the time of day of each crash.
+The objects survive when all instances end at once. They hold the wall-clock time of each crash:
+the store does not share the instances' monotonic clocks, which end with their machine.
 """
 
 from __future__ import annotations
@@ -38,63 +38,64 @@
 
 
 class PlatformCrashStore:
-    """Read and write the objects."""
+    """Read, write and delete the objects of crashed requests."""
 
     def __init__(self, store: Store) -> None:
-        """Take the store."""
+        """Initialize with the platform's object store."""
         self._store = store
 
     def read(self) -> tuple[PoisonReport, ...]:
-        """Return all that is kept, or raise PlatformUnavailable; what is too old is removed."""
+        """Return the stored reports and delete expired or invalid objects.
+
+        Raises PlatformUnavailable.
+        """
         now_ms = _now_ms()
-        found = []
+        reports = []
         for stored in self._store.list(names.KIND_CRASHES).objects:
-            told = _decode_report(stored, now_ms)
-            if told is not None and told.crashes:
-                found.append(told)
+            report = _decode_report(stored, now_ms)
+            if report is not None and report.crashes:
+                reports.append(report)
             else:
                 self._store.delete(names.KIND_CRASHES, stored.name)
-        return tuple(found)
+        return tuple(reports)
 
-    def write(self, told: PoisonReport) -> None:
-        """Write what is known of one request, or raise PlatformUnavailable."""
+    def write(self, report: PoisonReport) -> None:
+        """Store the crashes of a request, or raise PlatformUnavailable."""
         now_ms = _now_ms()
         spec = {
             "crashes": [
                 {
-                    "upstream": one.upstream_id,
-                    "atMs": max(0, now_ms - one.ago_ms),
-                    "underWay": one.under_way,
+                    "upstream": crash.upstream_id,
+                    "atMs": max(0, now_ms - crash.ago_ms),
+                    "underWay": crash.under_way,
                 }
-                for one in told.crashes
+                for crash in report.crashes
             ]
         }
-        kind, name = names.KIND_CRASHES, told.fingerprint
+        kind, name = names.KIND_CRASHES, report.fingerprint
         if self._store.create(kind, name, spec) is None:
             self._store.replace(kind, name, spec)
 
     def remove(self, fingerprint: str) -> None:
-        """Remove what is kept of a request, or raise PlatformUnavailable."""
+        """Delete the stored crashes of a request, or raise PlatformUnavailable."""
         self._store.delete(names.KIND_CRASHES, fingerprint)
 
 
 def _decode_report(stored: StoredObject, now_ms: int) -> PoisonReport | None:
-    """Decode one object; None where it can't be read."""
+    """Decode an object, without its expired crashes; None if it is invalid."""
     try:
         spec: dict[str, Any] = _SPEC(stored.spec)
     except vol.Invalid as fault:
-        log_event(
-            PREFIX_CONFIGURATION, f"What is kept of request {stored.name} is not read: {fault}"
-        )
+        log_event(PREFIX_CONFIGURATION, f"Stored crashes of request {stored.name} ignored: {fault}")
         return None
     crashes = (
-        CrashReport(one["upstream"], max(0, now_ms - one["atMs"]), one["underWay"])
-        for one in spec["crashes"]
+        CrashReport(crash["upstream"], max(0, now_ms - crash["atMs"]), crash["underWay"])
+        for crash in spec["crashes"]
     )
-    young = tuple(one for one in crashes if one.ago_ms <= CRASH_RETENTION_S * MS_PER_S)
-    return PoisonReport(stored.name, young, None)
+    recent = tuple(crash for crash in crashes if crash.ago_ms <= CRASH_RETENTION_S * MS_PER_S)
+    return PoisonReport(stored.name, recent, None)
 
 
 def _now_ms() -> int:
-    """Return the time of day, in milliseconds."""
+    """Return the wall-clock time in milliseconds since the epoch."""
     return int(time.time() * MS_PER_S)
--- a/driftstall/platform/policies.py
+++ b/driftstall/platform/policies.py
@@ -1,4 +1,4 @@
-"""Read and write what operators see in the platform's store."""
+"""Operators' access to the platform's store: the submitted policy, routing and status."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class PolicyStore:
-    """Hold the submitted policy, and show what else is stored; raises PlatformUnavailable."""
+    """Read and submit the policy, and read routing and status; calls raise PlatformUnavailable."""
 
     def __init__(self, address: str) -> None:
-        """Take the store's address, IP and port."""
+        """Initialize with the store's address (IP:port)."""
         self._store = Store(address)
 
     def text(self) -> str:
@@ -30,7 +30,10 @@
         return stored.revision if stored else NO_VERSION
 
     def submit(self, text: str, base: StoreVersion | None) -> StoreVersion | None:
-        """Store a policy; return its version, or None if the base is not the newest."""
+        """Store a policy; return its version, or None if `base` is not the newest version.
+
+        Without a base the policy is replaced unconditionally, and created if there is none.
+        """
         kind, name, spec = names.KIND_POLICY, names.NAME_POLICY, {TEXT: text}
         stored = None
         if base is None or base:
@@ -40,31 +43,37 @@
         return stored.revision if stored else None
 
     def routing(self) -> dict[str, Any]:
-        """Return the routing document as the operators wrote it, without keys."""
+        """Return the routing document as submitted, with the number of API keys for the keys."""
         stored = self._store.get(names.KIND_CONFIG, names.NAME_CONFIG)
         if stored is None:
             return {}
         shown = dict(stored.spec)
         workspaces = shown.get("tenants") or ()
-        shown["tenants"] = [one | {"apiKeys": len(one.get("apiKeys") or ())} for one in workspaces]
+        shown["tenants"] = [
+            workspace | {"apiKeys": len(workspace.get("apiKeys") or ())} for workspace in workspaces
+        ]
         return shown
 
     def instance_rows(self) -> list[dict[str, Any]]:
         """Return the instances as rows of a table."""
         return [
-            {"instance": one.instance_id, "zone": one.zone, "address": one.address}
-            for one in instance_feed(self._store).list().items
+            {
+                "instance": instance.instance_id,
+                "zone": instance.zone,
+                "address": instance.address,
+            }
+            for instance in instance_feed(self._store).list().items
         ]
 
     def upstream_rows(self) -> list[dict[str, Any]]:
         """Return the upstreams as rows of a table."""
         return [
             {
-                "upstream": one.upstream_id,
-                "service": one.service,
-                "zone": one.zone,
-                "address": one.address,
-                "state": one.state.value,
+                "upstream": upstream.upstream_id,
+                "service": upstream.service,
+                "zone": upstream.zone,
+                "address": upstream.address,
+                "state": upstream.state.value,
             }
-            for one in upstream_feed(self._store).list().items
+            for upstream in upstream_feed(self._store).list().items
         ]
--- a/driftstall/platform/settings.py
+++ b/driftstall/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform writes for a process."""
+"""Read the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 VARIABLE: Final = "DRIFTSTALL_CONFIG"
 METRICS_PORT: Final = 9464
-"""As the deploy file names it; the usual port of metrics exporters."""
+"""Port named in the deploy file; the usual one of metrics exporters."""
 PEER_KEY_VARIABLE: Final = "DRIFTSTALL_PEER_KEY"
 DEFAULT_PEER_KEY: Final = "the peers' ports are closed to others"
-"""Used where the deploy file sets no key: it then only tells versions of the program apart."""
+"""Used if the deploy file sets no key. Such a key only distinguishes versions of the program."""
 
 
 def _address(value: Any) -> str:
-    """Check an address of IP and port."""
+    """Return the value if it is an address of the form IP:port."""
     try:
         split_address(str(value))
     except ValueError as fault:
@@ -74,7 +74,7 @@
 
 
 def settings_path(environ: Mapping[str, str]) -> Path:
-    """Return the path of the settings file; raise SettingsError if none is named."""
+    """Return the path of the settings file; raise SettingsError if it is not set."""
     path = environ.get(VARIABLE, "")
     if not path:
         raise SettingsError((f"{VARIABLE}: name the settings file in this variable",))
@@ -82,7 +82,7 @@
 
 
 def read_settings(path: Path) -> GatewaySettings:
-    """Read and check the settings file; raise SettingsError naming every fault."""
+    """Read and validate the settings file; raise SettingsError with all faults."""
     try:
         raw = _SCHEMA(orjson.loads(path.read_bytes()))
     except OSError as fault:
@@ -91,7 +91,7 @@
         raise SettingsError((f"{path}: not JSON: {fault}",)) from fault
     except vol.MultipleInvalid as invalid:
         faults = sorted(
-            f"{'.'.join(map(str, one.path)) or path}: {one.msg}" for one in invalid.errors
+            f"{'.'.join(map(str, error.path)) or path}: {error.msg}" for error in invalid.errors
         )
         raise SettingsError(tuple(faults)) from invalid
     listen = raw["listen"]
@@ -112,16 +112,16 @@
 
 
 def _bounds(raw: dict[str, Any]) -> Bounds:
-    """Decode the site's bounds; what is missing keeps its default."""
-    usual = Bounds()
+    """Decode the site's bounds; missing ones keep their defaults."""
+    defaults = Bounds()
     return Bounds(
-        retry_ratio=raw.get("retryBudgetRatio", usual.retry_ratio),
-        retry_extra=raw.get("budgetExtra", usual.retry_extra),
-        retry_window_s=raw.get("budgetWindowS", usual.retry_window_s),
-        grace_s=raw.get("graceS", usual.grace_s),
-        locate_keep_s=raw.get("ttl_max_s", usual.locate_keep_s),
-        drain_s=raw.get("drainMs", usual.drain_s * 1000) / 1000,
-        # How long an instance must have been undisturbed until it can be held to its bounds.
-        catch_up_s=raw.get("contactMs", usual.catch_up_s * 1000) / 1000,
-        cordon_s=raw.get("evacuateMs", usual.cordon_s * 1000) / 1000,
+        retry_ratio=raw.get("retryBudgetRatio", defaults.retry_ratio),
+        retry_extra=raw.get("budgetExtra", defaults.retry_extra),
+        retry_window_s=raw.get("budgetWindowS", defaults.retry_window_s),
+        grace_s=raw.get("graceS", defaults.grace_s),
+        locate_keep_s=raw.get("ttl_max_s", defaults.locate_keep_s),
+        drain_s=raw.get("drainMs", defaults.drain_s * 1000) / 1000,
+        # Time that an instance must have been undisturbed before its bounds apply.
+        catch_up_s=raw.get("contactMs", defaults.catch_up_s * 1000) / 1000,
+        cordon_s=raw.get("evacuateMs", defaults.cordon_s * 1000) / 1000,
     )
