--- a/driftstall/cli/client.py
+++ b/driftstall/cli/client.py
@@ -94,7 +94,7 @@
             return self._kept
         raise UpstreamError("no instance answers", sent=False)
 
-    def forget(self) -> None:
+    def expire_locations(self) -> None:
         """Forget the kept answer, after an instance failed."""
         self._kept_until = 0.0
 
@@ -116,7 +116,7 @@
             except UpstreamError as fault:
                 if fault.sent and not last_id and not attempt < 3:
                     break
-                self.forget()
+                self.expire_locations()
                 time.sleep(RECONNECT_PAUSE_S)
         yield ChatEnd({"code": "unreachable", "detail": "no instance answers", "ran": "unknown"})
 
--- a/measures/demo.py
+++ b/measures/demo.py
@@ -204,7 +204,7 @@
                 status = exchange.status
                 answer = exchange.read()
             except UpstreamError:
-                caller.forget()
+                caller.expire_locations()
                 gevent.sleep(0.3)
                 continue
             if status == 503 and b'"ran":"not run"' in answer:
