--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -170,7 +170,7 @@
         left_out = avoid | self._signals.backing_off
         runners = [one for one in live if one.runner_id not in left_out]
         if not runners:
-            return self._signals.refusal(context.service, live, context.request_id)
+            return self._signals.build_refusal(context.service, live, context.request_id)
         need = SendNeed(MAX_PERMIT_WAIT_S, CALL_RANK)
         chosen = self._limits.choose_permitted(
             runners, lambda one: one.runner_id, self._least_busy, need, context.request_id
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -57,9 +57,11 @@
             for one in self._fleet.runners.values()
             if one.model == model and self._fleet.can_get_work(one.runner_id)
         ]
-        return self.refusal(model, engines, request_id)
+        return self.build_refusal(model, engines, request_id)
 
-    def refusal(self, name: str, runners: Iterable[Runner], request_id: str) -> Problem | None:
+    def build_refusal(
+        self, name: str, runners: Iterable[Runner], request_id: str
+    ) -> Problem | None:
         """Return what to answer where all runners back off; None where one does not."""
         left = [self.backoff_s(one.runner_id) for one in runners]
         if not left or not min(left):
