--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -327,7 +327,7 @@
             self._hub.stats.retries += 1
         self._grant_ids.add(action.grant_id)
         signals, model = self._service.signals, self._request.model
-        refusal = signals.engines_refusal(model, self._request.request_id)
+        refusal = signals.build_model_refusal(model, self._request.request_id)
         if refusal is not None:
             self._feed(GrantRefused(refusal))
             return
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -50,7 +50,7 @@
         for signal in signals:
             self._handle(signal, runner_id, sent_at)
 
-    def engines_refusal(self, model: str, request_id: str) -> Problem | None:
+    def build_model_refusal(self, model: str, request_id: str) -> Problem | None:
         """Return what to answer where all engines of a model back off; None where one does not."""
         engines = [
             one
