--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Check how much cold upstreams are sent."""
+"""Test the rate limit on requests to cold upstreams."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 @given("{count:d} instances, each with its even part of 25 requests a second")
 def even_parts(context: Any, count: int) -> None:
-    """Make their slots."""
+    """Create the slots of instances that place their own requests."""
     part = ColdPart.of_instance(RATE, count, placed=False)
     context.sharers = [(ColdSlots(random.Random(f"{SEED} {n}")), part) for n in range(count)]
 
 
 @given("{placers:d} placers and {count:d} instances that share 25 requests a second")
 def with_placers(context: Any, placers: int, count: int) -> None:
-    """Make the slots of both."""
-    alone = ColdPart.of_instance(RATE, count, placed=True)
-    for_zone = ColdPart.of_placer(RATE, placers)
-    parts = [alone] * count + [for_zone] * placers
+    """Create the slots of placers and of the instances that they place for."""
+    instance_part = ColdPart.of_instance(RATE, count, placed=True)
+    placer_part = ColdPart.of_placer(RATE, placers)
+    parts = [instance_part] * count + [placer_part] * placers
     context.sharers = [
         (ColdSlots(random.Random(f"{SEED} {n}")), part) for n, part in enumerate(parts)
     ]
@@ -45,7 +45,7 @@
 
 @when("each sends whatever it may to a cold upstream for {seconds:d} s, {how}")
 def all_send(context: Any, seconds: int, how: str) -> None:
-    """Play it in steps of 10 ms; with pauses, nobody sends in 4 s of 5."""
+    """Simulate in steps of 10 ms; with pauses, no instance sends in 4 s of every 5 s."""
     context.sent_at = []
     context.seconds = seconds
     for tick in range(int(seconds / TICK_S)):
@@ -59,49 +59,54 @@
 
 
 def most_in_a_second(times: list[float]) -> int:
-    """Return the most of some times, in order, that fall into one second."""
+    """Return the largest number of the sorted times that fall into one second."""
     return max(bisect.bisect_left(times, at + 1.0) - index for index, at in enumerate(times))
 
 
 @then("it gets at most {most:d} requests in any second")
 def at_most(context: Any, most: int) -> None:
-    """Count."""
+    """Check the peak rate over any second."""
     found = most_in_a_second(context.sent_at)
     assert found <= most, found
 
 
 @then("it gets at least {least:d} requests in a second on average")
 def at_least(context: Any, least: int) -> None:
-    """Count."""
+    """Check the average rate."""
     assert len(context.sent_at) / context.seconds >= least, len(context.sent_at)
 
 
 @given("an instance that has just started, and a cold upstream beside a warm one")
 def just_started(context: Any) -> None:
-    """Let one of two plain upstreams be cold."""
+    """Mark one of two plain upstreams as cold."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     use_cold_rate(world, RATE)
-    cold, warm = (one.upstream_id for one in world.plain)
+    cold, warm = (upstream.upstream_id for upstream in world.plain)
     world.state.cold.record_cold(cold, 60.0, world.state.now())
     context.warm = warm
 
 
 def use_cold_rate(world: GatewayWorld, rate: float) -> None:
-    """Let the services tell what cold upstreams bear."""
+    """Configure the rate that all services allow for cold upstreams."""
     raw = document()
-    raw["services"] = [one | {"coldPerS": rate, "coldStartS": 1.0} for one in raw["services"]]
+    raw["services"] = [
+        service | {"coldPerS": rate, "coldStartS": 1.0} for service in raw["services"]
+    ]
     world.use(raw)
 
 
 @then("it chooses the warm one alone, however busy that is")
 def warm_alone(context: Any) -> None:
-    """Ask which may be chosen now, and after a while."""
+    """Check which upstreams are open right after the start and a few seconds later."""
     world = world_of(context)
     gate = world.state.cold_gate
 
     def chosen() -> set[str]:
-        return {one.upstream.upstream_id for one in gate.select_open(world.state.options("portal"))}
+        return {
+            option.upstream.upstream_id
+            for option in gate.select_open(world.state.options("portal"))
+        }
 
     assert chosen() == {context.warm}
     world.pass_time(1.6)
@@ -114,7 +119,7 @@
 
 @given("an upstream that says it is cold for {seconds:g} s")
 def says_cold(context: Any, seconds: float) -> None:
-    """Note it."""
+    """Record the reported time."""
     context.cold = ColdStarts()
     context.cold.record_cold("u1", seconds, 0.0)
     assert context.cold.remaining_s("u1", 0.5) == seconds - 0.5
@@ -122,20 +127,20 @@
 
 @when("it says {seconds:g} s later that it is not")
 def says_warm(context: Any, seconds: float) -> None:
-    """Note it."""
+    """Record a report of 0 s."""
     context.now = seconds
     context.cold.record_cold("u1", 0.0, seconds)
 
 
 @then("it is cold no more")
 def warm(context: Any) -> None:
-    """Ask."""
+    """Check that no cold time remains."""
     assert context.cold.remaining_s("u1", context.now) == 0.0
 
 
 @then("one whose zone's cordon was just lifted is cold for {seconds:g} s whatever it says")
 def assumed(context: Any, seconds: float) -> None:
-    """Lift a cordon, and let it say that it is warm."""
+    """Lift a cordon, and record the upstream's report that it is warm."""
     fleet = FleetController()
     fleet.handle(Listed((upstream_of("u2", zone="z"), upstream_of("u3")), StoreVersion(1)), 0.0)
     fleet.handle(Cordoned(frozenset({"z"})), 0.0)
@@ -149,45 +154,45 @@
 
 @given("a fleet that knows an upstream which was cold for 1 s")
 def was_cold(context: Any) -> None:
-    """Let it tell so, and then that it is warm."""
+    """List its entry as cold, then as warm."""
     context.fleet = FleetController()
     context.entry = replace(upstream_of("u1", 2), cold_s=1.0)
-    told = context.fleet.handle(Listed((context.entry,), StoreVersion(2)), 0.0)
-    assert any(isinstance(one, UpstreamCold) and one.for_s == 1.0 for one in told), told
-    told = context.fleet.handle(Changed(upstream_of("u1", 3), False), 1.0)
-    assert any(isinstance(one, UpstreamCold) and one.for_s == 0.0 for one in told), told
+    actions = context.fleet.handle(Listed((context.entry,), StoreVersion(2)), 0.0)
+    assert any(isinstance(each, UpstreamCold) and each.for_s == 1.0 for each in actions), actions
+    actions = context.fleet.handle(Changed(upstream_of("u1", 3), False), 1.0)
+    assert any(isinstance(each, UpstreamCold) and each.for_s == 0.0 for each in actions), actions
 
 
 @when("a peer offers its entry of then once more")
 def offered_again(context: Any) -> None:
-    """Offer it."""
-    context.told = context.fleet.handle(ListedByPeer((context.entry,), StoreVersion(2)), 1.5)
+    """Apply a peer's list with the outdated entry."""
+    context.actions = context.fleet.handle(ListedByPeer((context.entry,), StoreVersion(2)), 1.5)
 
 
 @then("nobody is told that it is cold")
-def not_told(context: Any) -> None:
-    """Look at what follows."""
-    assert context.told == [], context.told
+def not_reported(context: Any) -> None:
+    """Check that the stale entry causes no action."""
+    assert context.actions == [], context.actions
 
 
 @given("a gateway whose upstreams of plain calls are all cold and bear 1 request in 4 s")
 def all_cold(context: Any) -> None:
-    """Let both be cold for long."""
+    """Mark both plain upstreams as cold for a minute."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     use_cold_rate(world, 0.25)
     world.pass_time(2.0)
-    for one in world.plain:
-        world.state.cold.record_cold(one.upstream_id, 60.0, world.state.now())
+    for upstream in world.plain:
+        world.state.cold.record_cold(upstream.upstream_id, 60.0, world.state.now())
 
 
 @when("{count:d} calls come at once")
 def many_calls(context: Any, count: int) -> None:
-    """Ask, and measure."""
+    """Send the calls concurrently and measure each."""
 
     def timed(number: int) -> tuple[Any, float]:
-        began = time.monotonic()
-        return world_of(context).ask("/once/a", f"c{number}"), time.monotonic() - began
+        started_at = time.monotonic()
+        return world_of(context).ask("/once/a", f"c{number}"), time.monotonic() - started_at
 
     jobs = [gevent.spawn(timed, number) for number in range(count)]
     gevent.joinall(jobs, raise_error=True)
@@ -196,7 +201,7 @@
 
 @then("most are refused within {seconds:g} s with a time to come back, and none waits longer")
 def refused(context: Any, seconds: float) -> None:
-    """Look at the answers; who is served may have waited for its turn."""
+    """Check the refusals, and the time of all calls; a served call may have waited for a slot."""
     refusals = [(answer, took) for answer, took in context.answers if answer.status == 503]
     assert len(refusals) >= 6, context.answers
     for answer, took in refusals:
@@ -206,20 +211,20 @@
 
 @then("each upstream got at most 1 of them")
 def got_few(context: Any) -> None:
-    """Count arrivals."""
-    assert all(len(one.seen) <= 1 for one in world_of(context).plain)
+    """Count the requests of each upstream."""
+    assert all(len(upstream.seen) <= 1 for upstream in world_of(context).plain)
 
 
 @then("of a cold empty engine and a warm one a quarter full the warm one gets copies and moves")
 def no_cold_copies(context: Any) -> None:
-    """Choose both ways."""
+    """Choose a backup and a migration target."""
     full = Use("warm", tokens=ENGINE.memory_tokens // 4)
     options = [
         Option(upstream_of("cold"), Use("cold"), 0.0, False, cold_s=1.0),
         Option(upstream_of("warm"), full, 0.0, False),
     ]
     sampler, primary = Sampler(random.Random(1)), upstream_of("primary")
-    kept = choose_backup(options, ENGINE, NEED, primary, sampler)
-    moved = choose_migration_target(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
-    for chosen in (kept, moved):
+    backup = choose_backup(options, ENGINE, NEED, primary, sampler)
+    target = choose_migration_target(options, ENGINE, NEED, primary, sampler, max_memory_share=1.0)
+    for chosen in (backup, target):
         assert chosen is not None and chosen.upstream.upstream_id == "warm", chosen
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -1,4 +1,4 @@
-"""Check what holds after the machine was suspended, on a clock that is moved for the tests."""
+"""Test timeouts and leases across a suspension of the machine, with clocks moved by the test."""
 
 from __future__ import annotations
 
@@ -29,39 +29,39 @@
 from features.worlds.gateway_world import WAIT_S, GatewayWorld, runs, script_upstreams, world_of
 from stand_ins.routed import Script
 
-STEADY_CLOCKS: Final = re.compile(r"\btime\.(monotonic|perf_counter)")
-LEASE_AND_MORE_S: Final = 60.0
+MONOTONIC_CLOCKS: Final = re.compile(r"\btime\.(monotonic|perf_counter)")
+BEYOND_LEASE_S: Final = 60.0
 
 
 class Machine:
-    """Hold for how long the machine was suspended: the clock since the start counts it."""
+    """A machine whose suspensions advance CLOCK_BOOTTIME and the time of day only."""
 
     def __init__(self, context: Any) -> None:
-        """Move the clocks that go on in a suspension, and no others."""
+        """Replace the clocks that advance during a suspension."""
         self._suspended_s = 0.0
-        read_clock, read_day = time.clock_gettime, time.time
-        time.clock_gettime = self._read(read_clock)  # type: ignore[assignment]
-        time.time = lambda: read_day() + self._suspended_s
-        context.add_cleanup(setattr, time, "clock_gettime", read_clock)
-        context.add_cleanup(setattr, time, "time", read_day)
+        clock_gettime, time_of_day = time.clock_gettime, time.time
+        time.clock_gettime = self._shift_boottime(clock_gettime)  # type: ignore[assignment]
+        time.time = lambda: time_of_day() + self._suspended_s
+        context.add_cleanup(setattr, time, "clock_gettime", clock_gettime)
+        context.add_cleanup(setattr, time, "time", time_of_day)
 
     def suspend(self, seconds: float) -> None:
-        """Let time pass without the machine."""
+        """Suspend the machine for that time."""
         self._suspended_s += seconds
 
-    def _read(self, usual: Any) -> Any:
-        """Return a reader of clocks."""
+    def _shift_boottime(self, usual: Any) -> Any:
+        """Return a clock_gettime whose CLOCK_BOOTTIME includes the suspensions."""
 
         def read(clock: int) -> float:
-            moved = self._suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
-            return float(usual(clock)) + moved
+            offset_s = self._suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
+            return float(usual(clock)) + offset_s
 
         return read
 
 
 @given("a gateway on a machine that can be suspended")
 def suspendable(context: Any) -> None:
-    """Start a gateway that goes by the product's own clock."""
+    """Start a gateway that uses the product's own clock."""
     context.machine = Machine(context)
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
@@ -70,7 +70,7 @@
 
 @given('the upstream of "r1" answers nothing more after {what}')
 def answers_nothing_more(context: Any, what: str) -> None:
-    """Script the silence."""
+    """Script an upstream that hangs before the response or in the middle of it."""
     script = Script(hang=True) if what == "the head" else Script(pause_after=2)
     script_upstreams(world_of(context), "r1", [script])
     context.script = script
@@ -78,7 +78,7 @@
 
 @when('"{path}" is asked, and the machine is suspended for {seconds:g} s while it waits')
 def suspended_while_waiting(context: Any, path: str, seconds: float) -> None:
-    """Suspend once the upstream has it."""
+    """Suspend the machine once the upstream has the request, and measure the time to its end."""
     world = world_of(context)
     job = world.ask_later(path, "r1")
     with gevent.Timeout(WAIT_S, AssertionError("no upstream has it")):
@@ -86,21 +86,21 @@
             gevent.sleep(0.01)
     gevent.sleep(0.05)
     context.machine.suspend(seconds)
-    began = time.monotonic()
+    resumed_at = time.monotonic()
     job.get(timeout=WAIT_S)
-    context.took_s = time.monotonic() - began
+    context.took_s = time.monotonic() - resumed_at
     context.script.gate.set()
 
 
 @then("its caller has the end of its answer within {seconds:g} s")
 def ended_soon(context: Any, seconds: float) -> None:
-    """Compare."""
+    """Check the time from the suspension to the end of the response."""
     assert context.took_s <= seconds, f"{context.took_s:.2f} s"
 
 
 @given("the machine is suspended for {seconds:g} s between the reading of a request and its send")
 def suspended_before_send(context: Any, seconds: float) -> None:
-    """Suspend while the upstream is chosen."""
+    """Suspend the machine while the upstream is chosen."""
     world = world_of(context)
     usual = world.state.options
 
@@ -114,24 +114,24 @@
 
 @when('"{path}" is asked as "{request_id}", with {seconds:d} s until its deadline')
 def asked_with_deadline(context: Any, path: str, request_id: str, seconds: int) -> None:
-    """Ask."""
-    more = {"X-Driftstall-Deadline-Ms": str(seconds * 1000)}
-    world_of(context).ask(path, request_id, **more)
+    """Send a request with that deadline."""
+    headers = {"X-Driftstall-Deadline-Ms": str(seconds * 1000)}
+    world_of(context).ask(path, request_id, **headers)
     context.request_id = request_id
 
 
 @then("its upstream is told of at most {seconds:d} s")
-def told_what_is_left(context: Any, seconds: int) -> None:
-    """Read what the upstream got."""
+def remaining_deadline_sent(context: Any, seconds: int) -> None:
+    """Check the remaining deadline that the upstream received."""
     (upstream,) = runs(world_of(context), context.request_id)
-    (seen,) = [one for one in upstream.seen if one.request_id == context.request_id]
-    left_ms = int(seen.headers["x-driftstall-deadline-ms"])
-    assert left_ms <= seconds * 1000, left_ms
+    (seen,) = [request for request in upstream.seen if request.request_id == context.request_id]
+    remaining_ms = int(seen.headers["x-driftstall-deadline-ms"])
+    assert remaining_ms <= seconds * 1000, remaining_ms
 
 
 @given("a peer has told the gateway that it is ready")
 def peer_is_ready(context: Any) -> None:
-    """Take in a peer's report."""
+    """Record a peer's report that it is ready."""
     world: GatewayWorld = world_of(context)
     reporting = context.reporting = Reporting(
         world.state,
@@ -147,19 +147,19 @@
 
 @when("the machine is suspended for {seconds:g} s")
 def suspended(context: Any, seconds: float) -> None:
-    """Suspend."""
+    """Suspend the machine."""
     context.machine.suspend(seconds)
 
 
 @then("callers are not sent to that peer")
 def not_sent_there(context: Any) -> None:
-    """Ask who is ready."""
+    """Check that the peer's report has expired."""
     assert context.reporting.ready_peers() == set()
 
 
 @given("an instance that has just renewed its lease of the runners' placement")
 def lease_holder(context: Any) -> None:
-    """Take the lease by the clock that the daemon goes by."""
+    """Acquire the lease on the clock that the daemon uses."""
     controller = context.controller = PlacementController("instance-1")
     for event in (LeaseRead(0, None), LeaseWritten(1)):
         controller.handle(event, Hub.now())
@@ -168,24 +168,24 @@
 
 @when("the machine is suspended for longer than the lease lasts")
 def suspended_beyond_lease(context: Any) -> None:
-    """Suspend."""
-    context.machine.suspend(LEASE_AND_MORE_S)
+    """Suspend the machine beyond the lease's end."""
+    context.machine.suspend(BEYOND_LEASE_S)
 
 
 @then("it orders nothing")
 def orders_nothing(context: Any) -> None:
-    """Let it look at what is wanted."""
+    """Run a placement period with a wanted model, and check that no load is ordered."""
     wanted = (WantedModel("r1", "model", "another", True),)
     actions = context.controller.handle(PlacementPeriod(False, wanted), Hub.now())
-    assert not any(isinstance(one, OrderLoad) for one in actions), actions
+    assert not any(isinstance(action, OrderLoad) for action in actions), actions
 
 
 @then("no module of the product but the clock's reads the monotonic clock")
 def no_other_clock(context: Any) -> None:
-    """Search the sources."""
+    """Search the sources for reads of the monotonic clock."""
     found = [
         str(path)
         for path in sorted(Path("driftstall").rglob("*.py"))
-        if path != Path("driftstall/util/clock.py") and STEADY_CLOCKS.search(path.read_text())
+        if path != Path("driftstall/util/clock.py") and MONOTONIC_CLOCKS.search(path.read_text())
     ]
     assert not found, found
