--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -1,4 +1,4 @@
-"""Check on real processes that what upstreams signal with responses is heeded."""
+"""Test on real processes that instances act on the signals in upstreams' responses."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from stand_ins.routed import RoutedUpstream, Signalled
 
 DRAIN_S: Final = 2.0
-"""An upstream that leaves gets nothing after this time (drainMs)."""
+"""Time after which a leaving upstream gets no requests at all (drainMs)."""
 REJECTED_KNOWN_S: Final = 0.5
-"""What was under way when a request was rejected may arrive within this time."""
+"""Requests that were in flight at a rejection may arrive within this time."""
 SLACK_S: Final = 0.1
-"""Times are taken in several processes, one after the other."""
+"""Tolerance, as times are taken in several processes one after the other."""
 RETRY_SPREAD_S: Final = 1.5
-"""Time over which callers that are refused together return."""
+"""Time over which the retries of callers that are refused together are spread."""
 PAUSE_S: Final = 0.02
 REFUSED_PAUSE_S: Final = 0.25
 TARGETS: Final = ("/once/a", "/stream/a")
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """Hold one request of a caller, the instance that took it, and its answer."""
+    """A caller's request, the instance that received it, its duration and its response."""
 
     request_id: str
     instance: str
@@ -45,41 +45,41 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether it was answered with success."""
+        """Return True if the response was successful and complete."""
         return self.answer.status == 200 and self.answer.whole
 
 
 def ask_on(context: Any, target: str, until: float) -> None:
-    """Ask again and again as one caller, at instances by turns."""
+    """Send requests as one caller until that time, to the instances in turn."""
     first = next(NUMBERS)
     nodes = itertools.islice(itertools.cycle(context.nodes), first % len(context.nodes), None)
     while time.monotonic() < until:
-        node, request_id, began = next(nodes), f"signal-{next(NUMBERS)}", time.monotonic()
+        node, request_id, started_at = next(nodes), f"signal-{next(NUMBERS)}", time.monotonic()
         context.instance_of[request_id] = node.name
         try:
             answer = node.ask(target, request_id)
         except (OSError, UpstreamError):
-            # The instance was being killed: the next one is asked.
+            # The instance was being killed; the next instance is used.
             gevent.sleep(PAUSE_S)
             continue
-        took_s = time.monotonic() - began
-        context.asked.append(Asked(request_id, node.name, target, began, took_s, answer))
+        took_s = time.monotonic() - started_at
+        context.asked.append(Asked(request_id, node.name, target, started_at, took_s, answer))
         gevent.sleep(PAUSE_S if answer.status == 200 else REFUSED_PAUSE_S)
 
 
 def start_callers(context: Any, callers: int, seconds: float, after: float) -> None:
-    """Start the callers, half of them for streams, and wait a while."""
+    """Start the callers, half of them for streams, and wait for `after` seconds."""
     context.instance_of, context.asked = {}, []
     context.ends_at = time.monotonic() + seconds
     targets = itertools.islice(itertools.cycle(TARGETS), callers)
-    context.asking = [gevent.spawn(ask_on, context, one, context.ends_at) for one in targets]
+    context.asking = [gevent.spawn(ask_on, context, target, context.ends_at) for target in targets]
     gevent.sleep(after)
     context.signalled_at = time.monotonic()
 
 
 @given("the store falls silent")
 def store_silent(context: Any) -> None:
-    """Have the store answer nobody."""
+    """Let the store answer no requests."""
     context.store_bench.platform.control({"silent": True})
 
 
@@ -97,11 +97,11 @@
     engines: int,
     engine: str,
 ) -> None:
-    """Have some upstreams signal that they leave; their entries stay as they are."""
+    """Let some upstreams signal that they leave, without a change of their entries."""
     start_callers(context, callers, seconds, after)
     context.signalling = context.portals[:portals] + context.engines[:engines]
-    for one in context.signalling:
-        one.leaves = True
+    for upstream in context.signalling:
+        upstream.leaves = True
 
 
 @when(
@@ -120,11 +120,11 @@
     part: str,
     for_s: str,
 ) -> None:
-    """Have some upstreams reject all or half of what they get."""
+    """Let some upstreams reject all or half of their requests."""
     start_callers(context, callers, seconds, after)
     context.signalling = context.portals[:portals] + context.engines[:engines]
-    for one in context.signalling:
-        one.backoff, one.rejected_share = for_s, {"all": 1.0, "half": 0.5}[part]
+    for upstream in context.signalling:
+        upstream.backoff, upstream.rejected_share = for_s, {"all": 1.0, "half": 0.5}[part]
 
 
 def finish(context: Any) -> None:
@@ -134,11 +134,11 @@
 
 
 def first_by_instance(context: Any, upstream: RoutedUpstream) -> dict[str, float]:
-    """Return when each instance first had a response that signalled leaving."""
+    """Return the time of each instance's first response that signalled leaving."""
     first: dict[str, float] = {}
-    for one in upstream.signalled_leaving:
-        instance = context.instance_of[one.request_id]
-        first[instance] = min(one.at, first.get(instance, one.at))
+    for signal_sent in upstream.signalled_leaving:
+        instance = context.instance_of[signal_sent.request_id]
+        first[instance] = min(signal_sent.at, first.get(instance, signal_sent.at))
     return first
 
 
@@ -147,22 +147,24 @@
     " from it"
 )
 def nothing_from_it(context: Any, seconds: float) -> None:
-    """Compare arrivals with the responses that the same instance had."""
+    """Compare arrivals with the first signal that the same instance received."""
     finish(context)
     late = []
     for upstream in context.signalling:
         first = first_by_instance(context, upstream)
         assert first, upstream.upstream_id
-        for one in upstream.arrived:
-            instance = context.instance_of[one.request_id]
-            if one.at - first.get(instance, one.at) > seconds + SLACK_S:
-                late.append((upstream.upstream_id, instance, round(one.at - first[instance], 2)))
+        for arrival in upstream.arrived:
+            instance = context.instance_of[arrival.request_id]
+            if arrival.at - first.get(instance, arrival.at) > seconds + SLACK_S:
+                late.append(
+                    (upstream.upstream_id, instance, round(arrival.at - first[instance], 2))
+                )
     assert not late, (len(late), late[:5])
 
 
 @then("from {seconds:g} s after the first such response nothing reaches that upstream at all")
 def nothing_at_all(context: Any, seconds: float) -> None:
-    """Compare arrivals with the first such response that any instance had."""
+    """Compare arrivals with the first signal that any instance received."""
     assert_at_most(context, 0, seconds)
 
 
@@ -171,57 +173,57 @@
     " response on"
 )
 def at_most(context: Any, most: int, seconds: float) -> None:
-    """Count what instances send that have just started and heard of nothing."""
+    """Count the arrivals; instances that have just started may not know the signal yet."""
     assert_at_most(context, most, seconds)
 
 
 def assert_at_most(context: Any, most: int, seconds: float) -> None:
-    """Count arrivals from so long after the first response of each upstream on."""
+    """Count the arrivals later than `seconds` after the first signal of each upstream."""
     finish(context)
     for upstream in context.signalling:
-        since = min(one.at for one in upstream.signalled_leaving) + seconds
-        late = [round(one.at - since, 2) for one in upstream.arrived if one.at > since]
+        since = min(sent.at for sent in upstream.signalled_leaving) + seconds
+        late = [round(each.at - since, 2) for each in upstream.arrived if each.at > since]
         assert len(late) <= most, (upstream.upstream_id, len(late), late[:5])
 
 
 @then("at least {share:d} in 100 calls and streams are whole")
 def mostly_whole(context: Any, share: int) -> None:
-    """Look at the answers."""
+    """Check the share of complete responses."""
     finish(context)
-    bad = [one for one in context.asked if not one.is_whole]
+    bad = [asked for asked in context.asked if not asked.is_whole]
     assert len(bad) <= (1 - share / 100) * len(context.asked), (len(bad), bad[:3])
 
 
 @then("calls are answered whole within {seconds:g} s of the first such response")
 def served_meanwhile(context: Any, seconds: float) -> None:
-    """Look at the calls that came while all upstreams were draining."""
+    """Check the calls that were sent while all upstreams were draining."""
     finish(context)
     since = context.signalled_at
-    calls = [one for one in calls_of(context) if since <= one.at <= since + seconds]
-    bad = [one for one in calls if not one.is_whole]
+    calls = [call for call in calls_of(context) if since <= call.at <= since + seconds]
+    bad = [call for call in calls if not call.is_whole]
     assert calls and not bad, (len(calls), len(bad), bad[:3])
 
 
 @then("from {seconds:g} s after it calls are refused within {most:g} s, and nothing ran")
 def refused_then(context: Any, seconds: float, most: float) -> None:
-    """Look at the calls that came when nobody was left to serve."""
+    """Check the calls that were sent when no upstream could serve them."""
     finish(context)
     since = context.signalled_at + seconds
-    calls = [one for one in calls_of(context) if one.at >= since]
+    calls = [call for call in calls_of(context) if call.at >= since]
     assert calls
-    for one in calls:
-        assert is_refusal(one) and one.took_s <= most, one
+    for call in calls:
+        assert is_refusal(call) and call.took_s <= most, call
 
 
 def calls_of(context: Any) -> list[Asked]:
     """Return the plain calls."""
-    return [one for one in context.asked if one.target == TARGETS[0]]
+    return [asked for asked in context.asked if asked.target == TARGETS[0]]
 
 
-def is_refusal(one: Asked) -> bool:
-    """Tell whether a request was refused, with a time to come back, and not run."""
-    has_time = float(one.answer.headers.get("retry-after", 0)) > 0
-    return one.answer.status == 503 and has_time and b'"ran":"not run"' in one.answer.body
+def is_refusal(asked: Asked) -> bool:
+    """Return True if a request was refused with Retry-After and was not executed."""
+    has_time = float(asked.answer.headers.get("retry-after", 0)) > 0
+    return asked.answer.status == 503 and has_time and b'"ran":"not run"' in asked.answer.body
 
 
 @then(
@@ -229,7 +231,7 @@
     " and the end of its back-off"
 )
 def backoff_kept(context: Any, seconds: float) -> None:
-    """Compare each instance's requests with the rejections that it had."""
+    """Compare each instance's requests with the rejections that it received."""
     finish(context)
     sent = []
     for upstream in context.signalling:
@@ -238,22 +240,23 @@
             instance = context.instance_of[rejection.request_id]
             begins, ends = rejection.at + seconds, rejection.at + rejection.for_s
             sent += [
-                (upstream.upstream_id, instance, round(one.at - rejection.at, 2))
-                for one in upstream.arrived
-                if begins < one.at < ends and context.instance_of[one.request_id] == instance
+                (upstream.upstream_id, instance, round(arrival.at - rejection.at, 2))
+                for arrival in upstream.arrived
+                if begins < arrival.at < ends
+                and context.instance_of[arrival.request_id] == instance
             ]
     assert not sent, (len(sent), sent[:5])
 
 
 def backoff_ends(context: Any, instance: str, at: float) -> Iterator[float]:
-    """Yield when the back-off of each signalling upstream ends that an instance knows of."""
+    """Yield the end of each signalling upstream's back-off, as an instance knows it."""
     for upstream in context.signalling:
         known: list[Signalled] = [
-            one
-            for one in upstream.rejections
-            if context.instance_of[one.request_id] == instance and one.at <= at
+            rejection
+            for rejection in upstream.rejections
+            if context.instance_of[rejection.request_id] == instance and rejection.at <= at
         ]
-        yield max((one.at + one.for_s for one in known), default=0.0)
+        yield max((rejection.at + rejection.for_s for rejection in known), default=0.0)
 
 
 @then(
@@ -261,39 +264,39 @@
     " and that nothing ran"
 )
 def refused_with_time(context: Any, seconds: float) -> None:
-    """Compare the times that callers are told with what the upstreams have requested."""
+    """Compare the Retry-After values with the back-offs that the upstreams requested."""
     finish(context)
-    refused = [one for one in calls_of(context) if not one.is_whole]
+    refused = [call for call in calls_of(context) if not call.is_whole]
     assert refused
-    for one in refused:
-        assert is_refusal(one) and one.took_s <= seconds, one
-        ended_at = one.at + one.took_s
-        due_s = min(backoff_ends(context, one.instance, ended_at)) - ended_at
-        told_s = float(one.answer.headers["retry-after"])
-        assert due_s - SLACK_S <= told_s <= max(0.0, due_s) + RETRY_SPREAD_S, (due_s, one)
+    for call in refused:
+        assert is_refusal(call) and call.took_s <= seconds, call
+        ended_at = call.at + call.took_s
+        due_s = min(backoff_ends(context, call.instance, ended_at)) - ended_at
+        retry_after_s = float(call.answer.headers["retry-after"])
+        assert due_s - SLACK_S <= retry_after_s <= max(0.0, due_s) + RETRY_SPREAD_S, (due_s, call)
 
 
 @then("no call is refused by an instance to which a portal has not just requested a back-off")
 def refused_only_in_backoff(context: Any) -> None:
-    """Look for refusals while a portal could be asked."""
+    """Check that no call was refused while a portal could serve it."""
     finish(context)
     refused: dict[str, list[Asked]] = defaultdict(list)
-    for one in calls_of(context):
-        ended_at = one.at + one.took_s
-        if not one.is_whole and min(backoff_ends(context, one.instance, ended_at)) < one.at:
-            refused[one.instance].append(one)
+    for call in calls_of(context):
+        ended_at = call.at + call.took_s
+        if not call.is_whole and min(backoff_ends(context, call.instance, ended_at)) < call.at:
+            refused[call.instance].append(call)
     assert not refused, refused
 
 
 def ask_node(node: Any, count: int) -> None:
-    """Make calls at one instance."""
+    """Send calls to one instance."""
     for _ in range(count):
         assert node.ask(TARGETS[0], f"signal-{next(NUMBERS)}").status == 200
 
 
 @when("a portal signals to one instance that it leaves")
-def one_hears(context: Any) -> None:
-    """Ask one instance until the portal has answered it."""
+def one_receives_signal(context: Any) -> None:
+    """Send calls to one instance until the portal has signalled to it."""
     portal = context.portal = context.portals[0]
     portal.leaves = True
     while not portal.signalled_leaving:
@@ -302,7 +305,7 @@
 
 @then("{seconds:g} s later 20 calls at each of the other instances reach it no more")
 def others_know(context: Any, seconds: float) -> None:
-    """Ask all others."""
+    """Send calls to all other instances, and check that the portal receives none."""
     gevent.sleep(seconds)
     before = len(context.portal.arrived)
     for node in context.nodes[1:]:
@@ -311,8 +314,8 @@
 
 
 @when("an instance is killed and has started anew")
-def started_anew(context: Any) -> None:
-    """Kill the last one and wait until it is ready again."""
+def restarted(context: Any) -> None:
+    """Kill and restart the last instance, and wait until it is ready."""
     node = context.nodes[-1]
     node.signal(signal.SIGKILL)
     node.restart()
@@ -323,7 +326,7 @@
 
 @then("{seconds:g} s later 20 calls there reach it no more")
 def fresh_knows(context: Any, seconds: float) -> None:
-    """Ask the instance that has started anew."""
+    """Send calls to the restarted instance, and check that the portal receives none."""
     gevent.sleep(seconds)
     before = len(context.portal.arrived)
     ask_node(context.nodes[-1], 20)
