--- a/driftstall/cli/__init__.py
+++ b/driftstall/cli/__init__.py
@@ -1,3 +1,3 @@
-"""Provide the operators' and callers' command."""
+"""Command-line interface for operators and callers."""
 
 from __future__ import annotations
--- a/driftstall/cli/client.py
+++ b/driftstall/cli/client.py
@@ -1,4 +1,4 @@
-"""Talk to instances as an operator or a caller."""
+"""HTTP clients of an instance: JSON calls of operators, and streamed chats of callers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a status and a JSON body."""
+    """Status and decoded JSON body of a response."""
 
     status: int
     value: Any
@@ -35,7 +35,7 @@
     value: Any = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Answer:
-    """Make one call with JSON both ways; raise UpstreamError without an answer."""
+    """Send a request with a JSON body; raise UpstreamError if there is no valid answer."""
     headers = {"Authorization": f"Bearer {token}", "Content-Type": "application/json"}
     body = b"" if value is None else orjson.dumps(value)
     exchange = Exchange.open(address, method, path, headers, body, timeout_s)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatPart:
-    """Hold one piece of an answer as it arrives."""
+    """A piece of a streamed answer, and the event id to resume after."""
 
     text: str
     event_id: str
@@ -57,29 +57,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatEnd:
-    """Hold the end of an answer; problem is none if it is whole."""
+    """End of a streamed answer; `problem` is None if the answer is complete."""
 
     problem: dict[str, Any] | None
     last: dict[str, Any] | None = None
 
 
 class Caller:
-    """Locate instances, keep the answer, stream from them and resume."""
+    """Client that locates instances, caches their addresses, and resumes broken streams."""
 
     def __init__(self, seeds: tuple[str, ...], key: str, zone: str = "") -> None:
-        """Take any instances' addresses, the workspace key and the own zone."""
+        """Initialize with the addresses of any instances, the workspace key and the own zone."""
         self._seeds = seeds
         self._key = key
         self._zone = zone
-        self._kept: tuple[str, ...] = ()
-        self._kept_until = 0.0
+        self._addresses: tuple[str, ...] = ()
+        self._addresses_expire_at = 0.0
 
     def locate(self) -> tuple[str, ...]:
-        """Return the addresses to use, best first; the answer is kept a while."""
+        """Return the instances' addresses, best first, cached for as long as the answer allows.
+
+        Raises UpstreamError if no instance answers and no addresses are cached.
+        """
         now = clock.now()
-        if self._kept and now < self._kept_until:
-            return self._kept
-        for address in (*self._kept, *self._seeds):
+        if self._addresses and now < self._addresses_expire_at:
+            return self._addresses
+        for address in (*self._addresses, *self._seeds):
             try:
                 answer = call_json(
                     address, "GET", f"/v1/locate?zone={self._zone}", self._key, timeout_s=2.0
@@ -87,21 +90,21 @@
             except UpstreamError:
                 continue
             if answer.status == 200:
-                self._kept = tuple(one["address"] for one in answer.value["instances"])
-                self._kept_until = now + float(answer.value["keep_s"])
-                return self._kept
-        if self._kept:
-            return self._kept
+                self._addresses = tuple(row["address"] for row in answer.value["instances"])
+                self._addresses_expire_at = now + float(answer.value["keep_s"])
+                return self._addresses
+        if self._addresses:
+            return self._addresses
         raise UpstreamError("no instance answers", sent=False)
 
     def expire_locations(self) -> None:
-        """Forget the kept answer, after an instance failed."""
-        self._kept_until = 0.0
+        """Locate instances again before the next request, after an instance has failed."""
+        self._addresses_expire_at = 0.0
 
     def chat(
         self, body: dict[str, Any], kind: str, ticket: str = "", deadline_s: float = 0.0
     ) -> Iterator[ChatPart | ChatEnd]:
-        """Stream one answer; go on at another instance if this one dies."""
+        """Stream an answer, and resume it at another instance if the connection breaks."""
         last_id = ""
         for attempt in range(MAX_RECONNECTS):
             addresses = self.locate()
@@ -129,7 +132,7 @@
         ticket: str,
         deadline_s: float,
     ) -> Iterator[ChatPart | ChatEnd]:
-        """Stream from one instance, from the start or from a resume token."""
+        """Stream from one instance: from the start, or after the event `last_id`."""
         headers = {"Authorization": f"Bearer {self._key}", HEADER_KIND: kind}
         if last_id:
             headers[HEADER_LAST_EVENT_ID] = last_id
@@ -155,7 +158,7 @@
 
 
 def _chat_event(event: bytes) -> ChatPart | ChatEnd:
-    """Read one event of an answer."""
+    """Decode a server-sent event of an answer."""
     head, _, data = event.rstrip(b"\n").rpartition(b"data: ")
     if head.startswith(b"event: error"):
         return ChatEnd(orjson.loads(data))
--- a/driftstall/cli/crashes.py
+++ b/driftstall/cli/crashes.py
@@ -1,4 +1,4 @@
-"""Show which requests are refused as upstreams have crashed under them, and clear one."""
+"""Show the requests that are quarantined for crashing upstreams, and clear one of them."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 def run_crashes(options: Mapping[str, Any]) -> int:
-    """Run the command at one instance, which tells the others."""
+    """Run the command at one instance, which forwards a cleared request to the others."""
     if options["clear"]:
         return _clear(options["--metrics"], options["FINGERPRINT"])
     _, raw = _call(options["--metrics"], "GET", PATH)
     if options["--json"]:
         print(raw.decode())
         return EXIT_OK
-    rows = [one | {"upstreams": " ".join(one["upstreams"])} for one in orjson.loads(raw)]
+    rows = [row | {"upstreams": " ".join(row["upstreams"])} for row in orjson.loads(raw)]
     print_table(("Fingerprint", "Wait_s", "Upstreams"), rows)
     return EXIT_OK
 
 
 def _clear(address: str, fingerprint: str) -> int:
-    """Hold nothing more against one request."""
+    """Lift the quarantine of a request."""
     status, _ = _call(address, "DELETE", f"{PATH}/{fingerprint}")
     if status == HTTPStatus.OK:
         print(f"request {fingerprint} may be sent again")
@@ -42,7 +42,7 @@
 
 
 def _call(address: str, method: str, path: str) -> tuple[int, bytes]:
-    """Make one call; raise UpstreamError in vain."""
+    """Send a request and return status and body; raise UpstreamError if there is no answer."""
     exchange = Exchange.open(address, method, path, {}, b"", CALL_TIMEOUT_S)
     body = exchange.read()
     return exchange.status, body
--- a/driftstall/cli/explain.py
+++ b/driftstall/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell one request's story from the logs of many instances."""
+"""Collect the log lines about one request from the logs of many instances."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 HIDDEN: Final = frozenset(
     {"timestamp", "message", "message_type", "request", "task_level", "task_uuid"}
 )
-NAMES_UPSTREAM: Final = ("upstream", "source", "left")
-"""Fields that name an upstream which the request has met."""
+UPSTREAM_FIELDS: Final = ("upstream", "source", "left")
+"""Log fields that name an upstream to which the request was sent."""
 CRASH: Final = "crash"
-"""Stands in each line about an upstream's end under requests."""
-AROUND_S: Final = 0.5
-"""Lines about an upstream that the request met are shown from so long before to after it."""
+"""Contained in the message of each log line about an upstream that terminated under requests."""
+CONTEXT_S: Final = 0.5
+"""Lines about the request's upstreams are shown from this long before its first line to this long
+after its last one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """Hold one log line and where it was written."""
+    """A log line and the instance that wrote it."""
 
     at: float
     origin: str
@@ -31,63 +32,68 @@
 
     @property
     def message(self) -> str:
-        """Return the sentence."""
+        """Return the line's message."""
         return str(self.fields.get("message", ""))
 
 
 def explain_request(request_id: str, files: list[str]) -> int:
-    """Print a request's lines, and what its instances said of its upstreams, in order of time."""
+    """Print a request's log lines and those about its upstreams and crashes, ordered by time.
+
+    Returns the exit code: 1 if no line names the request.
+    """
     lines = list(_read_all(files))
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
         print(f"driftstall: no line names the request {request_id}", file=sys.stderr)
         return 1
     begin, end = min(line.at for line in own), max(line.at for line in own)
-    met = _upstreams_met(own)
+    upstreams = _upstreams_named(own)
     origins = {line.origin for line in own}
-    around = [
+    context = [
         line
         for line in lines
         if "request" not in line.fields
         and line.origin in origins
-        and begin - AROUND_S <= line.at <= end + AROUND_S
-        and any(upstream in line.message for upstream in met)
+        and begin - CONTEXT_S <= line.at <= end + CONTEXT_S
+        and any(upstream in line.message for upstream in upstreams)
     ]
-    crashes = [line for line in lines if line not in own and _tells_crash(line, _asked(own))]
-    for line in sorted([*own, *around, *crashes], key=lambda one: one.at):
-        print(_shown(line, begin))
+    crashes = [line for line in lines if line not in own and _is_crash(line, _fingerprints(own))]
+    for line in sorted([*own, *context, *crashes], key=lambda line: line.at):
+        print(_format_line(line, begin))
     return 0
 
 
-def _asked(lines: Iterable[Line]) -> set[str]:
-    """Return the fingerprints of a request, by which others that ask the same are known."""
+def _fingerprints(lines: Iterable[Line]) -> set[str]:
+    """Return a request's fingerprints, which identical requests with other ids share."""
     return {str(line.fields["fingerprint"]) for line in lines if "fingerprint" in line.fields}
 
 
-def _tells_crash(line: Line, fingerprints: set[str]) -> bool:
-    """Tell whether a line tells of a crash under the same request, at any time and instance."""
-    told = {line.fields.get("fingerprint"), *line.fields.get("fingerprints", ())}
-    return CRASH in line.message and bool(told & fingerprints)
+def _is_crash(line: Line, fingerprints: set[str]) -> bool:
+    """Return True if a line reports a crash under the same request, at any time and instance."""
+    named = {line.fields.get("fingerprint"), *line.fields.get("fingerprints", ())}
+    return CRASH in line.message and bool(named & fingerprints)
 
 
-def _upstreams_met(lines: Iterable[Line]) -> set[str]:
-    """Return the upstreams that a request's lines name."""
-    met: set[str] = set()
+def _upstreams_named(lines: Iterable[Line]) -> set[str]:
+    """Return the upstreams that are named in the fields or messages of a request's lines."""
+    upstreams: set[str] = set()
     for line in lines:
-        met |= {str(line.fields[name]) for name in NAMES_UPSTREAM if line.fields.get(name)}
-        met |= {word.strip(":,.") for word in line.message.split() if word.startswith("i-")}
-    return met
+        upstreams |= {str(line.fields[name]) for name in UPSTREAM_FIELDS if line.fields.get(name)}
+        upstreams |= {word.strip(":,.") for word in line.message.split() if word.startswith("i-")}
+    return upstreams
 
 
-def _shown(line: Line, begin: float) -> str:
-    """Return a line for people: time since the request's first line, origin, sentence."""
-    rest = {name: value for name, value in line.fields.items() if name not in HIDDEN}
-    details = " ".join(f"{name}={value}" for name, value in rest.items() if value not in ("", None))
+def _format_line(line: Line, begin: float) -> str:
+    """Format a line: time since the request's first line, instance, message, fields."""
+    shown = {name: value for name, value in line.fields.items() if name not in HIDDEN}
+    details = " ".join(
+        f"{name}={value}" for name, value in shown.items() if value not in ("", None)
+    )
     return f"{line.at - begin:+9.3f} s  {line.origin:<24} {line.message}  {details}".rstrip()
 
 
 def _read_all(files: list[str]) -> Iterator[Line]:
-    """Read the lines of all files, or of standard input without any."""
+    """Yield the lines of all files, or of standard input if no files are given."""
     if not files:
         yield from _read("", sys.stdin)
     for name in files:
@@ -96,7 +102,11 @@
 
 
 def _read(origin: str, text: Iterable[str]) -> Iterator[Line]:
-    """Read JSON lines; what stands before the JSON names the instance, as collectors do."""
+    """Yield JSON log lines, skipping other lines.
+
+    The last word before the JSON names the instance, as log collectors write it; without one the
+    line belongs to `origin`.
+    """
     for raw in text:
         before, brace, after = raw.partition("{")
         if not brace:
--- a/driftstall/cli/main.py
+++ b/driftstall/cli/main.py
@@ -106,7 +106,7 @@
 
 
 def _run(options: dict[str, Any]) -> int:
-    """Find the command and run it."""
+    """Dispatch to the chosen command and return its exit code."""
     if options["explain"] and not options["policy"]:
         return explain_request(options["ID"], options["FILE"])
     if options["crashes"]:
@@ -151,7 +151,7 @@
 
 
 def _explain(options: dict[str, Any]) -> int:
-    """Tell which rule decides about a request."""
+    """Print the rules that were checked for a request, and the policy's verdict."""
     facts = {
         "kind": options["KIND"],
         "workspace": options["WORKSPACE"],
@@ -163,8 +163,8 @@
     if answer.status != 200 or options["--json"]:
         return _show(answer)
     for check in answer.value["checks"]:
-        word = "holds" if check["held"] else "does not hold"
-        print(f"line {check['line']}, rule {check['rule']}: {check['condition']} {word}")
+        result = "holds" if check["held"] else "does not hold"
+        print(f"line {check['line']}, rule {check['rule']}: {check['condition']} {result}")
     for name, value in answer.value["verdict"].items():
         print(f"  {name} = {value}")
     return EXIT_OK
@@ -182,7 +182,7 @@
 
 
 def _submit(options: dict[str, Any], change: dict[str, Any]) -> int:
-    """Submit a change; the id lets its outcome be asked for later."""
+    """Submit a change under an id, by which its outcome can be queried later."""
     change["submission"] = options["--id"] or uuid.uuid4().hex
     if options["--base"]:
         change["base_generation"] = int(options["--base"])
@@ -198,7 +198,7 @@
 
 
 def _status(options: dict[str, Any]) -> int:
-    """Show what an instance knows."""
+    """Print the status of an instance."""
     answer = _operator(options, "GET", "/operator/status")
     if answer.status != 200 or options["--json"]:
         return _show(answer)
@@ -207,7 +207,7 @@
 
 
 def _chat(options: dict[str, Any]) -> int:
-    """Ask once and print the answer as it comes."""
+    """Send one chat request and print the answer as it is streamed."""
     body = {
         "model": options["--model"],
         "max_tokens": int(options["--cap"]),
@@ -219,26 +219,26 @@
             print(part.text, end="", flush=True)
         elif isinstance(part, ChatEnd) and part.problem is not None:
             print(f"\ndriftstall: {part.problem['detail']}", file=sys.stderr)
-            known = part.problem.get("ran") == "not run"
-            return EXIT_REFUSED if known else EXIT_UNKNOWN
+            is_not_executed = part.problem.get("ran") == "not run"
+            return EXIT_REFUSED if is_not_executed else EXIT_UNKNOWN
     print()
     return EXIT_OK
 
 
 def _operator(options: dict[str, Any], method: str, path: str, value: Any = None) -> Answer:
-    """Make one call to the operators' listener."""
+    """Send a request to the operators' listener."""
     token = options["--token"] or os.environ.get("DRIFTSTALL_OPERATOR_TOKEN", "")
     return call_json(options["--operator"], method, path, token, value)
 
 
 def _caller(options: dict[str, Any]) -> Caller:
-    """Return a caller for the workspace key."""
+    """Return a client that uses the workspace key."""
     key = options["--key"] or os.environ.get("DRIFTSTALL_KEY", "")
     return Caller((options["--instance"],), key, options["--zone"] or "")
 
 
 def _show(answer: Answer) -> int:
-    """Print an answer's JSON and return the exit code that fits."""
+    """Print an answer's JSON and return the exit code for its status."""
     print(orjson.dumps(answer.value, option=orjson.OPT_INDENT_2).decode())
     return STATUS_EXIT.get(answer.status, EXIT_REFUSED)
 
--- a/driftstall/cli/store_commands.py
+++ b/driftstall/cli/store_commands.py
@@ -1,4 +1,4 @@
-"""Run operators' commands against the platform's store, where no instance takes them."""
+"""Operators' commands that work on the platform's store, without an instance."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run_on_store(options: Mapping[str, Any]) -> int:
-    """Run one command against the store that --store names."""
+    """Run a command on the store given by --store, and return its exit code."""
     store = PolicyStore(options["--store"])
     try:
         if options["policy"] and options["submit"]:
@@ -50,7 +50,7 @@
 
 
 def _submit(store: PolicyStore, options: Mapping[str, Any]) -> int:
-    """Check a policy and put it in force everywhere."""
+    """Validate a policy and store it, from where all instances apply it."""
     text = Path(options["FILE"]).read_text()
     policy = parse_policy(text)
     base = StoreVersion.parse(options["--base"]) if options["--base"] else None
@@ -63,7 +63,7 @@
 
 
 def _explain(store: PolicyStore, options: Mapping[str, Any]) -> int:
-    """Tell which rule of the policy in force decides about a request."""
+    """Print the rules of the current policy that were checked for a request, and its verdict."""
     text = store.text()
     policy = parse_policy(text) if text else default_policy()
     facts = Facts(
@@ -78,8 +78,8 @@
     )
     explanation = explain(policy, facts)
     for check in explanation.checks:
-        word = "holds" if check.held else "does not hold"
-        print(f"line {check.line}, rule {check.rule}: {check.condition} {word}")
+        result = "holds" if check.held else "does not hold"
+        print(f"line {check.line}, rule {check.rule}: {check.condition} {result}")
     verdict = explanation.verdict
     print(f"  rank = {verdict.rank}\n  wait_s = {verdict.wait_s:g}")
     print(f"  may_yield = {verdict.may_yield}\n  may_refuse = {verdict.may_refuse}")
@@ -87,7 +87,7 @@
 
 
 def _status(store: PolicyStore) -> int:
-    """Show what the store tells of instances and upstreams."""
+    """Print versions, instances and upstreams as stored."""
     print(
         f"routing version {store.routing().get('version', 0)}, policy revision {store.revision()}"
     )
--- a/driftstall/cli/tables.py
+++ b/driftstall/cli/tables.py
@@ -7,7 +7,7 @@
 
 
 def print_status(status: dict[str, Any]) -> None:
-    """Print what an instance knows."""
+    """Print an instance's status: key figures, instances, runners and groups."""
     print(
         f"instance {status['instance']}, {status['phase']}, "
         f"policy {status['policy'] or 'none'}, generation {status['generation']}"
@@ -29,7 +29,7 @@
 
 
 def print_table(columns: Sequence[str], rows: list[dict[str, Any]]) -> None:
-    """Print rows under columns; a column's name in lower case is its field."""
+    """Print rows as a sorted table; each column shows the field of its name in lower case."""
     cells = [[_cell(row[name.lower()]) for name in columns] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in cells)]) for index, name in enumerate(columns)
@@ -41,5 +41,5 @@
 
 
 def _cell(value: Any) -> str:
-    """Return a cell's text."""
+    """Format a value; None becomes a dash."""
     return "-" if value is None else str(value)
--- a/driftstall/cli/try_policy.py
+++ b/driftstall/cli/try_policy.py
@@ -16,7 +16,7 @@
 
 
 def try_policy(policy_file: str, trace_file: str, *, as_json: bool) -> int:
-    """Tell which rule would have decided about each recorded request."""
+    """Print how many recorded requests each rule would decide, and where the rule would change."""
     policy = parse_policy(Path(policy_file).read_text())
     rules: Counter[str] = Counter()
     changed: Counter[str] = Counter()
