--- a/driftstall/util/__init__.py
+++ b/driftstall/util/__init__.py
@@ -1,3 +1,3 @@
-"""Hold helpers that know nothing of driftstall's objects."""
+"""General utilities that do not depend on driftstall's types."""
 
 from __future__ import annotations
--- a/driftstall/util/addresses.py
+++ b/driftstall/util/addresses.py
@@ -1,4 +1,4 @@
-"""Read addresses written as IP and port."""
+"""Parse addresses of the form IP:port."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of an address such as 127.0.0.1:8000 or [::1]:8000."""
+    """Return host and port of an address such as 127.0.0.1:8000 or [::1]:8000.
+
+    Raises ValueError if the host is no IP address or the port is no number from 0 to 65535.
+    """
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     ipaddress.ip_address(host)
--- a/driftstall/util/clock.py
+++ b/driftstall/util/clock.py
@@ -1,7 +1,7 @@
-"""Tell the time that has passed, also while the machine was suspended.
+"""Monotonic clock that also advances while the machine is suspended.
 
-The monotonic clock stands still then. An instance that goes by it takes old reports, leases and
-lists for fresh when the machine runs again, and passes deadlines on that are over.
+CLOCK_MONOTONIC stops during a suspension. An instance that used it would treat outdated reports,
+leases and lists as fresh after the machine resumes, and forward deadlines that have expired.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from typing import Final
 
 MAX_WAIT_SLICE_S: Final = 0.5
-"""Waits with a deadline are taken in pieces of this length: the event loop's timers stand still in
-a suspension as well, so after one a wait ends at most this much too late."""
+"""Waits with a deadline are split into slices of at most this length. The event loop's timers stop
+during a suspension as well, so a wait ends at most this much too late after one."""
 
 
 def now() -> float:
-    """Return a steady clock that counts suspensions, in seconds."""
+    """Return the seconds since the machine's start, including suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def suspended_s() -> float:
-    """Return for how long the machine was suspended since its start, in seconds."""
+    """Return the seconds that the machine has been suspended since its start."""
     return now() - time.monotonic()
--- a/driftstall/util/fingerprint.py
+++ b/driftstall/util/fingerprint.py
@@ -1,4 +1,4 @@
-"""Hash what a request asks, so that the same one is known again under another id."""
+"""Fingerprints of requests, which identify the same request under different ids."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 from typing import Final
 
 DIGEST_BYTES: Final = 12
-"""No caller can find a request of its own that is taken for another workspace's."""
+"""Long enough that no caller can construct a request whose fingerprint equals that of another
+workspace's request."""
 
 
 def fingerprint(*parts: bytes) -> str:
-    """Return what stands for some parts in their order, as hexadecimal digits."""
+    """Return the hash of a sequence of parts as hexadecimal digits."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
-        # The length keeps two parts from being taken for others with the border elsewhere.
+        # The length prefix distinguishes parts that only differ in where they are divided.
         digest.update(b"%d:" % len(part))
         digest.update(part)
     return digest.hexdigest()
--- a/driftstall/util/http.py
+++ b/driftstall/util/http.py
@@ -1,8 +1,8 @@
-"""Make one HTTP exchange on a connection of its own, and never send twice.
+"""HTTP client that sends each request at most once, on a connection of its own.
 
-The pooled client of the HTTP library sends idempotent methods again by itself
-when a connection breaks. A call that may not be repeated must not go that way,
-so here each exchange has one connection and one send.
+The pooled client of the HTTP library retries idempotent methods on its own when a connection
+breaks. Requests that must not be repeated can't use it, so each exchange here opens one connection
+and sends once.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 from driftstall.util.addresses import split_address
 
 CONNECT_TIMEOUT_S: Final = 1.0
-DEAD_AFTER_MS: Final = 1_500
-"""A peer that acknowledges nothing for so long is given up; a cut link says nothing."""
-PROBE_AFTER_S: Final = 1
-"""A connection that rests for so long is probed, so that a cut is noticed while waiting."""
-PROBES: Final = 2
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 1_500
+"""A connection is closed if the peer acknowledges no data for this long: a cut link sends no
+error."""
+KEEPALIVE_INTERVAL_S: Final = 1
+"""An idle connection is probed at this interval, so that a cut link is detected while waiting."""
+KEEPALIVE_PROBES: Final = 2
 READ_FAULTS: Final = (OSError, HTTPConnectionClosed, HTTPParseError, ValueError)
 
 
 class Exchange:
-    """Hold one sent request and its answer."""
+    """A sent request and its response."""
 
     def __init__(self, connection: socket.socket, response: HTTPSocketResponse) -> None:
-        """Take the connection and the answer, whose headers were read."""
+        """Initialize with the connection and the response, whose headers have been read."""
         self._connection = connection
         self._response = response
 
@@ -43,9 +44,9 @@
         body: bytes,
         timeout_s: float,
     ) -> Exchange:
-        """Send a request once and read the answer's headers.
+        """Send a request once and read the response's headers.
 
-        Raises UpstreamError; its sent flag is false only if no byte had left.
+        Raises UpstreamError, whose `sent` is false only if no byte was sent.
         """
         try:
             connection = socket.create_connection(split_address(address), CONNECT_TIMEOUT_S)
@@ -63,34 +64,34 @@
             detail = f"no answer from {address}: {type(fault).__name__}"
             raise UpstreamError(detail, sent=True) from fault
         except BaseException:
-            # Whoever called has given the exchange up from outside.
+            # The calling greenlet was interrupted by a timeout or killed.
             connection.close()
             raise
 
     @property
     def status(self) -> int:
-        """Return the answer's status."""
+        """Return the response's status code."""
         return int(self._response.status_code)
 
     @property
     def content_type(self) -> str:
-        """Return the answer's content type."""
+        """Return the response's content type, or an empty string."""
         return str(self._response.get("content-type", ""))
 
     @property
     def headers(self) -> dict[bytes, bytes]:
-        """Return the answer's headers by their names in lower case."""
+        """Return the response's headers by their lower-case names."""
         return {
             str(name).lower().encode("latin-1"): str(value).strip().encode("latin-1")
             for name, value in self._response.items()
         }
 
     def header(self, name: str) -> str:
-        """Return one of the answer's headers, or empty."""
+        """Return a header of the response, or an empty string."""
         return str(self._response.get(name, ""))
 
     def read(self) -> bytes:
-        """Return the whole body, or raise UpstreamError."""
+        """Return the whole body and close the connection; raise UpstreamError if it is cut off."""
         try:
             body = bytes(self._response.read())
             if not self._response.message_complete:
@@ -102,14 +103,14 @@
             self.close()
 
     def read_event(self) -> bytes:
-        """Return the next server-sent event; empty at the end."""
+        """Return the next server-sent event; empty at the end of the stream."""
         try:
             return bytes(self._response.readline(b"\n\n"))
         except READ_FAULTS as fault:
             raise UpstreamError(f"the stream broke: {type(fault).__name__}", sent=True) from fault
 
     def has_event(self) -> bool:
-        """Tell whether a whole server-sent event has already arrived."""
+        """Return True if a whole server-sent event has been received but not read."""
         return b"\n\n" in self._response._body_buffer
 
     def close(self) -> None:
@@ -118,17 +119,17 @@
 
 
 def configure_socket(connection: socket.socket) -> None:
-    """Send at once, and notice within seconds that the other end is cut off."""
+    """Disable Nagle's algorithm, and detect a cut link within seconds by keep-alive probes."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_AFTER_MS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
 
 
 def _head(address: str, method: str, path: str, headers: Mapping[str, str], length: int) -> bytes:
-    """Return the request's head."""
+    """Encode the request line and headers; raise UpstreamError if one contains a line break."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {address}", "Connection: close"]
     if length or method not in ("GET", "HEAD"):
         lines.append(f"Content-Length: {length}")
--- a/driftstall/util/tokens.py
+++ b/driftstall/util/tokens.py
@@ -1,4 +1,4 @@
-"""Estimate prompt tokens and name prompt prefixes."""
+"""Estimate prompt lengths in tokens, and hash the prefixes of a prompt."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Estimate a message's tokens, with its frame."""
+    """Estimate the tokens of a message, including those that delimit it."""
     return len(text) // CHARS_PER_TOKEN + TOKENS_PER_MESSAGE
 
 
 def prefix_marks(model: str, messages: Iterable[tuple[str, str]]) -> list[tuple[int, int]]:
-    """Return (digest, tokens) of each prefix, for messages as (role, text)."""
+    """Return the digest and the estimated tokens of each prefix of (role, text) messages."""
     hasher = xxhash.xxh3_64(model.encode())
     tokens = 0
     marks = []
