--- a/driftstall/__init__.py
+++ b/driftstall/__init__.py
@@ -1,3 +1,3 @@
-"""Serve text generations of unknown length on crowded engines."""
+"""Service proxy and scheduler for text generations of unknown length on overloaded engines."""
 
 from __future__ import annotations
--- a/driftstall/__main__.py
+++ b/driftstall/__main__.py
@@ -1,4 +1,4 @@
-"""Run the daemon."""
+"""Entry point of the daemon."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Read the settings and run; wrong settings are named together."""
+    """Read the settings and run; print all faults of invalid settings together."""
     try:
         settings = Settings.from_args(sys.argv[1:], os.environ)
     except SettingsError as error:
--- a/driftstall/bootstrap.py
+++ b/driftstall/bootstrap.py
@@ -1,4 +1,4 @@
-"""Set an instance up in stages, and run it until its planned stop."""
+"""Start an instance's listeners and services, and run it until its planned stop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_instance(settings: Settings) -> None:
-    """Run one instance until it has stopped without cutting off a request."""
+    """Run an instance until it has drained its requests and stopped, after SIGTERM or SIGINT."""
     start_log()
     node = Node(settings)
     callers = build_server(settings, settings.listen, CallersApp(node))
