--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -1,4 +1,4 @@
-"""Carry one generation's stream between a runner and the caller."""
+"""Relay one generation's stream from a runner to the caller, with retries and resumption."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
 
 RESUME_RETRY_DELAY_S: Final = 0.1
 STALL_TIMEOUT_S: Final = 8.0
-"""An engine that is there but sends no token for so long, unasked, is taken for stalled."""
+"""An open stream without a token for this long fails as stalled, unless the run is paused."""
 EngineStream = Iterator[list[EngineEvent]]
 
 
 class Token(NamedTuple):
-    """Give the caller one token; a tuple, since it is made for each token."""
+    """One token for the caller; a named tuple, as it is cheap to create for each token."""
 
     generation: str
     position: int
@@ -73,21 +73,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Tokens:
-    """Give the caller the tokens that arrived together, in order."""
+    """Tokens for the caller that arrived together, in order."""
 
     tokens: tuple[Token, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """Tell the caller that the answer is whole."""
+    """End of a complete response, with the data of its last event."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Tell the caller why the answer is not whole."""
+    """End of an incomplete response, with the reason as a problem."""
 
     problem: Problem
 
@@ -96,7 +96,7 @@
 
 
 class RelayService:
-    """Build relays; they share the retry budget."""
+    """Create relays, which share one retry budget."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         poison: PoisonService,
         signals: SignalService,
     ) -> None:
-        """Start with a fresh retry budget."""
+        """Initialize with a full retry budget."""
         self.signals = signals
         self.poison = poison
         self.hub = hub
@@ -122,7 +122,7 @@
         ticket: str,
         is_caller_waiting: Callable[[], bool],
     ) -> Relay:
-        """Return the relay of a new request."""
+        """Create the relay of a new request."""
         machine = RelayMachine(request.request_id, self.budget)
         relay = Relay(self, machine, request, verdict, payload, is_caller_waiting)
         relay.ticket = ticket
@@ -133,18 +133,18 @@
         self,
         request: Request,
         verdict: Verdict,
-        place: ResumeRequested,
+        resume_point: ResumeRequested,
         is_caller_waiting: Callable[[], bool],
     ) -> Relay:
-        """Return the relay that goes on with a generation from a resume token."""
+        """Create the relay that resumes a generation from a resume token."""
         machine = RelayMachine(request.request_id, self.budget)
         relay = Relay(self, machine, request, verdict, {}, is_caller_waiting)
-        relay.first_event = place
+        relay.first_event = resume_point
         return relay
 
 
 class Relay:
-    """Carry out one relay machine's actions, as an iterator for the caller."""
+    """Run the relay state machine of one request, as an iterator of items for the caller."""
 
     def __init__(
         self,
@@ -155,28 +155,28 @@
         payload: dict[str, Any],
         is_caller_waiting: Callable[[], bool],
     ) -> None:
-        """Take what describes the request."""
+        """Initialize the relay of one request."""
         self._service = service
         self._hub = service.hub
         self._machine = machine
         self._request = request
         self._verdict = verdict
         self._payload = payload
-        self._caller_waits = is_caller_waiting
+        self._is_caller_waiting = is_caller_waiting
         self._stream: EngineStream | None = None
         self._cached_prefix: PrefixMark | None = None
         self._output: list[RelayItem] = []
         self._grant_ids: set[str] = set()
         self._last_progress_at = 0.0
         self._opened_at = 0.0
-        """When the generation was last given to a runner."""
+        """When the generation was last started on a runner."""
         self.ticket = ""
         self.fingerprint = ""
-        """Stands for what is asked; empty where that is not known, as for a resume token."""
+        """Hash of the request's content; empty if unknown, as with a resume token."""
         self.first_event: RelayEvent = Started()
 
     def __iter__(self) -> Iterator[RelayItem]:
-        """Yield tokens as they come, then one end."""
+        """Yield tokens as they arrive, then one Completed or Failed."""
         try:
             self._feed(self.first_event)
             yield from self._take_output()
@@ -187,24 +187,24 @@
             self._clean_up()
 
     def _clean_up(self) -> None:
-        """Free everything if the caller vanished."""
+        """Cancel the request if the caller disconnected, and close the stream."""
         if not self._machine.is_done:
             self._handle_disconnect()
         self._drop_stream()
 
     def _handle_disconnect(self) -> None:
-        """Give the request up, since nobody waits for it."""
+        """Cancel the request of a caller that has disconnected."""
         self._hub.stats.callers_gone += 1
-        log_event(PREFIX_RELAY, f"The caller of request {self._request.request_id} has gone")
+        log_event(PREFIX_RELAY, f"Caller of request {self._request.request_id} disconnected")
         self._feed(CallerDisconnected())
 
     def _take_output(self) -> Iterator[RelayItem]:
-        """Yield what the actions have put out."""
-        out, self._output = self._output, []
-        yield from out
+        """Yield and clear the items that the actions have produced."""
+        output, self._output = self._output, []
+        yield from output
 
     def _read_stream(self) -> Iterator[RelayItem]:
-        """Read the runner's stream until it ends or breaks."""
+        """Read the runner's stream until it ends, fails or is replaced."""
         stream = self._stream
         if stream is None:
             return
@@ -223,11 +223,11 @@
                         tokens = []
                     self._handle_engine_event(event)
                     if self._stream is not stream or machine.is_done:
-                        # What else arrived belongs to a stream that was given up.
+                        # The remaining events belong to an abandoned stream.
                         return
                 if tokens:
                     self._last_progress_at = self._hub.now()
-                    grant_client.progress(request_id, machine.produced)
+                    grant_client.record_progress(request_id, machine.produced)
                     stats.tokens += len(tokens)
                     yield Tokens(tuple(tokens))
                 if self._output or self._stream is not stream or machine.is_done:
@@ -239,7 +239,7 @@
             self._handle_stream_failure(fault)
 
     def _handle_engine_event(self, event: EngineEvent) -> None:
-        """Take an event that is not simply the next token."""
+        """Handle an event other than the next token in order; raise UpstreamError on a stall."""
         if isinstance(event, EngineSignals):
             self._handle_signals(event.signals)
         elif isinstance(event, EngineToken):
@@ -247,7 +247,7 @@
         elif isinstance(event, EngineEnd):
             self._cached_prefix = _parse_cached_prefix(event.data)
             self._feed(StreamEnded(event.generation, event.total, event.data))
-        elif not self._caller_waits():
+        elif not self._is_caller_waiting():
             self._handle_disconnect()
         elif self._service.grant_client.is_paused(self._machine.grant_id):
             self._last_progress_at = self._hub.now()
@@ -255,28 +255,28 @@
             raise UpstreamError("the engine sends no token", sent=True)
 
     def _handle_signals(self, signals: tuple[Signal, ...]) -> None:
-        """Handle what the runner signals with the head of its response."""
+        """Handle the signals in the head of the runner's response."""
         runner_id = self._machine.runner_id
         self._service.signals.handle_response(runner_id, signals, self._opened_at)
 
     def _handle_stream_failure(self, fault: UpstreamError) -> None:
-        """Tell the machine that the stream broke."""
+        """Close the failed stream and report the failure to the state machine."""
         if isinstance(fault, RunnerRejected):
             self._handle_signals(fault.signals)
-        gone = isinstance(fault, RunnerRejected) and fault.is_generation_unknown
+        unknown = isinstance(fault, RunnerRejected) and fault.is_generation_unknown
         generation = self._machine.generation
-        log_event(PREFIX_RELAY, f"The stream of {generation} broke: {fault}")
+        log_event(PREFIX_RELAY, f"Stream of {generation} failed: {fault}")
         self._drop_stream()
-        barred = fault.sent and self._check_quarantine()
-        self._feed(StreamFailed(generation, fault.sent, gone, str(fault), barred))
+        quarantined = fault.sent and self._check_quarantine()
+        self._feed(StreamFailed(generation, fault.sent, unknown, str(fault), quarantined))
 
     def _check_quarantine(self) -> bool:
-        """Find out whether the runner has crashed, and whether the request is to go to no other."""
+        """Check the runner for a crash; return whether the request is now quarantined."""
         runner = self._service.fleet.runners.get(self._machine.runner_id)
         if runner is None or not self.fingerprint:
             return False
-        made_s = self._hub.now() - self._opened_at
-        under_way = self._machine.produced > 0 and made_s >= UNDER_WAY_S
+        generating_s = self._hub.now() - self._opened_at
+        under_way = self._machine.produced > 0 and generating_s >= UNDER_WAY_S
         self._service.poison.handle_broken_run(runner, self.fingerprint, under_way=under_way)
         return self._service.poison.build_refusal(self.fingerprint, Ran.UNKNOWN) is not None
 
@@ -287,7 +287,7 @@
             stream.close()  # type: ignore[attr-defined]
 
     def _feed(self, event: RelayEvent) -> None:
-        """Hand an event to the machine and carry out its actions."""
+        """Pass an event to the state machine and carry out the resulting actions."""
         for action in self._machine.handle(event):
             self._carry_out(action)
 
@@ -322,7 +322,7 @@
                 self._output.append(Failed(action.problem))
 
     def _request_grant(self, action: RequestGrant) -> None:
-        """Wait for a grant."""
+        """Wait for a grant, and feed the result to the state machine."""
         if self._grant_ids:
             self._hub.stats.retries += 1
         self._grant_ids.add(action.grant_id)
@@ -350,8 +350,8 @@
             self._handle_disconnect()
 
     def _keep_waiting(self) -> bool:
-        """Tell whether the caller still waits for a grant."""
-        return time.time() <= self._request.deadline and self._caller_waits()
+        """Return whether the caller is connected and the deadline has not passed."""
+        return time.time() <= self._request.deadline and self._is_caller_waiting()
 
     def _open(self, action: OpenStream) -> None:
         """Start the generation on its runner."""
@@ -360,7 +360,7 @@
             if runner is None:
                 raise UpstreamError("the runner is not configured any more", sent=False)
             if self._service.signals.backoff_s(runner.runner_id):
-                # Requested after this instance had asked for the grant.
+                # The back-off arrived after this instance had requested the grant.
                 self._handle_stream_failure(
                     UpstreamError("the runner has requested a back-off", sent=False)
                 )
@@ -372,12 +372,12 @@
             self._handle_stream_failure(fault)
 
     def _resume(self, action: ResumeStream) -> None:
-        """Take the generation up again on its runner."""
+        """Resume the generation on its runner, after the runner's back-off if there is one."""
         self._hub.stats.resumes += 1
         self._drop_stream()
         runner = self._service.fleet.runners.get(action.runner_id)
-        sentence = f"Request {action.generation} goes on from token {action.next_index}"
-        log_event(PREFIX_RELAY, sentence, runner=action.runner_id)
+        message = f"Request {action.generation} resumes from token {action.next_index}"
+        log_event(PREFIX_RELAY, message, runner=action.runner_id)
         if runner is None:
             detail = "the runner is not configured any more"
             problem = Problem(CODE_NO_RUNNER, 502, detail, Ran.UNKNOWN)
@@ -397,17 +397,17 @@
 
 
 def resumed_request(workspace: str, request_id: str, now: float, deadline: float) -> Request:
-    """Describe a request that goes on with a generation started elsewhere."""
+    """Return the request that resumes a generation which any instance may have started."""
     return Request(request_id, workspace, "resume", "", 0, 1, (), now, deadline)
 
 
 def with_earlier_asked_at(request: Request, asked_at: float) -> Request:
-    """Return a request that keeps the time it was first asked."""
+    """Return the request with the time of its first attempt if that is earlier."""
     return replace(request, asked_at=min(request.asked_at, asked_at))
 
 
 def _parse_cached_prefix(data: bytes) -> PrefixMark | None:
-    """Read the prefix that a follow-up will bring from the last event."""
+    """Return the cached prefix named in a stream's last event, which a follow-up can reuse."""
     try:
         mark = orjson.loads(data).get("cached_prefix")
         return PrefixMark(int(mark[0]), int(mark[1])) if mark else None
--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -1,4 +1,4 @@
-"""Call plain services: at most once for what may not be repeated."""
+"""Route calls to plain services, at most once if a call is not repeatable."""
 
 from __future__ import annotations
 
@@ -36,26 +36,26 @@
 HTTP_FAILED: Final = 500
 MAX_ATTEMPTS: Final = 3
 MAX_PERMIT_WAIT_S: Final = 0.3
-"""How long a call waits for its turn where all runners name a limit; longer, and its caller is
-better told when to come back."""
+"""Maximum wait for a permit if all runners have rate limits; beyond it a refusal with a
+Retry-After serves the caller better."""
 CALL_RANK: Final = 1
-"""Calls of one service are all alike: policies rank generations only."""
+"""Rank of every service call, as policies rank only generations."""
 RETRY_AFTER_S: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class _SendResult:
-    """Hold how one send ended."""
+    """Result of one attempt to send a call."""
 
-    answer: ServiceResponse | None
+    response: ServiceResponse | None
     sent: bool
     detail: str
-    broke: bool = False
-    """Whether it was sent and has no answer."""
+    is_unanswered: bool = False
+    """Whether the call was sent but no response arrived."""
 
 
 class ServiceCalls:
-    """Route calls to plain services."""
+    """Send calls to the runners of plain services."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         limits: RateLimiter,
         signals: SignalService,
     ) -> None:
-        """Start with a fresh retry budget."""
+        """Initialize with a full retry budget."""
         self._limits = limits
         self._signals = signals
         self._poison = poison
@@ -77,7 +77,7 @@
         self._open_calls: dict[str, int] = {}
 
     def call(self, context: RequestContext) -> ServiceResponse | Problem:
-        """Make a call and return its answer."""
+        """Make a call and return its response, or a problem."""
         if not self._fleet.live_services(context.service):
             detail = f"no runner of the service {context.service} is live"
             return Problem(CODE_NO_RUNNER, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
@@ -86,7 +86,7 @@
         return self._send_with_retries(context)
 
     def _call_with_claim(self, context: RequestContext) -> ServiceResponse | Problem:
-        """Claim the key first; only the claim's holder may run."""
+        """Claim the idempotency key, then send the call only if the claim was granted."""
         key = _claim_key(context)
         claim = self._claims.claim(key, _content_hash(context), context.request_id)
         if claim.kind != ClaimAnswerKind.GRANTED:
@@ -108,7 +108,7 @@
         return result
 
     def _respond_without_grant(self, claim: ClaimAnswer) -> ServiceResponse | Problem:
-        """Answer a call whose claim was not granted."""
+        """Return the recorded response, or a problem, for a call whose claim was not granted."""
         if claim.kind == ClaimAnswerKind.RECORDED:
             self._hub.stats.claims_repeated += 1
             return ServiceResponse(claim.status, claim.content_type, claim.body.encode())
@@ -122,7 +122,7 @@
         return Problem(CODE_PLATFORM_DOWN, 503, detail, Ran.NOT_RUN, RETRY_AFTER_S)
 
     def _send_with_retries(self, context: RequestContext) -> ServiceResponse | Problem:
-        """Send once; again only if nothing was sent, or the call is repeatable."""
+        """Send the call; retry only if it was not run, or if it is repeatable."""
         self._budget.earn()
         avoid: set[str] = set()
         maybe_ran = False
@@ -138,22 +138,22 @@
             if runner is None or context.deadline <= self._hub.wall_time():
                 break
             if self._signals.backoff_s(runner.runner_id):
-                # Requested while the call waited for its turn.
+                # The back-off arrived while the call waited for a permit.
                 avoid.add(runner.runner_id)
                 continue
-            done = self._send(runner, context)
-            if done.answer is not None and done.answer.status != HTTP_NOT_RUN:
-                if done.answer.status < HTTP_FAILED:
+            result = self._send(runner, context)
+            if result.response is not None and result.response.status != HTTP_NOT_RUN:
+                if result.response.status < HTTP_FAILED:
                     self._poison.record_success(request_fingerprint(context))
-                return done.answer
-            # A published 503 of these services says that the call was not run.
-            maybe_ran = maybe_ran or (done.sent and done.answer is None)
-            detail = done.detail
+                return result.response
+            # By the contract of plain services, a 503 response means that the call was not run.
+            maybe_ran = maybe_ran or (result.sent and result.response is None)
+            detail = result.detail
             avoid.add(runner.runner_id)
             if maybe_ran and not context.is_repeatable:
                 break
             if (
-                done.broke
+                result.is_unanswered
                 and self._poison.build_refusal(request_fingerprint(context), Ran.UNKNOWN)
                 is not None
             ):
@@ -165,50 +165,54 @@
         )
 
     def _choose(self, context: RequestContext, avoid: set[str]) -> Runner | Problem | None:
-        """Choose a runner that may be sent the call now; a problem where limits allow none."""
+        """Return a runner for the call, None if none remains, or a problem with a Retry-After."""
         live = self._fleet.live_services(context.service)
-        left_out = avoid | self._signals.backing_off
-        runners = [one for one in live if one.runner_id not in left_out]
+        excluded = avoid | self._signals.backing_off
+        runners = [runner for runner in live if runner.runner_id not in excluded]
         if not runners:
             return self._signals.build_refusal(context.service, live, context.request_id)
-        need = SendNeed(MAX_PERMIT_WAIT_S, CALL_RANK)
+        requirement = SendNeed(MAX_PERMIT_WAIT_S, CALL_RANK)
         chosen = self._limits.choose_permitted(
-            runners, lambda one: one.runner_id, self._least_busy, need, context.request_id
+            runners,
+            lambda runner: runner.runner_id,
+            self._least_busy,
+            requirement,
+            context.request_id,
         )
         if chosen is None:
-            ids = [one.runner_id for one in runners]
+            ids = [runner.runner_id for runner in runners]
             return self._limits.build_refusal(context.service, ids, context.request_id)
-        sentence = f"Call {context.request_id} goes to {chosen.runner_id}"
-        reason = f"{sentence}: fewest open calls of {len(runners)} runners"
-        log_event(PREFIX_ROUTING, reason, service=context.service)
+        decision = f"Call {context.request_id} routed to {chosen.runner_id}"
+        message = f"{decision}: fewest open calls of {len(runners)} runners"
+        log_event(PREFIX_ROUTING, message, service=context.service)
         return chosen
 
     def _least_busy(self, runners: list[Runner]) -> Runner | None:
-        """Return the runner with the fewest open calls, the own zone first."""
+        """Return the runner with the fewest open calls; break ties by own zone, then at random."""
         zone = self._hub.own.zone
         return min(
             runners,
-            key=lambda one: (
-                self._open_calls.get(one.runner_id, 0),
-                one.zone != zone,
+            key=lambda runner: (
+                self._open_calls.get(runner.runner_id, 0),
+                runner.zone != zone,
                 self._hub.rng.random(),
             ),
             default=None,
         )
 
     def _send(self, runner: Runner, context: RequestContext) -> _SendResult:
-        """Send a call once."""
+        """Send a call to a runner once; never raise UpstreamError."""
         headers = _forwarded_headers(context.headers)
         timeout_s = min(CALL_TIMEOUT_S, max(0.1, context.deadline - self._hub.wall_time()))
         runner_id, sent_at = runner.runner_id, self._hub.now()
         self._open_calls[runner_id] = self._open_calls.get(runner_id, 0) + 1
         try:
             with gevent.Timeout(timeout_s, UpstreamError("the answer is late", sent=True)):
-                answer = call_service(
+                response = call_service(
                     runner, context.method, context.service_path, headers, context.body, timeout_s
                 )
-            self._signals.handle_response(runner_id, answer.signals, sent_at)
-            return _SendResult(answer, True, f"the runner answered {answer.status}")
+            self._signals.handle_response(runner_id, response.signals, sent_at)
+            return _SendResult(response, True, f"the runner answered {response.status}")
         except UpstreamError as fault:
             if fault.sent:
                 self._poison.handle_broken_run(
@@ -216,24 +220,24 @@
                 )
             else:
                 self._fleet.record_failure(runner_id)
-            return _SendResult(None, fault.sent, str(fault), broke=fault.sent)
+            return _SendResult(None, fault.sent, str(fault), is_unanswered=fault.sent)
         finally:
             self._open_calls[runner_id] -= 1
 
 
 def _forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that are passed on."""
+    """Return the headers to forward to the runner."""
     return {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
 
 
 def _claim_key(context: RequestContext) -> str:
-    """Return a key of fixed size, so that the size of a shard is bounded."""
+    """Return a fixed-size claim key, which bounds the size of a shard."""
     text = f"{context.workspace}/{context.service}/{context.idempotency_key}"
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
 def _content_hash(context: RequestContext) -> str:
-    """Name a call's content, so that a key is not used for two."""
+    """Return a hash of the call's content, to detect a key reused for another call."""
     hasher = hashlib.blake2b(digest_size=12)
     hasher.update(f"{context.method} {context.service_path}\n".encode())
     hasher.update(context.body)
