--- a/driftstall/daemon/claims_service.py
+++ b/driftstall/daemon/claims_service.py
@@ -1,4 +1,4 @@
-"""Run the claims: ask a shard's holder as an entry, and hold shards."""
+"""Claim idempotency keys at the holders of their shards, and run the shards held here."""
 
 from __future__ import annotations
 
@@ -40,16 +40,16 @@
 
 FLUSH_PERIOD_S: Final = 0.03
 WRITES_PER_S: Final = 70.0
-"""Writes a second of all shards together; the platform takes about 100."""
+"""Limit on writes per second over all shards; the platform handles about 100."""
 WRITE_BURST: Final = 20.0
 CLAIM_TIMEOUT_S: Final = 3.0
 
 
 class ClaimsService:
-    """Claim keys through the holders of their shards."""
+    """Send claims to shard holders as an entry, and answer claims as a holder."""
 
     def __init__(self, hub: Hub, members: MembershipService) -> None:
-        """Start holding nothing."""
+        """Initialize without shards and register the message handlers."""
         self._hub = hub
         self._members = members
         self._holder_nonce = uuid.uuid4().hex[:12]
@@ -61,11 +61,11 @@
         hub.on_message(ClaimAnswer, self._handle_answer)
 
     def start(self) -> None:
-        """Start to write groups of claims."""
+        """Start the periodic writes of staged claims."""
         self._hub.run_periodically(FLUSH_PERIOD_S, self._flush, PREFIX_CLAIMS)
 
     def claim(self, key: str, fingerprint: str, nonce: str) -> ClaimAnswer:
-        """Return the answer to a claim; unavailable if none came in time."""
+        """Return the answer to a claim; UNAVAILABLE if none arrives within CLAIM_TIMEOUT_S."""
         shard = _shard_of(key)
         result: AsyncResult[ClaimAnswer] = AsyncResult()
         self._pending[nonce] = result
@@ -80,10 +80,10 @@
             answer = None
         del self._pending[nonce]
         if answer is None:
-            # The claim may still be stored later: free it, since we shall not run.
+            # The claim may still be stored later. Free the key, as the call is not sent.
             self.settle(key, nonce, ran=False)
             answer = ClaimAnswer(own, nonce, ClaimAnswerKind.UNAVAILABLE.value)
-        log_event(PREFIX_CLAIMS, f"Claim {nonce} is {answer.kind}", shard=shard)
+        log_event(PREFIX_CLAIMS, f"Claim {nonce}: {answer.kind}", shard=shard)
         return answer
 
     def settle(
@@ -96,7 +96,7 @@
         content_type: str = "",
         body: str = "",
     ) -> None:
-        """Record the outcome of a claimed call, or free the key."""
+        """Record the outcome of a claimed call, or free the key if the call did not run."""
         shard = _shard_of(key)
         holder = self._holder_of(shard)
         if holder:
@@ -104,21 +104,21 @@
             self._hub.send(holder, message)
 
     def _holder_of(self, shard: int) -> str:
-        """Return the holder of a shard, or empty."""
+        """Return the id of a shard's holder, or an empty string."""
         holder = owner_of(f"claims/{shard}", self._members.live)
         return holder.instance_id if holder else ""
 
     def _handle_answer(self, _: str, message: ClaimAnswer) -> None:
-        """Take a holder's answer."""
+        """Handle a holder's answer to a claim."""
         pending = self._pending.get(message.nonce)
         if pending is not None:
             pending.set(message)
         elif message.kind == ClaimAnswerKind.GRANTED:
-            # We gave up on this claim; the key was freed by the settle sent then.
-            log_event(PREFIX_CLAIMS, f"Claim {message.nonce} was granted too late")
+            # The claim had timed out, and the settle sent then freed the key.
+            log_event(PREFIX_CLAIMS, f"Claim {message.nonce} granted after its timeout")
 
     def _handle_entry_event(self, _: str, message: ClaimAsked | ClaimSettled) -> None:
-        """Take an entry's event as the shard's holder."""
+        """Handle an entry's message as the shard's holder."""
         holder = self._holders.get(message.shard)
         if holder is None:
             unique = f"{self._holder_nonce}-{message.shard}"
@@ -127,7 +127,7 @@
         self._dispatch(holder, message)
 
     def _flush(self) -> None:
-        """Write groups of claims."""
+        """Write the staged claims of each shard, within the write rate limit."""
         now = self._hub.now()
         for shard, holder in list(self._holders.items()):
             if not holder.should_flush:
@@ -140,7 +140,7 @@
                 self._dispatch(holder, FlushDue())
 
     def _dispatch(self, holder: ClaimsHolder, event: ClaimEvent) -> None:
-        """Hand an event to a holder and carry out its actions."""
+        """Pass an event to a holder and carry out the resulting actions."""
         for action in holder.handle(event, self._hub.wall_time()):
             if isinstance(action, ClaimAnswer):
                 self._hub.send(action.entry, action)
@@ -148,14 +148,14 @@
                 gevent.spawn(self._carry_out, holder, action)
 
     def _carry_out(self, holder: ClaimsHolder, action: ClaimAction) -> None:
-        """Read or write a shard's object."""
+        """Read or write a shard's object, and pass the result to the holder."""
         if isinstance(action, ReadShard):
             self._dispatch(holder, self._read(action.shard))
         elif isinstance(action, WriteShard):
             self._dispatch(holder, self._write(action))
 
     def _read(self, shard: int) -> ClaimEvent:
-        """Read a shard's object."""
+        """Read a shard's object from the platform."""
         try:
             stored = self._hub.platform.get(f"{KEY_CLAIMS}/{shard}")
         except PlatformUnavailable:
@@ -163,7 +163,7 @@
         return ReadDone(stored.version, shard_from_json(stored.value))
 
     def _write(self, action: WriteShard) -> ClaimEvent:
-        """Write a shard's object."""
+        """Write a shard's object to the platform, if its version is the expected one."""
         write_id = action.value.write_id
         key = f"{KEY_CLAIMS}/{action.shard}"
         try:
--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -1,4 +1,4 @@
-"""Know the runners: configured, live, leaving; poll those owned here."""
+"""Track the configured runners and whether they can get new work, and poll their reports."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 POLL_PERIOD_S: Final = 0.5
 MAX_POLL_FAILURES: Final = 2
-"""Polls in a row without an answer after which a runner gets no new work."""
+"""Consecutive failed polls after which a runner gets no new work."""
 
 
 class FleetService:
-    """Keep the runners and whether they may get new work."""
+    """Registry of the configured runners, with leaving and failing ones excluded from new work."""
 
     def __init__(self, hub: Hub, members: MembershipService) -> None:
-        """Start without runners."""
+        """Initialize without runners and register the handlers."""
         self._hub = hub
         self._members = members
         self._runners: dict[str, Runner] = {}
         self._groups: dict[str, tuple[Runner, ...]] = {}
         self._leaving: set[str] = set()
         self._signalled_leaving: set[str] = set()
-        """Those that have signalled so in a response; reports may be older."""
+        """Runners that signalled leaving in a response, which takes precedence over reports."""
         self._failures: dict[str, int] = {}
         self._loaded_models: dict[str, str] = {}
         self._cache_positions: dict[str, int] = {}
@@ -49,16 +49,16 @@
 
     @property
     def groups(self) -> dict[str, tuple[Runner, ...]]:
-        """Return the groups of model runners; leaving ones are in them."""
+        """Return the groups of model runners, including leaving ones."""
         return self._groups
 
     @property
     def loaded_models(self) -> dict[str, str]:
-        """Return the model that each polled runner last reported."""
+        """Return the model that each polled runner last reported, by runner id."""
         return self._loaded_models
 
     def can_get_work(self, runner_id: str) -> bool:
-        """Tell whether a runner may get new work."""
+        """Return whether a runner can get new work."""
         return (
             runner_id in self._runners
             and runner_id not in self._leaving
@@ -71,15 +71,15 @@
         return tuple(name for name in self._groups if name.rpartition("/")[0] == model)
 
     def live_services(self, name: str) -> tuple[Runner, ...]:
-        """Return the runners of a plain service that may get work."""
+        """Return the runners of a plain service that can get new work."""
         return tuple(
-            one
-            for one in self._runners.values()
-            if one.service == name and self.can_get_work(one.runner_id)
+            runner
+            for runner in self._runners.values()
+            if runner.service == name and self.can_get_work(runner.runner_id)
         )
 
     def poll(self, group: str, deliver: Callable[[RunnerReport | CacheEvents], None]) -> None:
-        """Fetch the reports and cache events of a group's runners."""
+        """Fetch the reports and cache events of a group's runners, and pass them to deliver."""
         jobs = [
             gevent.spawn(self._poll_runner, group, runner, deliver)
             for runner in self._groups.get(group, ())
@@ -87,12 +87,12 @@
         gevent.joinall(jobs)
 
     def poll_services(self) -> None:
-        """Find out which plain services answer."""
-        services = [one for one in self._runners.values() if one.service]
-        gevent.joinall([gevent.spawn(self._poll_service, one) for one in services])
+        """Poll the runners of all plain services."""
+        services = [runner for runner in self._runners.values() if runner.service]
+        gevent.joinall([gevent.spawn(self._poll_service, runner) for runner in services])
 
     def record_failure(self, runner_id: str) -> None:
-        """Learn that a connection to a runner was refused."""
+        """Count a failed connection to a runner as a failed poll."""
         self._count_failure(runner_id)
 
     def _poll_runner(
@@ -126,7 +126,7 @@
             deliver(CacheEvents(group, runner_id, stored, evicted))
 
     def _poll_service(self, runner: Runner) -> None:
-        """Find out whether one plain service answers."""
+        """Poll the runner of a plain service."""
         try:
             leaving = fetch_report(runner).leaving
         except UpstreamError:
@@ -136,38 +136,38 @@
         self._record_leaving_report(runner.runner_id, leaving=leaving)
 
     def handle_leaving_signal(self, runner_id: str) -> None:
-        """Take in that a runner has signalled in a response that it leaves."""
+        """Mark a runner as leaving because of a signal in one of its responses."""
         if runner_id in self._signalled_leaving:
             return
         self._signalled_leaving.add(runner_id)
         self._publish_leaving(runner_id, True)
 
     def _record_leaving_report(self, runner_id: str, *, leaving: bool) -> None:
-        """Take in a runner's report, which may be older than what it has signalled."""
+        """Apply the leaving state from a report, unless a signal, which may be newer, is known."""
         if runner_id in self._signalled_leaving:
             return
         if leaving != (runner_id in self._leaving):
             self._publish_leaving(runner_id, leaving)
 
     def _count_failure(self, runner_id: str) -> None:
-        """Count a poll without an answer."""
+        """Count a failed poll; exclude the runner from new work at the limit."""
         self._failures[runner_id] = self._failures.get(runner_id, 0) + 1
-        # What answers next may be another start, which has signalled nothing.
+        # The runner may come back as a new start, which has not signalled that it is leaving.
         self._signalled_leaving.discard(runner_id)
         if self._failures[runner_id] == MAX_POLL_FAILURES:
-            log_event(PREFIX_ROUTING, f"Runner {runner_id} does not answer and gets no new work")
+            log_event(PREFIX_ROUTING, f"Runner {runner_id} does not respond, sending no new work")
             self._notify_changed()
 
     def _publish_leaving(self, runner_id: str, leaving: bool) -> None:
-        """Take a runner's own word and pass it on to all peers."""
+        """Record a runner's leaving state and publish it to all peers."""
         self._set_leaving(runner_id, leaving)
-        for one in self._members.live:
-            if one.instance_id != self._hub.own.instance_id:
+        for instance in self._members.live:
+            if instance.instance_id != self._hub.own.instance_id:
                 signalled = runner_id in self._signalled_leaving
-                self._hub.send(one.instance_id, RunnerLeaving(runner_id, leaving, signalled))
+                self._hub.send(instance.instance_id, RunnerLeaving(runner_id, leaving, signalled))
 
     def _handle_peer_report(self, _: str, message: RunnerLeaving) -> None:
-        """Learn from a peer that a runner is leaving or back."""
+        """Apply a peer's report that a runner is leaving or back."""
         if message.signalled:
             self._signalled_leaving.add(message.runner_id)
         elif not message.leaving:
@@ -175,34 +175,34 @@
         self._set_leaving(message.runner_id, message.leaving)
 
     def _set_leaving(self, runner_id: str, leaving: bool) -> None:
-        """Mark a runner as leaving or not."""
+        """Set whether a runner is leaving, and notify listeners of a change."""
         if leaving == (runner_id in self._leaving):
             return
         if leaving:
             self._leaving.add(runner_id)
         else:
             self._leaving.discard(runner_id)
-        word = "is leaving and gets no new work" if leaving else "is back"
-        log_event(PREFIX_ROUTING, f"Runner {runner_id} {word}")
+        state = "is leaving, sending no new work" if leaving else "is back"
+        log_event(PREFIX_ROUTING, f"Runner {runner_id} {state}")
         self._notify_changed()
 
     def _notify_changed(self) -> None:
-        """Tell listeners that runners changed."""
+        """Notify listeners that the usable runners have changed."""
         self._hub.notify_members()
 
     def _handle_config(self, document: ConfigDocument) -> None:
-        """Take over the configured runners."""
+        """Replace the runners by those of a new configuration."""
         self._runners = {
-            one.runner_id: Runner(
-                one.runner_id,
-                one.address,
-                one.zone,
-                one.model,
-                one.service,
-                one.memory_tokens,
-                one.checks_fences,
+            config.runner_id: Runner(
+                config.runner_id,
+                config.address,
+                config.zone,
+                config.model,
+                config.service,
+                config.memory_tokens,
+                config.checks_fences,
             )
-            for one in document.runners
+            for config in document.runners
         }
         self._groups = group_runners(self._runners.values())
         self._notify_changed()
--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -1,4 +1,4 @@
-"""Ask owners for grants, as an entry, and keep them informed."""
+"""Request grants from group owners for the requests of this entry, and report progress to them."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 PROGRESS_PERIOD_S: Final = 0.25
 ASK_RESEND_S: Final = 1.0
-"""An ask is sent again this often while it waits; owners take it once."""
+"""Interval at which a pending Ask is resent; owners handle it idempotently."""
 PROGRESS_INSTANCES: Final = 16
-"""Up to so many instances progress is reported each period; then less often."""
+"""Fleet size above which progress is reported less often than each period."""
 KEEPALIVE_S: Final = 5.0
-"""An open grant is reported this often even without progress."""
+"""Interval at which open grants are reported even without progress."""
 GrantResult = Granted | Refused
 
 
 @dataclass(slots=True)
 class EntryGrant:
-    """Hold one grant, or the wait for one, as the entry sees it."""
+    """State of one open or pending grant at the entry."""
 
     ask: Ask
     owner: str
@@ -54,12 +54,12 @@
 
 
 class GrantClient:
-    """Hold the grants, and the waits for them, of this instance's requests."""
+    """Track the open and pending grants of this instance's requests."""
 
     def __init__(
         self, hub: Hub, members: MembershipService, fleet: FleetService, ownership: Ownership
     ) -> None:
-        """Start without requests."""
+        """Initialize without grants and register the message handlers."""
         self._hub = hub
         self._members = members
         self._fleet = fleet
@@ -68,13 +68,13 @@
         self._keepalive_at = 0.0
         self._progress_at = 0.0
         hub.on_members(self._handle_owner_changes)
-        for answer in (Granted, Refused):
-            hub.on_message(answer, self._handle_answer)
+        for message_type in (Granted, Refused):
+            hub.on_message(message_type, self._handle_answer)
         hub.on_message(YieldAsked, self._handle_yield_request)
         hub.on_message(ResumeAsked, self._handle_resume_request)
 
     def start(self) -> None:
-        """Start to report progress."""
+        """Start the periodic progress reports."""
         self._hub.run_periodically(PROGRESS_PERIOD_S, self._report_progress, PREFIX_ADMISSION)
 
     def acquire(
@@ -85,7 +85,7 @@
         avoid: frozenset[str],
         keep_waiting: Callable[[], bool],
     ) -> Granted | Problem | None:
-        """Wait for a grant; none if the caller no longer waits."""
+        """Wait for a grant; return the grant, a problem, or None if keep_waiting turns False."""
         group = self._ownership.group_for(request.model, request.workspace)
         if not group:
             detail = f"no runner serves the model {request.model}"
@@ -110,7 +110,7 @@
         return self._build_problem(result, request)
 
     def _build_problem(self, refused: Refused, request: Request) -> Problem:
-        """Turn an owner's refusal into the caller's problem."""
+        """Build the caller's problem from an owner's refusal, with a signed ticket."""
         ticket = None
         if refused.ticket:
             text = f"{refused.ticket}|{request.workspace}|{request.asked_at:.3f}"
@@ -121,7 +121,7 @@
         )
 
     def _ask(self, grant: EntryGrant) -> None:
-        """Send an ask to the group's present owner."""
+        """Send an Ask to the group's current owner, and withdraw it from a former one."""
         owner = self._ownership.owner_for(grant.ask.group)
         if grant.owner and owner != grant.owner:
             self._hub.send(grant.owner, Close(grant.ask.group, self._request_id(grant), 0, False))
@@ -131,16 +131,16 @@
 
     @staticmethod
     def _request_id(grant: EntryGrant) -> str:
-        """Return the grant's id."""
+        """Return the id of the grant's request."""
         return grant.ask.request.request_id
 
     def is_paused(self, request_id: str) -> bool:
-        """Tell whether a generation has yielded."""
+        """Return whether a generation has yielded and is paused."""
         grant = self._entry_grants.get(request_id)
         return grant is not None and grant.paused
 
     def record_progress(self, request_id: str, produced: int) -> None:
-        """Note how far a generation is; it is reported in batches."""
+        """Record the number of tokens produced, which is reported to the owner in batches."""
         grant = self._entry_grants.get(request_id)
         if grant is not None:
             grant.produced = produced
@@ -148,7 +148,7 @@
     def close(
         self, request_id: str, produced: int, finished: bool, reply: PrefixMark | None
     ) -> None:
-        """Give a grant back."""
+        """Close a grant at its owner."""
         grant = self._entry_grants.pop(request_id, None)
         if grant is None:
             return
@@ -156,7 +156,7 @@
         self._hub.send(grant.owner, message)
 
     def _handle_answer(self, _: str, message: GrantResult) -> None:
-        """Take an owner's answer."""
+        """Handle an owner's answer to an Ask."""
         grant = self._entry_grants.get(message.request_id)
         if grant is None:
             self._close_late_grant(message)
@@ -164,11 +164,11 @@
             grant.result.set(message)
 
     def _close_late_grant(self, message: GrantResult) -> None:
-        """Give back a grant that nobody waits for any more."""
+        """Close a grant that arrived after its request had ended."""
         if isinstance(message, Refused):
             return
         for group, runners in self._fleet.groups.items():
-            if any(one.runner_id == message.runner_id for one in runners):
+            if any(runner.runner_id == message.runner_id for runner in runners):
                 self._hub.send(
                     self._ownership.owner_for(group), Close(group, message.request_id, 0, False)
                 )
@@ -179,17 +179,17 @@
         runner = self._fleet.runners.get(message.runner_id)
         if grant is None or runner is None:
             return
-        log_event(PREFIX_YIELDING, f"Request {message.request_id} yields: {message.reason}")
+        log_event(PREFIX_YIELDING, f"Pausing request {message.request_id}: {message.reason}")
         grant.paused = True
         self._hub.stats.yields += 1
         gevent.spawn(control, runner, message.request_id, "pause")
 
     def _handle_resume_request(self, _: str, message: ResumeAsked) -> None:
-        """Take an owner's word that a paused generation may go on."""
+        """Resume a paused generation at its owner's request."""
         grant = self._entry_grants.get(message.request_id)
         if grant is None:
             return
-        log_event(PREFIX_YIELDING, f"Request {message.request_id} goes on: {message.reason}")
+        log_event(PREFIX_YIELDING, f"Resuming request {message.request_id}: {message.reason}")
         self._resume_generation(grant)
 
     def _resume_generation(self, grant: EntryGrant) -> None:
@@ -200,18 +200,19 @@
             gevent.spawn(control, runner, self._request_id(grant), "resume")
 
     def _report_progress(self) -> None:
-        """Report the progress of open generations to their owners."""
-        spread = len(self._members.live) / PROGRESS_INSTANCES
-        if self._hub.now() - self._progress_at < PROGRESS_PERIOD_S * (spread - 1):
-            # Each entry speaks to every owner: in a large fleet less often.
+        """Report the progress of open generations to their owners, in one batch per owner."""
+        period_factor = len(self._members.live) / PROGRESS_INSTANCES
+        if self._hub.now() - self._progress_at < PROGRESS_PERIOD_S * (period_factor - 1):
+            # Each entry reports to every owner, so the number of messages per period grows with
+            # the square of the fleet's size. The period therefore grows with the fleet.
             return
         self._progress_at = self._hub.now()
         batches: dict[str, list[Progress]] = {}
-        everything = self._hub.now() - self._keepalive_at >= KEEPALIVE_S
-        if everything:
+        report_all = self._hub.now() - self._keepalive_at >= KEEPALIVE_S
+        if report_all:
             self._keepalive_at = self._hub.now()
         for request_id, grant in self._entry_grants.items():
-            if grant.produced > grant.reported or (everything and grant.runner_id):
+            if grant.produced > grant.reported or (report_all and grant.runner_id):
                 grant.reported = grant.produced
                 item = Progress(grant.ask.group, request_id, grant.produced)
                 batches.setdefault(grant.owner, []).append(item)
@@ -219,7 +220,7 @@
             self._hub.send(owner, ProgressBatch(tuple(items)))
 
     def _handle_owner_changes(self) -> None:
-        """Announce open grants, and ask again, where the owner has changed."""
+        """Announce open grants to their new owners, and resend pending Asks to them."""
         for grant in list(self._entry_grants.values()):
             owner = self._ownership.owner_for(grant.ask.group)
             if not owner or owner == grant.owner:
@@ -228,7 +229,7 @@
                 self._ask(grant)
                 continue
             if grant.paused:
-                # The next owner does not know that it has yielded.
+                # The new owner does not know that the generation is paused.
                 self._resume_generation(grant)
             grant.owner = owner
             ask = grant.ask
@@ -239,5 +240,5 @@
 
 
 def with_request_id(request: Request, request_id: str) -> Request:
-    """Return a request under the id of one attempt."""
+    """Return the request with the id of one attempt."""
     return replace(request, request_id=request_id)
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -1,4 +1,4 @@
-"""Grant as an owner: run the controllers of the groups owned here."""
+"""Run the grants controllers of the runner groups that this instance owns."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class GrantsService:
-    """Run the grants controllers of the groups owned here."""
+    """Deliver messages, time and reports to the controllers of owned groups."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         ownership: Ownership,
         limits: LimitService,
     ) -> None:
-        """Start owning nothing."""
+        """Initialize without owned groups and register the message handlers."""
         self._limits = limits
         self._sent_limits: dict[str, tuple[tuple[str, float], ...]] = {}
         self._hub = hub
@@ -70,28 +70,28 @@
             self._trace = TraceRecorder.to_path(hub.settings.trace)
         hub.on_config(self._handle_config)
         hub.on_members(self._update_ownership)
-        for kind in (Ask, Announce, Close):
-            hub.on_message(kind, self._handle_entry_event)
+        for message_type in (Ask, Announce, Close):
+            hub.on_message(message_type, self._handle_entry_event)
         hub.on_message(ProgressBatch, self._handle_progress_batch)
 
     @property
     def owned(self) -> dict[str, GrantsController]:
-        """Return the controllers of the groups owned here."""
+        """Return the controllers of the owned groups, by group."""
         return self._owned
 
     def start(self) -> None:
-        """Start the periodic work."""
+        """Start the controllers' timer and the polls of runners."""
         self._hub.run_periodically(TICK_S, self._tick, PREFIX_ADMISSION)
         self._hub.run_periodically(POLL_PERIOD_S, self._poll, PREFIX_ROUTING)
 
     def load(self) -> float:
-        """Return the forecast share of memory in use, in groups owned here."""
+        """Return the mean forecast share of engine memory in use over the owned groups."""
         now = self._hub.now()
-        shares = [one.load(now) for one in self._owned.values()]
+        shares = [controller.load(now) for controller in self._owned.values()]
         return sum(shares) / len(shares) if shares else 0.0
 
     def _get_or_create_controller(self, group: str) -> GrantsController | None:
-        """Return the controller of a group, building it if the group exists."""
+        """Return the controller of a group, created on demand; None for an unknown group."""
         found = self._owned.get(group)
         if found is not None or group not in self._fleet.groups:
             return found
@@ -100,20 +100,20 @@
         self._sent_limits.pop(group, None)
         self._set_runners(group, controller)
         self._set_policy(controller)
-        log_event(PREFIX_ADMISSION, f"This instance grants for group {group}")
+        log_event(PREFIX_ADMISSION, f"This instance owns group {group}")
         return controller
 
     def _set_runners(self, group: str, controller: GrantsController) -> None:
-        """Tell a controller which runners may get work."""
+        """Send a controller the runners of its group that can get new work."""
         runners = tuple(
-            (one.runner_id, one.memory_tokens, one.zone)
-            for one in self._fleet.groups[group]
-            if self._fleet.can_get_work(one.runner_id)
+            (runner.runner_id, runner.memory_tokens, runner.zone)
+            for runner in self._fleet.groups[group]
+            if self._fleet.can_get_work(runner.runner_id)
         )
         self._dispatch(controller, RunnersChanged(group, runners))
 
     def _set_policy(self, controller: GrantsController) -> None:
-        """Tell a controller the policy's weights and bound."""
+        """Configure a controller with the policy's weights and overflow bound."""
         policy = self._config.policy
         if policy is not None:
             controller.configure(policy.weights, policy.overflow)
@@ -121,54 +121,57 @@
                 self._trace.record_weights(controller.group, policy.weights, policy.overflow)
 
     def _handle_config(self, _: ConfigDocument) -> None:
-        """Take over a new policy."""
+        """Apply the policy of a new configuration."""
         for controller in self._owned.values():
             self._set_policy(controller)
 
     def _handle_entry_event(self, _: str, message: Ask | Announce | Close) -> None:
-        """Take an entry's event as the owner."""
+        """Handle an entry's message as the group's owner."""
         controller = self._get_or_create_controller(message.group)
         if controller is not None:
             self._dispatch(controller, message)
 
     def _handle_progress_batch(self, _: str, message: ProgressBatch) -> None:
-        """Take an entry's progress as the owner."""
+        """Handle an entry's progress reports as the group's owner."""
         for item in message.items:
             controller = self._owned.get(item.group)
             if controller is not None:
                 self._dispatch(controller, item)
 
     def _tick(self) -> None:
-        """Let time pass in all owned groups."""
+        """Run the timer of all owned groups."""
         for controller in list(self._owned.values()):
             self._update_limits(controller)
             self._dispatch(controller, Tick())
 
     def _update_limits(self, controller: GrantsController) -> None:
-        """Tell a controller which of its runners name a limit, where that has changed."""
-        found = ((one, self._limits.per_s(one)) for one in sorted(controller.runners))
-        limits = tuple((one, per_s) for one, per_s in found if per_s is not None)
+        """Send a controller the rate limits of its runners if they have changed."""
+        found = ((name, self._limits.per_s(name)) for name in sorted(controller.runners))
+        limits = tuple((name, per_s) for name, per_s in found if per_s is not None)
         if limits != self._sent_limits.get(controller.group, ()):
             self._sent_limits[controller.group] = limits
             self._dispatch(controller, RunnersLimited(controller.group, limits))
 
     def _poll(self) -> None:
-        """Fetch reports for all owned groups."""
+        """Poll the runners of all owned groups."""
         jobs = [
             gevent.spawn(self._fleet.poll, group, self._handle_poll_result) for group in self._owned
         ]
         gevent.joinall(jobs)
 
     def _handle_poll_result(self, event: RunnerReport | CacheEvents) -> None:
-        """Take a runner's report or cache events as the owner."""
+        """Handle a runner's report or cache events as the group's owner."""
         controller = self._owned.get(event.group)
         if controller is not None:
             self._dispatch(controller, event)
 
     def _update_ownership(self) -> None:
-        """Take over and give up groups after a change among instances or runners."""
+        """Acquire and release groups after a change of instances or runners.
+
+        A former owner keeps a group until its open grants and waiting requests have ended.
+        """
         own = self._hub.own.instance_id
-        live = {one.instance_id for one in self._members.live}
+        live = {instance.instance_id for instance in self._members.live}
         lost = self._known_instances - live
         self._known_instances = live
         for group in list(self._owned):
@@ -189,7 +192,7 @@
                 self._get_or_create_controller(group)
 
     def _dispatch(self, controller: GrantsController, event: GrantEvent) -> None:
-        """Hand an event to a controller and send what it answers."""
+        """Pass an event to a controller and send the resulting actions to the entries."""
         now = self._hub.now()
         actions = controller.handle(event, now)
         if self._trace is not None:
@@ -197,22 +200,22 @@
         for action in actions:
             self._log(action, controller.group)
             if isinstance(action, Granted):
-                # The reason of a grant is for this log; it need not travel.
+                # The reason of a grant is only logged here, so it is not sent.
                 action = replace(action, reason="")
             self._hub.send(action.entry, action)
 
     def _log(self, action: GrantAction, group: str) -> None:
-        """Write the line for one decision."""
+        """Log one decision with its reason."""
         request_id = action.request_id
         if isinstance(action, Granted):
-            sentence = f"Request {request_id} goes to {action.runner_id}: {action.reason}"
-            log_event(PREFIX_ROUTING, sentence, group=group, runner=action.runner_id)
+            message = f"Request {request_id} routed to {action.runner_id}: {action.reason}"
+            log_event(PREFIX_ROUTING, message, group=group, runner=action.runner_id)
         elif isinstance(action, Refused):
-            sentence = (
-                f"Request {request_id} is refused, back in {action.retry_after_s:.1f} s: "
+            message = (
+                f"Request {request_id} refused, retry after {action.retry_after_s:.1f} s: "
                 f"{action.reason}"
             )
-            log_event(PREFIX_ADMISSION, sentence, group=group, code=action.code)
+            log_event(PREFIX_ADMISSION, message, group=group, code=action.code)
         else:
-            verb = "is asked to yield" if isinstance(action, YieldAsked) else "may go on"
+            verb = "must yield" if isinstance(action, YieldAsked) else "can resume"
             log_event(PREFIX_YIELDING, f"Request {request_id} {verb}: {action.reason}", group=group)
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -1,4 +1,4 @@
-"""Run the placement controller: hold the lease and order engines."""
+"""Run the placement controller: hold the placer's lease and order engines to load models."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 
 class PlacementService:
-    """Order engines to serve the configured models, while the lease holds."""
+    """Order engines to load the configured models while this instance holds the lease."""
 
     def __init__(self, hub: Hub, members: MembershipService, fleet: FleetService) -> None:
-        """Start without the lease."""
+        """Initialize without the lease."""
         self._hub = hub
         self._members = members
         self._fleet = fleet
         self._get_or_create_controller = PlacementController(hub.own.instance_id)
 
     def start(self) -> None:
-        """Start the periodic work."""
+        """Start the periodic placement."""
         self._hub.run_periodically(PLACEMENT_PERIOD_S, self._run_period, PREFIX_PLACEMENT)
 
     def _run_period(self) -> None:
-        """Renew the lease and order what differs from the configuration."""
+        """Renew the lease, and order engines to load models that differ from the configuration."""
         first = owner_of("placement", self._members.live)
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
         if not is_first and not self._get_or_create_controller.has_lease(self._hub.now()):
@@ -57,28 +57,30 @@
         self._dispatch(PlacementPeriod(is_first, self._read_wanted_models() if is_first else ()))
 
     def _read_wanted_models(self) -> tuple[WantedModel, ...]:
-        """Return what each model runner is to serve, and what it reports."""
+        """Return the configured and the loaded model of each model runner that responds."""
         wanted = []
-        for one in self._fleet.runners.values():
-            if not one.model:
+        for runner in self._fleet.runners.values():
+            if not runner.model:
                 continue
             try:
-                loaded = fetch_report(one).model
+                loaded = fetch_report(runner).model
             except UpstreamError:
                 continue
             if loaded:
-                wanted.append(WantedModel(one.runner_id, one.model, loaded, one.checks_fences))
+                wanted.append(
+                    WantedModel(runner.runner_id, runner.model, loaded, runner.checks_fences)
+                )
         return tuple(wanted)
 
     def _dispatch(self, event: PlacementEvent) -> None:
-        """Hand an event to the controller and carry out its actions."""
+        """Pass an event to the controller and carry out the resulting actions."""
         for action in self._get_or_create_controller.handle(event, self._hub.now()):
             follow_up = self._carry_out(action)
             if follow_up is not None:
                 self._dispatch(follow_up)
 
     def _carry_out(self, action: PlacementAction) -> PlacementEvent | None:
-        """Read or write the lease, or send an order."""
+        """Read or write the lease, or send an order; return the resulting event if any."""
         if isinstance(action, OrderLoad):
             self._send_order(action)
             return None
@@ -96,10 +98,10 @@
         return LeaseLost()
 
     def _send_order(self, order: OrderLoad) -> None:
-        """Send one order, if the lease still holds right before."""
+        """Send one order, unless the lease has expired in the meantime."""
         runner = self._fleet.runners.get(order.runner_id)
         if runner is None or self._hub.now() >= order.not_after:
             return
-        sentence = f"Runner {order.runner_id} is ordered to serve {order.model}"
-        log_event(PREFIX_PLACEMENT, sentence, fence=order.fence)
+        message = f"Ordering runner {order.runner_id} to load {order.model}"
+        log_event(PREFIX_PLACEMENT, message, fence=order.fence)
         gevent.spawn(order_load, runner, order.model, order.fence)
