--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -41,7 +41,7 @@
         )
         own_id = hub.own.instance_id
         self._sharing = PoisonSharing(self.tracker, own_id, others, now=hub.now, source=hub.rng)
-        hub.on_message(BlamesTold, self._told)
+        hub.on_message(BlamesTold, self._handle_peer_reports)
 
     def start(self) -> None:
         """Start to exchange with peers."""
@@ -99,7 +99,7 @@
             self.tracker.forget_expired(self._hub.now())
             self._sharing.publish_soon()
 
-    def _told(self, _: str, message: BlamesTold) -> None:
+    def _handle_peer_reports(self, _: str, message: BlamesTold) -> None:
         """Take in what a peer knows."""
         self._sharing.handle_message(message)
 
