--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -52,7 +52,7 @@
         hub.on_message(PermitAsked, lambda _, message: self._permits.handle_request(message))
         hub.on_message(PermitGiven, lambda _, message: self._permits.handle_answer(message))
         hub.on_message(PermitCharged, lambda _, message: self._permits.handle_charge(message))
-        hub.on_message(RateLimitsTold, self._told)
+        hub.on_message(RateLimitsTold, self._handle_peer_limits)
 
     def start(self) -> None:
         """Start to look after what falls to this instance, and to tell peers."""
@@ -80,6 +80,6 @@
             if one.instance_id != self._hub.own.instance_id:
                 self._hub.send(one.instance_id, told)
 
-    def _told(self, _: str, message: RateLimitsTold) -> None:
+    def _handle_peer_limits(self, _: str, message: RateLimitsTold) -> None:
         """Take in what a peer knows."""
         self.limits.record_peer_limits(message.rate_limits, message.sender)
