--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -22,7 +22,7 @@
 )
 
 OWNERSHIP_PERIOD_S: Final = 0.15
-TELL_S: Final = 1.0
+PUBLISH_PERIOD_S: Final = 1.0
 """How often what is known of limits is told again: who was cut off, and who has just started, is
 to know within three seconds."""
 
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start to look after what falls to this instance, and to tell peers."""
         self._hub.run_periodically(OWNERSHIP_PERIOD_S, self._tend, PREFIX_ROUTING)
-        self._hub.run_periodically(TELL_S, self._tell, PREFIX_ROUTING)
+        self._hub.run_periodically(PUBLISH_PERIOD_S, self._tell, PREFIX_ROUTING)
 
     def per_s(self, runner_id: str) -> float | None:
         """Return what the owner of a runner's group may have it begin in a second."""
