--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -56,7 +56,7 @@
 
     def start(self) -> None:
         """Start to look after what falls to this instance, and to tell peers."""
-        self._hub.run_periodically(OWNERSHIP_PERIOD_S, self._tend, PREFIX_ROUTING)
+        self._hub.run_periodically(OWNERSHIP_PERIOD_S, self._update_ownership, PREFIX_ROUTING)
         self._hub.run_periodically(PUBLISH_PERIOD_S, self._tell, PREFIX_ROUTING)
 
     def per_s(self, runner_id: str) -> float | None:
@@ -66,7 +66,7 @@
             return None
         return scaled_limit(per_s, len(self._members.live), self._count.value)
 
-    def _tend(self) -> None:
+    def _update_ownership(self) -> None:
         """Look at who lives, and for which runners this instance is asked."""
         self._count.record(len(self._members.live), self._hub.now())
         self._permits.update_ownership()
