--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -48,7 +48,7 @@
         )
         self.limits.ask_permit = self._permits.ask
         self.limits.charge_permit = self._permits.charge
-        self.limits.publish = self._tell
+        self.limits.publish = self._publish
         hub.on_message(PermitAsked, lambda _, message: self._permits.handle_request(message))
         hub.on_message(PermitGiven, lambda _, message: self._permits.handle_answer(message))
         hub.on_message(PermitCharged, lambda _, message: self._permits.handle_charge(message))
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start to look after what falls to this instance, and to tell peers."""
         self._hub.run_periodically(OWNERSHIP_PERIOD_S, self._update_ownership, PREFIX_ROUTING)
-        self._hub.run_periodically(PUBLISH_PERIOD_S, self._tell, PREFIX_ROUTING)
+        self._hub.run_periodically(PUBLISH_PERIOD_S, self._publish, PREFIX_ROUTING)
 
     def per_s(self, runner_id: str) -> float | None:
         """Return what the owner of a runner's group may have it begin in a second."""
@@ -71,7 +71,7 @@
         self._count.record(len(self._members.live), self._hub.now())
         self._permits.update_ownership()
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         """Tell all peers what is known, if anything is."""
         told = RateLimitsTold(self._hub.own.instance_id, self.limits.reports)
         if not told.rate_limits:
