--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -34,7 +34,7 @@
         self._fleet = fleet
         self._limits = limits
         self._backoff = UpstreamBackoff()
-        self._returns = StaggeredRetries()
+        self._staggered_retries = StaggeredRetries()
 
     def backoff_s(self, runner_id: str) -> float:
         """Return for how long a runner wants no requests of this instance; zero for none."""
@@ -67,7 +67,7 @@
         if not left or not min(left):
             return None
         now = self._hub.now()
-        retry_s = self._returns.next_s(name, min(left), CALLS_PER_SLOT_S, now)
+        retry_s = self._staggered_retries.next_s(name, min(left), CALLS_PER_SLOT_S, now)
         self._hub.stats.backoff_refused += 1
         log_event(
             PREFIX_ROUTING,
