--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -34,9 +34,9 @@
         """Start with no limit known."""
         self._hub = hub
         self._members = members
-        self._count = InstanceCount()
+        self._instance_count = InstanceCount()
         self.limits = RateLimiter(
-            hub.stats, instances=lambda: self._count.value, now=hub.now, pause=gevent.sleep
+            hub.stats, instances=lambda: self._instance_count.value, now=hub.now, pause=gevent.sleep
         )
         self._permits = PermitCoordinator(
             hub.own.instance_id,
@@ -64,11 +64,11 @@
         per_s = self.limits.per_s(runner_id)
         if per_s is None:
             return None
-        return scaled_limit(per_s, len(self._members.live), self._count.value)
+        return scaled_limit(per_s, len(self._members.live), self._instance_count.value)
 
     def _update_ownership(self) -> None:
         """Look at who lives, and for which runners this instance is asked."""
-        self._count.record(len(self._members.live), self._hub.now())
+        self._instance_count.record(len(self._members.live), self._hub.now())
         self._permits.update_ownership()
 
     def _publish(self) -> None:
