--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -38,7 +38,7 @@
 
 WATCH_PAUSE_S: Final = 0.5
 GOSSIP_PERIOD_S: Final = 1.0
-PASS_ON_PEERS: Final = 16
+MAX_PUBLISH_PEERS: Final = 16
 KEEPERS: Final = 3
 """Instances that write again what the store has lost; one is enough."""
 KEEPER_PAUSE_S: Final = 0.5
@@ -207,9 +207,9 @@
         """Send an accepted configuration to every peer, or to some of a large fleet."""
         own = self._hub.own.instance_id
         peers = [one.instance_id for one in self._members.live if one.instance_id != own]
-        if len(peers) > PASS_ON_PEERS:
+        if len(peers) > MAX_PUBLISH_PEERS:
             # The others take it from the platform, or from peers as they compare.
-            peers = self._hub.rng.sample(peers, PASS_ON_PEERS)
+            peers = self._hub.rng.sample(peers, MAX_PUBLISH_PEERS)
         for peer in peers:
             self._hub.send(peer, ConfigOffer(own, document))
 
