--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -39,7 +39,7 @@
 WATCH_PAUSE_S: Final = 0.5
 GOSSIP_PERIOD_S: Final = 1.0
 MAX_PUBLISH_PEERS: Final = 16
-KEEPERS: Final = 3
+RESTORING_INSTANCES: Final = 3
 """Instances that write again what the store has lost; one is enough."""
 KEEPER_PAUSE_S: Final = 0.5
 """The longest pause before that: who comes later finds it written."""
@@ -181,7 +181,7 @@
         """Tell whether this instance is one of those that write again what the store has lost."""
         own = weight(KEY_CONFIG, self._hub.own.instance_id)
         live = self._members.live
-        return sum(weight(KEY_CONFIG, one.instance_id) > own for one in live) < KEEPERS
+        return sum(weight(KEY_CONFIG, one.instance_id) > own for one in live) < RESTORING_INSTANCES
 
     def _compare(self) -> None:
         """Ask a random peer whether it has something newer."""
