--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -41,7 +41,7 @@
 MAX_PUBLISH_PEERS: Final = 16
 RESTORING_INSTANCES: Final = 3
 """Instances that write again what the store has lost; one is enough."""
-KEEPER_PAUSE_S: Final = 0.5
+MAX_RESTORE_DELAY_S: Final = 0.5
 """The longest pause before that: who comes later finds it written."""
 SETTLE_TRIES: Final = 4
 SETTLE_PAUSE_S: Final = 0.25
@@ -163,7 +163,7 @@
         found = config_from_json(stored[0].value) if stored else EMPTY
         if found.generation >= self.document.generation or not self._is_keeper():
             return
-        gevent.sleep(KEEPER_PAUSE_S * self._hub.rng.random())
+        gevent.sleep(MAX_RESTORE_DELAY_S * self._hub.rng.random())
         value = config_to_json(self.document)
         expected = stored[0].version if stored else 0
         result = self._hub.platform.put(KEY_CONFIG, value, expected)
