--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -36,7 +36,7 @@
 from driftstall.policy.model import Policy
 from driftstall.policy.parse import parse_policy
 
-WATCH_PAUSE_S: Final = 0.5
+WATCH_RETRY_DELAY_S: Final = 0.5
 GOSSIP_PERIOD_S: Final = 1.0
 MAX_PUBLISH_PEERS: Final = 16
 RESTORING_INSTANCES: Final = 3
@@ -153,7 +153,7 @@
             except PlatformUnavailable as fault:
                 self._revision = 0
                 log_event(PREFIX_CONFIGURATION, f"A question to the platform failed: {fault}")
-                gevent.sleep(WATCH_PAUSE_S)
+                gevent.sleep(WATCH_RETRY_DELAY_S)
 
     def _write_again(self, stored: tuple[VersionedValue, ...]) -> None:
         """Store the configuration in force where the store holds an older one, or none.
