--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -43,7 +43,7 @@
 """Instances that write again what the store has lost; one is enough."""
 MAX_RESTORE_DELAY_S: Final = 0.5
 """The longest pause before that: who comes later finds it written."""
-SETTLE_TRIES: Final = 4
+MAX_SETTLE_ATTEMPTS: Final = 4
 SETTLE_PAUSE_S: Final = 0.25
 
 
@@ -91,7 +91,7 @@
             unsettled = isinstance(event, ConfigReadFailed) and (
                 submission.state is SubmitState.SETTLING
             )
-            if unsettled and tries < SETTLE_TRIES:
+            if unsettled and tries < MAX_SETTLE_ATTEMPTS:
                 tries += 1
                 gevent.sleep(SETTLE_PAUSE_S)
                 continue
