--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -44,7 +44,7 @@
 MAX_RESTORE_DELAY_S: Final = 0.5
 """The longest pause before that: who comes later finds it written."""
 MAX_SETTLE_ATTEMPTS: Final = 4
-SETTLE_PAUSE_S: Final = 0.25
+SETTLE_RETRY_DELAY_S: Final = 0.25
 
 
 class ConfigService:
@@ -93,7 +93,7 @@
             )
             if unsettled and tries < MAX_SETTLE_ATTEMPTS:
                 tries += 1
-                gevent.sleep(SETTLE_PAUSE_S)
+                gevent.sleep(SETTLE_RETRY_DELAY_S)
                 continue
             actions = submission.handle(event)
         log_event(
