--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -149,13 +149,13 @@
                 self._revision = at
                 self._platform_read = True
                 if lists:
-                    self._write_again(changes)
+                    self._restore_if_lost(changes)
             except PlatformUnavailable as fault:
                 self._revision = 0
                 log_event(PREFIX_CONFIGURATION, f"A question to the platform failed: {fault}")
                 gevent.sleep(WATCH_RETRY_DELAY_S)
 
-    def _write_again(self, stored: tuple[VersionedValue, ...]) -> None:
+    def _restore_if_lost(self, stored: tuple[VersionedValue, ...]) -> None:
         """Store the configuration in force where the store holds an older one, or none.
 
         It has come back from an older copy then. A few instances look, and the first one writes.
