--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -161,7 +161,7 @@
         It has come back from an older copy then. A few instances look, and the first one writes.
         """
         found = config_from_json(stored[0].value) if stored else EMPTY
-        if found.generation >= self.document.generation or not self._is_keeper():
+        if found.generation >= self.document.generation or not self._should_restore():
             return
         gevent.sleep(MAX_RESTORE_DELAY_S * self._hub.rng.random())
         value = config_to_json(self.document)
@@ -177,7 +177,7 @@
             # Another one has written, or it is not known: look again.
             self._revision = 0
 
-    def _is_keeper(self) -> bool:
+    def _should_restore(self) -> bool:
         """Tell whether this instance is one of those that write again what the store has lost."""
         own = weight(KEY_CONFIG, self._hub.own.instance_id)
         live = self._members.live
