--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -79,7 +79,7 @@
     def start(self) -> None:
         """Start to watch the platform and to compare with peers."""
         keep_running(PREFIX_CONFIGURATION, self._watch)
-        self._hub.run_periodically(GOSSIP_PERIOD_S, self._compare, PREFIX_CONFIGURATION)
+        self._hub.run_periodically(GOSSIP_PERIOD_S, self._compare_with_peer, PREFIX_CONFIGURATION)
 
     def submit(self, change: ConfigChange) -> Submission:
         """Carry an operator's change to the platform, and tell all peers at once."""
@@ -183,7 +183,7 @@
         live = self._members.live
         return sum(weight(KEY_CONFIG, one.instance_id) > own for one in live) < RESTORING_INSTANCES
 
-    def _compare(self) -> None:
+    def _compare_with_peer(self) -> None:
         """Ask a random peer whether it has something newer."""
         own = self._hub.own.instance_id
         peers = [one.instance_id for one in self._members.live if one.instance_id != own]
