--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -59,7 +59,7 @@
         self._platform_read = False
         self._revision = 0
         hub.on_message(ConfigOffer, self._offered)
-        hub.on_message(ConfigAsked, self._asked)
+        hub.on_message(ConfigAsked, self._handle_request)
 
     @property
     def document(self) -> ConfigDocument:
@@ -191,7 +191,7 @@
             peer = self._hub.rng.choice(peers)
             self._hub.send(peer, ConfigAsked(own, self.document.generation))
 
-    def _asked(self, _: str, message: ConfigAsked) -> None:
+    def _handle_request(self, _: str, message: ConfigAsked) -> None:
         """Answer a peer that may have something older or newer."""
         own = self._hub.own.instance_id
         if message.generation < self.document.generation:
