--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -58,7 +58,7 @@
         self._policy: Policy | None = None
         self._platform_read = False
         self._revision = 0
-        hub.on_message(ConfigOffer, self._offered)
+        hub.on_message(ConfigOffer, self._handle_offer)
         hub.on_message(ConfigAsked, self._handle_request)
 
     @property
@@ -199,7 +199,7 @@
         elif message.generation > self.document.generation:
             self._hub.send(message.sender, ConfigAsked(own, self.document.generation))
 
-    def _offered(self, _: str, message: ConfigOffer) -> None:
+    def _handle_offer(self, _: str, message: ConfigOffer) -> None:
         """Take a peer's configuration if it is newer."""
         self._take(message.document)
 
