--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -103,7 +103,7 @@
         )
         if submission.accepted is not None:
             self._take(submission.accepted)
-            self._pass_on(submission.accepted)
+            self._publish(submission.accepted)
         return submission
 
     def find(self, submission_id: str) -> SubmitState:
@@ -203,7 +203,7 @@
         """Take a peer's configuration if it is newer."""
         self._take(message.document)
 
-    def _pass_on(self, document: ConfigDocument) -> None:
+    def _publish(self, document: ConfigDocument) -> None:
         """Send an accepted configuration to every peer, or to some of a large fleet."""
         own = self._hub.own.instance_id
         peers = [one.instance_id for one in self._members.live if one.instance_id != own]
