--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -102,7 +102,7 @@
             generation=submission.current.generation,
         )
         if submission.accepted is not None:
-            self._take(submission.accepted)
+            self._apply_if_newer(submission.accepted)
             self._publish(submission.accepted)
         return submission
 
@@ -145,7 +145,7 @@
                 # change may be half taken in: begin anew.
                 self._revision = 0
                 for one in changes:
-                    self._take(config_from_json(one.value))
+                    self._apply_if_newer(config_from_json(one.value))
                 self._revision = at
                 self._platform_read = True
                 if lists:
@@ -201,7 +201,7 @@
 
     def _handle_offer(self, _: str, message: ConfigOffer) -> None:
         """Take a peer's configuration if it is newer."""
-        self._take(message.document)
+        self._apply_if_newer(message.document)
 
     def _publish(self, document: ConfigDocument) -> None:
         """Send an accepted configuration to every peer, or to some of a large fleet."""
@@ -213,7 +213,7 @@
         for peer in peers:
             self._hub.send(peer, ConfigOffer(own, document))
 
-    def _take(self, document: ConfigDocument) -> None:
+    def _apply_if_newer(self, document: ConfigDocument) -> None:
         """Put a newer configuration in force."""
         before = self.document.policy
         if not self._get_or_create_controller.apply_if_newer(document):
