--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -56,7 +56,7 @@
         self._members = members
         self._get_or_create_controller = ConfigurationController()
         self._policy: Policy | None = None
-        self._platform_read = False
+        self._has_read_platform = False
         self._revision = 0
         hub.on_message(ConfigOffer, self._handle_offer)
         hub.on_message(ConfigAsked, self._handle_request)
@@ -147,7 +147,7 @@
                 for one in changes:
                     self._apply_if_newer(config_from_json(one.value))
                 self._revision = at
-                self._platform_read = True
+                self._has_read_platform = True
                 if lists:
                     self._restore_if_lost(changes)
             except PlatformUnavailable as fault:
