--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -106,7 +106,7 @@
             self._publish(submission.accepted)
         return submission
 
-    def find(self, submission_id: str) -> SubmitState:
+    def find_submission(self, submission_id: str) -> SubmitState:
         """Tell whether an earlier submission was accepted, as far as it can be known.
 
         One that is not among the newest may be older, or may still arrive: unknown.
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -107,7 +107,7 @@
         if route == "PUT /operator/config":
             return self._submit(_body(environ), start)
         if route.startswith("GET /operator/submissions/"):
-            state = self._node.config.find(route.rpartition("/")[2])
+            state = self._node.config.find_submission(route.rpartition("/")[2])
             return send_json(start, 200, {"state": state.value})
         if route == "POST /operator/explain":
             return self._explain(_body(environ), start)
