--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -27,7 +27,7 @@
 
 PERIOD_S: Final = 0.1
 LIST_PERIOD_S: Final = 1.0
-ALL_READ_INSTANCES: Final = 16
+MAX_ALL_READERS: Final = 16
 """Up to so many instances all read the platform's list; then only the readers."""
 READERS: Final = 3
 LIST_KEY: Final = "list"
@@ -95,7 +95,7 @@
     def _is_reader(self) -> bool:
         """Tell whether this instance reads the list for the fleet."""
         live = self._get_or_create_controller.live
-        if len(live) <= ALL_READ_INSTANCES:
+        if len(live) <= MAX_ALL_READERS:
             return True
         own = weight(LIST_KEY, self._hub.own.instance_id)
         return sum(weight(LIST_KEY, one.instance_id) > own for one in live) < READERS
@@ -103,7 +103,7 @@
     def _tell_changes(self, runners: dict[str, bool]) -> None:
         """Tell those that do not read the list which runners leave or are back."""
         live = self._get_or_create_controller.live
-        if len(live) <= ALL_READ_INSTANCES:
+        if len(live) <= MAX_ALL_READERS:
             return
         for runner_id, leaving in runners.items():
             if leaving == self._listed_runners.get(runner_id, False):
