--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -29,7 +29,7 @@
 LIST_PERIOD_S: Final = 1.0
 MAX_ALL_READERS: Final = 16
 """Up to so many instances all read the platform's list; then only the readers."""
-READERS: Final = 3
+LIST_READERS: Final = 3
 LIST_KEY: Final = "list"
 ROLE_ENTRY: Final = "entry"
 ROLE_RUNNER: Final = "runner"
@@ -98,7 +98,7 @@
         if len(live) <= MAX_ALL_READERS:
             return True
         own = weight(LIST_KEY, self._hub.own.instance_id)
-        return sum(weight(LIST_KEY, one.instance_id) > own for one in live) < READERS
+        return sum(weight(LIST_KEY, one.instance_id) > own for one in live) < LIST_READERS
 
     def _tell_changes(self, runners: dict[str, bool]) -> None:
         """Tell those that do not read the list which runners leave or are back."""
