--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -44,7 +44,7 @@
         incarnation = int(hub.wall_time() * 1000)
         self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.rng)
         self._listed_runners: dict[str, bool] = {}
-        self._read_once = False
+        self._has_read_list = False
         hub.set_address_lookup(self._get_or_create_controller.address_of)
         for kind in (Ping, Ack, PingRequest):
             hub.on_message(kind, self._receive)
@@ -77,13 +77,13 @@
 
     def _read_list(self) -> None:
         """Take over what the platform's list shows; in a large fleet a few do so for all."""
-        if self._read_once and not self._is_reader():
+        if self._has_read_list and not self._is_reader():
             return
         try:
             listed = self._hub.platform.members()
         except PlatformUnavailable:
             return
-        self._read_once = True
+        self._has_read_list = True
         seeds = tuple(_instance(one) for one in listed if one.role == ROLE_ENTRY)
         self._apply(Seeds(tuple(one for one in seeds if not one.leaving)))
         runners = {one.member_id: one.leaving for one in listed if one.role == ROLE_RUNNER}
