--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -88,7 +88,7 @@
         self._apply(Seeds(tuple(one for one in seeds if not one.leaving)))
         runners = {one.member_id: one.leaving for one in listed if one.role == ROLE_RUNNER}
         if runners != self._listed_runners:
-            self._tell_changes(runners)
+            self._publish_changes(runners)
             self._listed_runners = runners
             self._hub.notify_members()
 
@@ -100,7 +100,7 @@
         own = weight(LIST_KEY, self._hub.own.instance_id)
         return sum(weight(LIST_KEY, one.instance_id) > own for one in live) < LIST_READERS
 
-    def _tell_changes(self, runners: dict[str, bool]) -> None:
+    def _publish_changes(self, runners: dict[str, bool]) -> None:
         """Tell those that do not read the list which runners leave or are back."""
         live = self._get_or_create_controller.live
         if len(live) <= MAX_ALL_READERS:
