--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -20,7 +20,7 @@
 from measures.bench import Bench
 from measures.gateway_process import GatewayProcess
 from stand_ins.crashing import CrashingFleet, CrashingUpstream
-from stand_ins.routed import Script, Seen
+from stand_ins.routed import ReceivedRequest, Script
 
 FATAL: Final = "/stream/fatal"
 CONTACT_S: Final = 3.0
@@ -50,7 +50,7 @@
         """Return when a path's requests reached engines."""
         return [at for at, one in self.arrivals if one == target]
 
-    def _is_fatal(self, seen: Seen) -> bool:
+    def _is_fatal(self, seen: ReceivedRequest) -> bool:
         """Note an arrival, and tell whether it is fatal."""
         self.arrivals.append((time.monotonic(), seen.target))
         return seen.target.startswith(FATAL)
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -14,7 +14,7 @@
 from driftstall.decisions.sends import BACKUP_READY_AFTER_S, ReplicaKind, SendHistory, SendOutcome
 from features.worlds.gateway_world import GatewayWorld, Received, script_upstreams, wait_for
 from features.worlds.sends_world import UPSTREAMS, Behavior, Draw, SendsWorld
-from stand_ins.routed import Script, Seen, event_bytes
+from stand_ins.routed import ReceivedRequest, Script, event_bytes
 
 MAX_ORDERS = 400
 """Number of generated orders of sends; each takes about a tenth of a millisecond."""
@@ -155,7 +155,7 @@
     script.gate.set()
 
 
-def check_runs(sort: str, answer: Received, seen: list[Seen]) -> None:
+def check_runs(sort: str, answer: Received, seen: list[ReceivedRequest]) -> None:
     """Compare the caller's response with the runs that the upstreams saw."""
     runs = sum(not one.goes_on for one in seen)
     evidence = (answer, [(one.headers.get("kv-from"), one.goes_on) for one in seen])
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -18,7 +18,7 @@
 from soak.ledger import Arrival, Ended, Ledger, Limited, Notice, Stay, Window
 from soak.plan import Plan
 from soak.proxy import Proxy
-from stand_ins.routed import RoutedUpstream, Script, Seen
+from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script
 
 ZONES: Final = "abc"
 EVENTS: Final = 25
@@ -104,7 +104,7 @@
             return replace(usual(), **self._source.choice(BREAKS))
         return usual()
 
-    def saw(self, seen: Seen) -> None:
+    def saw(self, seen: ReceivedRequest) -> None:
         """Record a request that is run here."""
         now = time.monotonic()
         self._ledger.arrivals.append(
--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -8,7 +8,7 @@
 import gevent
 from gevent import socket
 
-from stand_ins.routed import RoutedUpstream, Script, Seen, reset
+from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script, reset
 
 CRASH_AFTER_S: Final = 0.1
 """Time from when a request begins to run until its upstream ends."""
@@ -23,7 +23,7 @@
         self,
         upstream_id: str,
         usual: Callable[[], Script],
-        is_fatal: Callable[[Seen], bool],
+        is_fatal: Callable[[ReceivedRequest], bool],
         crashed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start to listen; crashed is told of the end, which all connections notice."""
@@ -33,7 +33,7 @@
         self._open: set[socket.socket] = set()
         self.is_down = False
 
-    def saw(self, seen: Seen) -> None:
+    def saw(self, seen: ReceivedRequest) -> None:
         """Keep a request that is run here, and end of it if it is fatal."""
         super().saw(seen)
         if self._is_fatal(seen):
@@ -65,7 +65,7 @@
         self,
         count: int,
         usual: Callable[[], Script],
-        is_fatal: Callable[[Seen], bool],
+        is_fatal: Callable[[ReceivedRequest], bool],
         *,
         joined: Callable[[CrashingUpstream], None],
         lapsed: Callable[[CrashingUpstream], None],
@@ -85,7 +85,7 @@
         return [one for one in self.all if one.is_down]
 
     @property
-    def seen(self) -> Iterable[Seen]:
+    def seen(self) -> Iterable[ReceivedRequest]:
         """Return all requests that were run."""
         return (seen for one in self.all for seen in one.seen)
 
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ReceivedRequest:
     """Hold one request as it arrived."""
 
     request_id: str
@@ -115,7 +115,7 @@
         """Start to listen; usual makes the script of a request that was given none."""
         self.upstream_id = upstream_id
         self._usual = usual
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.scripts: dict[str, list[Script]] = defaultdict(list)
         self.copies: dict[str, int] = {}
         """Copies held here, by name, with the events that they contain."""
@@ -154,7 +154,7 @@
         """Stop to listen."""
         self._server.stop(timeout=0)
 
-    def saw(self, seen: Seen) -> None:
+    def saw(self, seen: ReceivedRequest) -> None:
         """Keep a request that is run here."""
         self.seen.append(seen)
 
@@ -215,7 +215,7 @@
             return
         self.copies.pop(copy_of, None)
         method, target = call.method.decode(), call.target.decode()
-        self.saw(Seen(request_id, headers, method, target, call.body, goes_on=has_copy))
+        self.saw(ReceivedRequest(request_id, headers, method, target, call.body, goes_on=has_copy))
         if script.crash:
             self.stop()
             reset(raw)
