--- a/driftstall/daemon/fleet_service.py
+++ b/driftstall/daemon/fleet_service.py
@@ -62,7 +62,7 @@
         return (
             runner_id in self._runners
             and runner_id not in self._leaving
-            and not self._members.listed_leaving(runner_id)
+            and not self._members.is_listed_leaving(runner_id)
             and self._failures.get(runner_id, 0) < MAX_POLL_FAILURES
         )
 
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -63,7 +63,7 @@
         """Tell peers that this instance is leaving."""
         self._apply(Leave())
 
-    def listed_leaving(self, runner_id: str) -> bool:
+    def is_listed_leaving(self, runner_id: str) -> bool:
         """Tell whether the platform's list shows a runner as leaving."""
         return self._listed_runners.get(runner_id, False)
 
