--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -16,7 +16,7 @@
 from driftstall.exceptions import UpstreamError
 from features.steps.gateway_node_steps import wait_for_processes
 from features.worlds.gateway_world import Received
-from stand_ins.routed import RoutedUpstream, Signalled
+from stand_ins.routed import RoutedUpstream, SignalRecord
 
 DRAIN_S: Final = 2.0
 """Time after which a leaving upstream gets no requests at all (drainMs)."""
@@ -251,7 +251,7 @@
 def backoff_ends(context: Any, instance: str, at: float) -> Iterator[float]:
     """Yield the end of each signalling upstream's back-off, as an instance knows it."""
     for upstream in context.signalling:
-        known: list[Signalled] = [
+        known: list[SignalRecord] = [
             rejection
             for rejection in upstream.rejections
             if context.instance_of[rejection.request_id] == instance and rejection.at <= at
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stand_ins.routed import Signalled
+from stand_ins.routed import SignalRecord
 
 STORE = "store"
 
@@ -119,11 +119,13 @@
     """From the store's acknowledgement until the order to free the zone."""
     cold: list[Stay] = field(default_factory=list)
     limited: list[Limited] = field(default_factory=list)
-    reached: dict[str, list[Signalled]] = field(default_factory=lambda: defaultdict(list))
+    reached: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
     """All requests that reached an upstream, also rejected ones, by its id."""
-    signalled_leaving: dict[str, list[Signalled]] = field(default_factory=lambda: defaultdict(list))
+    signalled_leaving: dict[str, list[SignalRecord]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     """Responses by which an upstream signalled that it leaves."""
-    rejections: dict[str, list[Signalled]] = field(default_factory=lambda: defaultdict(list))
+    rejections: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
     """Responses by which an upstream rejected a request with a back-off."""
     stopped: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
     """When an instance was killed, stopped or paused, by its name."""
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled:
+class SignalRecord:
     """Hold one response by which a stand-in has signalled something about itself."""
 
     at: float
@@ -136,11 +136,11 @@
         self.rejected_share = 0.0
         """Share of requests that it rejects."""
         self.source = random.Random(upstream_id)
-        self.signalled_leaving: list[Signalled] = []
-        self.rejections: list[Signalled] = []
+        self.signalled_leaving: list[SignalRecord] = []
+        self.rejections: list[SignalRecord] = []
         self.arrivals: list[float] = []
         """When callers' requests arrived, by the steady clock; also those turned away."""
-        self.arrived: list[Signalled] = []
+        self.arrived: list[SignalRecord] = []
         """The same with their ids."""
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
@@ -182,7 +182,7 @@
         if "x-driftstall-request-id" in headers:
             self.arrivals.append(time.monotonic())
             request_id = headers["x-driftstall-request-id"]
-            self.arrived.append(Signalled(self.arrivals[-1], request_id))
+            self.arrived.append(SignalRecord(self.arrivals[-1], request_id))
         if call.path == "/api/report":
             self._write_json(connection, 200, self.report)
             return
@@ -238,14 +238,14 @@
     def _note_leaving(self, request_id: str) -> None:
         """Note a response that signals that it leaves."""
         if self.leaves:
-            self.signalled_leaving.append(Signalled(time.monotonic(), request_id))
+            self.signalled_leaving.append(SignalRecord(time.monotonic(), request_id))
 
     def _reject(self, connection: CallerConnection, request_id: str) -> None:
         """Turn a request away, and request a back-off."""
         backoff = ((b"Retry-After", self.backoff.encode()),) if self.backoff else ()
         self._refuse(connection, request_id, 503, backoff)
         with contextlib.suppress(ValueError):
-            self.rejections.append(Signalled(time.monotonic(), request_id, float(self.backoff)))
+            self.rejections.append(SignalRecord(time.monotonic(), request_id, float(self.backoff)))
 
     def _refuse(
         self,
