--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -25,7 +25,7 @@
 from driftstall.peers.messages import RunnerLeaving
 from driftstall.platform.client import ListedMember
 
-PERIOD_S: Final = 0.1
+PROTOCOL_PERIOD_S: Final = 0.1
 LIST_PERIOD_S: Final = 1.0
 MAX_ALL_READERS: Final = 16
 """Up to so many instances all read the platform's list; then only the readers."""
@@ -56,7 +56,7 @@
 
     def start(self) -> None:
         """Start to probe and to read the platform's list."""
-        self._hub.run_periodically(PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
+        self._hub.run_periodically(PROTOCOL_PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
         self._hub.run_periodically(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
 
     def leave(self) -> None:
