--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -104,7 +104,7 @@
             return replace(usual(), **self._source.choice(BREAKS))
         return usual()
 
-    def saw(self, seen: ReceivedRequest) -> None:
+    def record_request(self, seen: ReceivedRequest) -> None:
         """Record a request that is run here."""
         now = time.monotonic()
         self._ledger.arrivals.append(
--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -33,9 +33,9 @@
         self._open: set[socket.socket] = set()
         self.is_down = False
 
-    def saw(self, seen: ReceivedRequest) -> None:
+    def record_request(self, seen: ReceivedRequest) -> None:
         """Keep a request that is run here, and end of it if it is fatal."""
-        super().saw(seen)
+        super().record_request(seen)
         if self._is_fatal(seen):
             gevent.spawn_later(CRASH_AFTER_S, self.crash)
 
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -154,7 +154,7 @@
         """Stop to listen."""
         self._server.stop(timeout=0)
 
-    def saw(self, seen: ReceivedRequest) -> None:
+    def record_request(self, seen: ReceivedRequest) -> None:
         """Keep a request that is run here."""
         self.seen.append(seen)
 
@@ -215,7 +215,9 @@
             return
         self.copies.pop(copy_of, None)
         method, target = call.method.decode(), call.target.decode()
-        self.saw(ReceivedRequest(request_id, headers, method, target, call.body, goes_on=has_copy))
+        self.record_request(
+            ReceivedRequest(request_id, headers, method, target, call.body, goes_on=has_copy)
+        )
         if script.crash:
             self.stop()
             reset(raw)
