--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -47,7 +47,7 @@
         self._has_read_list = False
         hub.set_address_lookup(self._get_or_create_controller.address_of)
         for kind in (Ping, Ack, PingRequest):
-            hub.on_message(kind, self._receive)
+            hub.on_message(kind, self._handle_message)
 
     @property
     def live(self) -> tuple[Instance, ...]:
@@ -71,7 +71,7 @@
         """Let time pass in the controller."""
         self._apply(Period())
 
-    def _receive(self, _: str, message: Ping | Ack | PingRequest) -> None:
+    def _handle_message(self, _: str, message: Ping | Ack | PingRequest) -> None:
         """Take a peer's message."""
         self._apply(message)
 
