--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -56,7 +56,7 @@
 PATH_LIVE: Final = "/live"
 PATH_READY: Final = "/ready"
 STREAM_END: Final = b"data: [DONE]\n\n"
-CALLER_CHECK_S: Final = 0.25
+DISCONNECT_CHECK_S: Final = 0.25
 
 
 class CallersApp:
@@ -345,7 +345,7 @@
 
     def waits() -> bool:
         now = clock.now()
-        if now - state[0] >= CALLER_CHECK_S:
+        if now - state[0] >= DISCONNECT_CHECK_S:
             state[0], state[1] = now, peer_is_there(connection)
         return bool(state[1])
 
