--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -221,8 +221,8 @@
     """Count the runs that did not resume from a replica."""
     world = world_of(context)
     seen = [request for engine in world.engines for request in engine.seen]
-    restarts = [each for each in seen if each.request_id == request_id and not each.goes_on]
-    assert len(restarts) == 1, [(each.headers.get("kv-from"), each.goes_on) for each in seen]
+    restarts = [each for each in seen if each.request_id == request_id and not each.is_resumed]
+    assert len(restarts) == 1, [(each.headers.get("kv-from"), each.is_resumed) for each in seen]
 
 
 @given('the engine of "{request_id}" will repeat event {number:d}')
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -272,7 +272,7 @@
     answer = context.asked.get(timeout=5.0)
     assert answer.whole and answer.body.count(b"piece") == 8, answer
     assert len(context.engine.seen) == 1
-    assert [one.goes_on for one in context.holder.seen] == [True]
+    assert [one.is_resumed for one in context.holder.seen] == [True]
 
 
 @when("the engine of the copy is known to have started again, and that of the stream breaks off")
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -77,7 +77,7 @@
 
 def _request(ledger: Ledger, one: Asked, runs: dict[str, list[Arrival]]) -> Iterator[str]:
     """Check one request by itself."""
-    ran = [arrival for arrival in runs[one.request_id] if not arrival.goes_on]
+    ran = [arrival for arrival in runs[one.request_id] if not arrival.is_resumed]
     if one.sort in (Sort.ONCE, Sort.STREAM) and len(ran) > 1:
         yield f"ran {len(ran)} times"
     if one.status in NOT_RUN and ran:
@@ -160,7 +160,7 @@
     """
     for arrival in ledger.arrivals:
         told = ledger.told.get(arrival.upstream_id)
-        if told is None or arrival.goes_on:
+        if told is None or arrival.is_resumed:
             continue
         late = arrival.at - told.at
         asked = ledger.asked[arrival.request_id]
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -108,7 +108,7 @@
         """Record a request that is run here."""
         now = time.monotonic()
         self._ledger.arrivals.append(
-            Arrival(seen.request_id, self.upstream_id, seen.target, now, seen.goes_on)
+            Arrival(seen.request_id, self.upstream_id, seen.target, now, seen.is_resumed)
         )
         if seen.target.startswith(FATAL):
             after_s = self._source.uniform(*FATAL_AFTER_S)
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -56,7 +56,7 @@
     upstream_id: str
     target: str
     at: float
-    goes_on: bool
+    is_resumed: bool
     """Whether it goes on at a copy of a run."""
 
 
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -93,7 +93,7 @@
     method: str
     target: str
     body: bytes
-    goes_on: bool = False
+    is_resumed: bool = False
     """Whether it goes on from a copy that is here; else it is a run of its own."""
 
 
@@ -216,7 +216,7 @@
         self.copies.pop(copy_of, None)
         method, target = call.method.decode(), call.target.decode()
         self.record_request(
-            ReceivedRequest(request_id, headers, method, target, call.body, goes_on=has_copy)
+            ReceivedRequest(request_id, headers, method, target, call.body, is_resumed=has_copy)
         )
         if script.crash:
             self.stop()
