--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -81,9 +81,9 @@
             detail = "this instance serves as many requests as it may"
             return send_problem(start, Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, 1.0))
         self._hub.stats.open_requests += 1
-        return self._counted(environ, start)
+        return self._serve_counted(environ, start)
 
-    def _counted(self, environ: dict[str, Any], start: StartResponse) -> Iterator[bytes]:
+    def _serve_counted(self, environ: dict[str, Any], start: StartResponse) -> Iterator[bytes]:
         """Serve one call and count it as open while it lasts."""
         try:
             yield from self._serve(environ, start)
