--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -139,7 +139,7 @@
     add_destinations(context.logged.append)
     context.add_cleanup(remove_destination, context.logged.append)
     for one in world.plain:
-        one.more_headers = ((b"Server-Mood", b"low"),)
+        one.extra_headers = ((b"Server-Mood", b"low"),)
     for number in range(3):
         world.ask("/once/a", f"r{number}")
 
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -129,7 +129,7 @@
         """The requests a second that it names with its answers; None to name none."""
         self.leaves = False
         """Whether it signals with all responses that it leaves."""
-        self.more_headers: tuple[tuple[bytes, bytes], ...] = ()
+        self.extra_headers: tuple[tuple[bytes, bytes], ...] = ()
         """Further headers of all responses."""
         self.backoff = ""
         """The time of back-off that it requests where it rejects a request, as it is written."""
@@ -235,7 +235,7 @@
         named = [(b"Server-Leaving", b"1")] if self.leaves else []
         if self.rate_limit is not None:
             named.append((b"Server-Limit", f"{self.rate_limit:g}".encode()))
-        return (*named, *self.more_headers)
+        return (*named, *self.extra_headers)
 
     def _note_leaving(self, request_id: str) -> None:
         """Note a response that signals that it leaves."""
