--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -75,7 +75,7 @@
         if path == PATH_LIVE:
             return send(start, 200, b"live\n", "text/plain")
         if path == PATH_READY:
-            return self._ready(start)
+            return self._serve_readiness(start)
         self._hub.stats.requests += 1
         if self._hub.stats.open_requests >= self._hub.settings.max_requests:
             detail = "this instance serves as many requests as it may"
@@ -98,7 +98,7 @@
         finally:
             self._hub.stats.open_requests -= 1
 
-    def _ready(self, start: StartResponse) -> Iterable[bytes]:
+    def _serve_readiness(self, start: StartResponse) -> Iterable[bytes]:
         """Tell whether this instance may be used."""
         if self._node.is_ready:
             return send(start, 200, b"ready\n", "text/plain")
