--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -93,7 +93,7 @@
 @given('the engine of "{request_id}" will send event 1, then events 2, 3 and 5 together')
 def sends_together(context: Any, request_id: str) -> None:
     """Skip an event after others that arrive in the same chunk."""
-    stream_script(context, request_id, Script(together_from=2, skip_event=4))
+    stream_script(context, request_id, Script(coalesce_from=2, skip_event=4))
     await_copy(context, 1)
 
 
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -93,7 +93,7 @@
         Script(skip_event=2),
         Script(skip_event=3, pause_after=1),
         Script(repeat_event=2),
-        Script(pause_after=1, together_from=2, skip_event=4),
+        Script(pause_after=1, coalesce_from=2, skip_event=4),
     ],
     "once": [
         Script(),
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -61,7 +61,7 @@
     """Break a stream off after so many events."""
     repeat_event: int | None = None
     skip_event: int | None = None
-    together_from: int | None = None
+    coalesce_from: int | None = None
     """Send all events of a stream from this one on together."""
     half_event: bool = False
     """Break off inside the next event."""
@@ -322,7 +322,7 @@
             gevent.sleep(script.event_pause_s)
             if request_id in self.stopped:
                 return
-            if number == script.together_from:
+            if number == script.coalesce_from:
                 rest = [n for n in range(number, script.events + 1) if n != script.skip_event]
                 connection.write(framed(b"".join(event_bytes(n) for n in rest)))
                 break
