--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -109,7 +109,7 @@
         if not self._node.is_ready:
             detail = "this instance has no configuration yet"
             return send_problem(start, Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, 1.0))
-        context = self._context(environ)
+        context = self._read_context(environ)
         if isinstance(context, Problem):
             return self._fail(start, context)
         if context.path == PATH_LOCATE:
@@ -126,7 +126,7 @@
             return self._generate(result, environ, start)
         return self._call_service(result, start)
 
-    def _context(self, environ: dict[str, Any]) -> RequestContext | Problem:
+    def _read_context(self, environ: dict[str, Any]) -> RequestContext | Problem:
         """Read the request within the limits."""
         limit = self._hub.settings.max_body
         length = environ.get("CONTENT_LENGTH") or "0"
