--- a/features/steps/gateway_call_steps.py
+++ b/features/steps/gateway_call_steps.py
@@ -182,7 +182,7 @@
 @given('the upstream of "{request_id}" will {fault}')
 def will(context: Any, request_id: str, fault: str) -> None:
     """Script one fault, in a copy since a script holds the state of its request."""
-    script = FAULTS[fault].fresh()
+    script = FAULTS[fault].with_new_events()
     context.script = script
     script_upstreams(world_of(context), request_id, [script])
 
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -124,7 +124,7 @@
     )
     @for_all(drawn, st.lists(st.integers(0, 2), max_size=1))
     def check(faults: list[int], gone: list[int]) -> None:
-        serve_drawn(sort, [FAULTS[sort][index].fresh() for index in faults], gone)
+        serve_drawn(sort, [FAULTS[sort][index].with_new_events() for index in faults], gone)
 
     check()
 
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -79,7 +79,7 @@
     ended: Event = field(default_factory=Event)
     """Set when the request's connection has ended here."""
 
-    def fresh(self) -> Script:
+    def with_new_events(self) -> Script:
         """Return the same script with events of its own."""
         return replace(self, gate=Event(), paused=Event(), late=Event(), ended=Event())
 
