--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -116,7 +116,7 @@
             return self._locate(context, environ, start)
         if context.path == PATH_CHAT and HEADER_LAST_EVENT_ID.lower() in context.headers:
             return self._resume_generation(context, environ, start)
-        result = run_chain(self._chain(), context)
+        result = run_chain(self._filter_chain(), context)
         if isinstance(result, Problem):
             return self._fail(start, result)
         refusal = self._node.poison.build_refusal(request_fingerprint(result), Ran.NOT_RUN)
@@ -151,7 +151,7 @@
             self._hub.wall_time(),
         )
 
-    def _chain(self) -> tuple[Filter, ...]:
+    def _filter_chain(self) -> tuple[Filter, ...]:
         """Return the filters for the configuration in force."""
         document, policy = self._node.config.document, self._node.config.policy
         if document.generation != self._filters_for and policy is not None:
@@ -176,7 +176,7 @@
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
         """Tell a caller which instances to use, best first."""
-        checked = run_chain(self._chain()[:1], context)
+        checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._fail(start, checked)
         zone = parse_qs(environ.get("QUERY_STRING", "")).get("zone", [""])[0]
@@ -194,7 +194,7 @@
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
         """Go on with a generation from a resume token."""
-        checked = run_chain(self._chain()[:1], context)
+        checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._fail(start, checked)
         token = checked.headers[HEADER_LAST_EVENT_ID.lower()]
