--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -165,7 +165,7 @@
         """Keep cache events for later, with gaps."""
         now = time.monotonic()
         events: list[tuple[tuple[PrefixMark, ...], int]] = [((), one) for one in evicted]
-        events += [(prefix, 0) for prefix in self._engine.take_stored()]
+        events += [(prefix, 0) for prefix in self._engine.drain_stored_prefixes()]
         for prefix, digest in events:
             self._cache_next += 1
             if self._random.random() >= CACHE_GAP:
--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -98,7 +98,7 @@
         """Tell whether there is nothing to do."""
         return not self.running and not self.waiting
 
-    def take_stored(self) -> tuple[tuple[PrefixMark, ...], ...]:
+    def drain_stored_prefixes(self) -> tuple[tuple[PrefixMark, ...], ...]:
         """Return and forget the prefixes stored since the last call."""
         stored = tuple(self._stored)
         self._stored.clear()
