--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -67,7 +67,7 @@
         self._node = node
         self._hub = node.hub
         self._filters: tuple[Filter, ...] = ()
-        self._filters_for: int = -1
+        self._filters_generation: int = -1
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Serve one call; an unforeseen fault is answered, not fatal."""
@@ -154,14 +154,14 @@
     def _filter_chain(self) -> tuple[Filter, ...]:
         """Return the filters for the configuration in force."""
         document, policy = self._node.config.document, self._node.config.policy
-        if document.generation != self._filters_for and policy is not None:
+        if document.generation != self._filters_generation and policy is not None:
             keys = {one.key_sha256: one.name for one in document.workspaces}
             self._filters = (
                 Authenticate(keys),
                 Classify(self._hub.settings.default_deadline),
                 ApplyPolicy(policy, self._node.grants.load),
             )
-            self._filters_for = document.generation
+            self._filters_generation = document.generation
         return self._filters
 
     def _fail(self, start: StartResponse, problem: Problem) -> Iterable[bytes]:
