--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -119,7 +119,7 @@
         """Run steps in real time."""
         due = time.monotonic()
         while True:
-            if self._engine.idle:
+            if self._engine.is_idle:
                 self._work.clear()
                 self._work.wait()
                 due = time.monotonic()
--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -94,7 +94,7 @@
         return self._used + self.cache.pinned
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether there is nothing to do."""
         return not self.running and not self.waiting
 
