--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -227,7 +227,7 @@
         relay.fingerprint = request_fingerprint(context)
         if payload.get("stream"):
             return self._stream(relay, request, start)
-        return self._whole(relay, request, start)
+        return self._respond_whole(relay, request, start)
 
     def _stream(self, relay: Relay, request: Request, start: StartResponse) -> Iterator[bytes]:
         """Answer with server-sent events; headers wait for the first token."""
@@ -274,7 +274,9 @@
         finally:
             items.close()  # type: ignore[attr-defined]
 
-    def _whole(self, relay: Relay, request: Request, start: StartResponse) -> Iterable[bytes]:
+    def _respond_whole(
+        self, relay: Relay, request: Request, start: StartResponse
+    ) -> Iterable[bytes]:
         """Collect the whole answer and give it at once."""
         parts: list[str] = []
         for item in relay:
