--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -153,7 +153,7 @@
     for upstream in context.signalling:
         first = first_by_instance(context, upstream)
         assert first, upstream.upstream_id
-        for arrival in upstream.arrived:
+        for arrival in upstream.arrival_records:
             instance = context.instance_of[arrival.request_id]
             if arrival.at - first.get(instance, arrival.at) > seconds + SLACK_S:
                 late.append(
@@ -182,7 +182,7 @@
     finish(context)
     for upstream in context.signalling:
         since = min(sent.at for sent in upstream.signalled_leaving) + seconds
-        late = [round(each.at - since, 2) for each in upstream.arrived if each.at > since]
+        late = [round(each.at - since, 2) for each in upstream.arrival_records if each.at > since]
         assert len(late) <= most, (upstream.upstream_id, len(late), late[:5])
 
 
@@ -241,7 +241,7 @@
             begins, ends = rejection.at + seconds, rejection.at + rejection.for_s
             sent += [
                 (upstream.upstream_id, instance, round(arrival.at - rejection.at, 2))
-                for arrival in upstream.arrived
+                for arrival in upstream.arrival_records
                 if begins < arrival.at < ends
                 and context.instance_of[arrival.request_id] == instance
             ]
@@ -307,10 +307,13 @@
 def others_know(context: Any, seconds: float) -> None:
     """Send calls to all other instances, and check that the portal receives none."""
     gevent.sleep(seconds)
-    before = len(context.portal.arrived)
+    before = len(context.portal.arrival_records)
     for node in context.nodes[1:]:
         ask_node(node, 20)
-    assert len(context.portal.arrived) == before, (before, len(context.portal.arrived))
+    assert len(context.portal.arrival_records) == before, (
+        before,
+        len(context.portal.arrival_records),
+    )
 
 
 @when("an instance is killed and has started anew")
@@ -328,6 +331,9 @@
 def fresh_knows(context: Any, seconds: float) -> None:
     """Send calls to the restarted instance, and check that the portal receives none."""
     gevent.sleep(seconds)
-    before = len(context.portal.arrived)
+    before = len(context.portal.arrival_records)
     ask_node(context.nodes[-1], 20)
-    assert len(context.portal.arrived) == before, (before, len(context.portal.arrived))
+    assert len(context.portal.arrival_records) == before, (
+        before,
+        len(context.portal.arrival_records),
+    )
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -140,7 +140,7 @@
         self.rejections: list[SignalRecord] = []
         self.arrivals: list[float] = []
         """When callers' requests arrived, by the steady clock; also those turned away."""
-        self.arrived: list[SignalRecord] = []
+        self.arrival_records: list[SignalRecord] = []
         """The same with their ids."""
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
@@ -182,7 +182,7 @@
         if "x-driftstall-request-id" in headers:
             self.arrivals.append(time.monotonic())
             request_id = headers["x-driftstall-request-id"]
-            self.arrived.append(SignalRecord(self.arrivals[-1], request_id))
+            self.arrival_records.append(SignalRecord(self.arrivals[-1], request_id))
         if call.path == "/api/report":
             self._write_json(connection, 200, self.report)
             return
