--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -207,7 +207,7 @@
         relay = self._node.relay.resume_relay(
             request, DEFAULT_VERDICT, place, _caller_check(environ[ENVIRON_SOCKET])
         )
-        return self._stream(relay, request, start)
+        return self._respond_stream(relay, request, start)
 
     def _generate(
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
@@ -226,10 +226,12 @@
         )
         relay.fingerprint = request_fingerprint(context)
         if payload.get("stream"):
-            return self._stream(relay, request, start)
+            return self._respond_stream(relay, request, start)
         return self._respond_whole(relay, request, start)
 
-    def _stream(self, relay: Relay, request: Request, start: StartResponse) -> Iterator[bytes]:
+    def _respond_stream(
+        self, relay: Relay, request: Request, start: StartResponse
+    ) -> Iterator[bytes]:
         """Answer with server-sent events; headers wait for the first token."""
         items = iter(relay)
         first = next(items, None)
