--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -22,12 +22,12 @@
     def __init__(
         self,
         upstream_id: str,
-        usual: Callable[[], Script],
+        default_script: Callable[[], Script],
         is_fatal: Callable[[ReceivedRequest], bool],
         crashed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start to listen; crashed is told of the end, which all connections notice."""
-        super().__init__(upstream_id, usual)
+        super().__init__(upstream_id, default_script)
         self._is_fatal = is_fatal
         self._crashed = crashed
         self._open: set[socket.socket] = set()
@@ -64,14 +64,14 @@
     def __init__(
         self,
         count: int,
-        usual: Callable[[], Script],
+        default_script: Callable[[], Script],
         is_fatal: Callable[[ReceivedRequest], bool],
         *,
         joined: Callable[[CrashingUpstream], None],
         lapsed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
-        self._usual = usual
+        self._usual = default_script
         self._is_fatal = is_fatal
         self._joined = joined
         self._lapsed = lapsed
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -111,10 +111,10 @@
 class RoutedUpstream:
     """Serve one upstream at a loopback address."""
 
-    def __init__(self, upstream_id: str, usual: Callable[[], Script] = Script) -> None:
+    def __init__(self, upstream_id: str, default_script: Callable[[], Script] = Script) -> None:
         """Start to listen; usual makes the script of a request that was given none."""
         self.upstream_id = upstream_id
-        self._usual = usual
+        self._usual = default_script
         self.seen: list[ReceivedRequest] = []
         self.scripts: dict[str, list[Script]] = defaultdict(list)
         self.copies: dict[str, int] = {}
