--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -111,17 +111,17 @@
             return send_problem(start, Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, 1.0))
         context = self._read_context(environ)
         if isinstance(context, Problem):
-            return self._fail(start, context)
+            return self._respond_problem(start, context)
         if context.path == PATH_LOCATE:
             return self._locate(context, environ, start)
         if context.path == PATH_CHAT and HEADER_LAST_EVENT_ID.lower() in context.headers:
             return self._resume_generation(context, environ, start)
         result = run_chain(self._filter_chain(), context)
         if isinstance(result, Problem):
-            return self._fail(start, result)
+            return self._respond_problem(start, result)
         refusal = self._node.poison.build_refusal(request_fingerprint(result), Ran.NOT_RUN)
         if refusal is not None:
-            return self._fail(start, refusal)
+            return self._respond_problem(start, refusal)
         if result.request is not None:
             return self._generate(result, environ, start)
         return self._call_service(result, start)
@@ -164,7 +164,7 @@
             self._filters_generation = document.generation
         return self._filters
 
-    def _fail(self, start: StartResponse, problem: Problem) -> Iterable[bytes]:
+    def _respond_problem(self, start: StartResponse, problem: Problem) -> Iterable[bytes]:
         """Answer with a problem and count it."""
         if problem.status == 429:
             self._hub.stats.refused += 1
@@ -178,7 +178,7 @@
         """Tell a caller which instances to use, best first."""
         checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
-            return self._fail(start, checked)
+            return self._respond_problem(start, checked)
         zone = parse_qs(environ.get("QUERY_STRING", "")).get("zone", [""])[0]
         workspace = checked.workspace
         owners = self._node.ownership.owners_for(workspace)
@@ -196,12 +196,12 @@
         """Go on with a generation from a resume token."""
         checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
-            return self._fail(start, checked)
+            return self._respond_problem(start, checked)
         token = checked.headers[HEADER_LAST_EVENT_ID.lower()]
         place = read_resume_token(self._hub.key, token, checked.workspace)
         if place is None:
             detail = f"{HEADER_LAST_EVENT_ID} is not a token given to this workspace"
-            return self._fail(start, Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN))
+            return self._respond_problem(start, Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN))
         deadline = checked.now + self._hub.settings.default_deadline
         request = resumed_request(checked.workspace, checked.request_id, checked.now, deadline)
         relay = self._node.relay.resume_relay(
@@ -239,7 +239,7 @@
         if first is None:
             return
         if isinstance(first, Failed):
-            yield from self._fail(start, first.problem)
+            yield from self._respond_problem(start, first.problem)
             return
         start("200 OK", [("Content-Type", EVENT_STREAM), ("Cache-Control", "no-store")])
         yield from self._events(first, items, request.workspace)
@@ -287,7 +287,7 @@
                     self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
                 parts += [_content(one.data) for one in item.tokens]
             elif isinstance(item, Failed):
-                return self._fail(start, item.problem)
+                return self._respond_problem(start, item.problem)
             else:
                 self._hub.stats.completed += 1
                 return send_json(start, 200, _completion(item.data, "".join(parts)))
@@ -297,7 +297,7 @@
         """Serve a call to a plain service."""
         result = self._node.services.call(context)
         if isinstance(result, Problem):
-            return self._fail(start, result)
+            return self._respond_problem(start, result)
         self._hub.stats.completed += 1
         return send(start, result.status, result.body, result.content_type)
 
