--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -71,7 +71,7 @@
         lapsed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
-        self._usual = default_script
+        self._default_script = default_script
         self._is_fatal = is_fatal
         self._joined = joined
         self._lapsed = lapsed
@@ -98,7 +98,7 @@
     def _start(self) -> None:
         """Start one and list it."""
         name = f"engine-{len(self.all) + 1}"
-        upstream = CrashingUpstream(name, self._usual, self._is_fatal, self._replace)
+        upstream = CrashingUpstream(name, self._default_script, self._is_fatal, self._replace)
         self.all.append(upstream)
         peers = {one.address: one for one in self.all if not one.is_down}
         for one in self.all:
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -114,7 +114,7 @@
     def __init__(self, upstream_id: str, default_script: Callable[[], Script] = Script) -> None:
         """Start to listen; usual makes the script of a request that was given none."""
         self.upstream_id = upstream_id
-        self._usual = default_script
+        self._default_script = default_script
         self.seen: list[ReceivedRequest] = []
         self.scripts: dict[str, list[Script]] = defaultdict(list)
         self.copies: dict[str, int] = {}
@@ -202,7 +202,7 @@
             self._reject(connection, request_id)
             return
         scripts = self.scripts[request_id]
-        script = scripts.pop(0) if scripts else self._usual()
+        script = scripts.pop(0) if scripts else self._default_script()
         copy_of = headers.get("kv-from", "").rpartition("/")[2]
         if script.misdirected:
             misdirected = (_id(request_id), *self._named())
