--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -133,13 +133,13 @@
         if not length.isdigit():
             return Problem(CODE_BAD_REQUEST, 400, "Content-Length is not a number", Ran.NOT_RUN)
         if int(length) > limit:
-            return _too_large(limit)
+            return _too_large_problem(limit)
         try:
             body = environ["wsgi.input"].read(limit + 1)
         except OSError:
             return Problem(CODE_BAD_REQUEST, 400, "the body did not arrive", Ran.NOT_RUN)
         if len(body) > limit:
-            return _too_large(limit)
+            return _too_large_problem(limit)
         if len(body) < int(length):
             return Problem(CODE_BAD_REQUEST, 400, "the body ended early", Ran.NOT_RUN)
         return RequestContext(
@@ -326,7 +326,7 @@
     return parts[0], float(parts[2])
 
 
-def _too_large(limit: int) -> Problem:
+def _too_large_problem(limit: int) -> Problem:
     """Answer 413."""
     return Problem(CODE_TOO_LARGE, 413, f"the body is over {limit} bytes", Ran.NOT_RUN)
 
