--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -67,13 +67,13 @@
         default_script: Callable[[], Script],
         is_fatal: Callable[[ReceivedRequest], bool],
         *,
-        joined: Callable[[CrashingUpstream], None],
+        on_joined: Callable[[CrashingUpstream], None],
         lapsed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
         self._default_script = default_script
         self._is_fatal = is_fatal
-        self._joined = joined
+        self._joined = on_joined
         self._lapsed = lapsed
         self.all: list[CrashingUpstream] = []
         for _ in range(count):
