--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -205,7 +205,7 @@
         deadline = checked.now + self._hub.settings.default_deadline
         request = resumed_request(checked.workspace, checked.request_id, checked.now, deadline)
         relay = self._node.relay.resume_relay(
-            request, DEFAULT_VERDICT, place, _caller_check(environ[ENVIRON_SOCKET])
+            request, DEFAULT_VERDICT, place, _disconnect_check(environ[ENVIRON_SOCKET])
         )
         return self._respond_stream(relay, request, start)
 
@@ -222,7 +222,7 @@
             request = with_earlier_asked_at(request, asked_at)
         payload = dict(context.payload or {})
         relay = self._node.relay.start_relay(
-            request, context.verdict, payload, ticket, _caller_check(environ[ENVIRON_SOCKET])
+            request, context.verdict, payload, ticket, _disconnect_check(environ[ENVIRON_SOCKET])
         )
         relay.fingerprint = request_fingerprint(context)
         if payload.get("stream"):
@@ -343,7 +343,7 @@
     return headers
 
 
-def _caller_check(connection: Any) -> Any:
+def _disconnect_check(connection: Any) -> Any:
     """Return a check whether the caller still waits; it looks a few times a second."""
     state = [0.0, True]
 
