--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -44,7 +44,9 @@
         self.arrivals: list[tuple[float, str]] = []
         self.crashes: list[float] = []
         self._store = store
-        super().__init__(count, usual, self._is_fatal, on_joined=self._list, lapsed=self._unlist)
+        super().__init__(
+            count, usual, self._is_fatal, on_joined=self._list, on_removed=self._unlist
+        )
 
     def sends_of(self, target: str) -> list[float]:
         """Return when a path's requests reached engines."""
--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -68,13 +68,13 @@
         is_fatal: Callable[[ReceivedRequest], bool],
         *,
         on_joined: Callable[[CrashingUpstream], None],
-        lapsed: Callable[[CrashingUpstream], None],
+        on_removed: Callable[[CrashingUpstream], None],
     ) -> None:
         """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
         self._default_script = default_script
         self._is_fatal = is_fatal
         self._joined = on_joined
-        self._lapsed = lapsed
+        self._lapsed = on_removed
         self.all: list[CrashingUpstream] = []
         for _ in range(count):
             self._start()
