--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -29,7 +29,7 @@
     send_json,
     send_problem,
 )
-from driftstall.daemon.http_server import ENVIRON_SOCKET, peer_is_there
+from driftstall.daemon.http_server import ENVIRON_SOCKET, is_peer_connected
 from driftstall.daemon.node import Node
 from driftstall.daemon.poison_service import request_fingerprint
 from driftstall.daemon.relay_service import (
@@ -350,7 +350,7 @@
     def waits() -> bool:
         now = clock.now()
         if now - state[0] >= DISCONNECT_CHECK_S:
-            state[0], state[1] = now, peer_is_there(connection)
+            state[0], state[1] = now, is_peer_connected(connection)
         return bool(state[1])
 
     return waits
--- a/driftstall/daemon/http_server.py
+++ b/driftstall/daemon/http_server.py
@@ -60,7 +60,7 @@
     )
 
 
-def peer_is_there(connection: Any) -> bool:
+def is_peer_connected(connection: Any) -> bool:
     """Tell whether the other end of a connection has not closed it."""
     try:
         raw = getattr(connection, "_sock", connection)
