--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -73,7 +73,7 @@
         """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
         self._default_script = default_script
         self._is_fatal = is_fatal
-        self._joined = on_joined
+        self._on_joined = on_joined
         self._lapsed = on_removed
         self.all: list[CrashingUpstream] = []
         for _ in range(count):
@@ -103,7 +103,7 @@
         peers = {one.address: one for one in self.all if not one.is_down}
         for one in self.all:
             one.peers = dict(peers)
-        self._joined(upstream)
+        self._on_joined(upstream)
 
     def _replace(self, crashed: CrashingUpstream) -> None:
         """Have another one come for one that has crashed."""
