--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -94,11 +94,11 @@
         try:
             return self._route(route, environ, start)
         except vol.Invalid as invalid:
-            return send_problem(start, _bad(str(invalid)))
+            return send_problem(start, _bad_request(str(invalid)))
         except PolicyError as fault:
-            return send_problem(start, _bad(str(fault)))
+            return send_problem(start, _bad_request(str(fault)))
         except orjson.JSONDecodeError:
-            return send_problem(start, _bad("the body is not JSON"))
+            return send_problem(start, _bad_request("the body is not JSON"))
 
     def _route(self, route: str, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Serve one authenticated call."""
@@ -163,7 +163,7 @@
         """Tell which rule would decide about a request."""
         policy = self._node.config.policy
         if policy is None:
-            return send_problem(start, _bad("no policy is in force yet"))
+            return send_problem(start, _bad_request("no policy is in force yet"))
         return send_json(start, 200, explain(policy, Facts(**FACTS(raw))))
 
     def _gauges(self) -> dict[str, float]:
@@ -241,7 +241,7 @@
     return orjson.loads(raw)
 
 
-def _bad(detail: str) -> Problem:
+def _bad_request(detail: str) -> Problem:
     """Answer 400."""
     return Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN)
 
