--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -74,7 +74,7 @@
         self._default_script = default_script
         self._is_fatal = is_fatal
         self._on_joined = on_joined
-        self._lapsed = on_removed
+        self._on_removed = on_removed
         self.all: list[CrashingUpstream] = []
         for _ in range(count):
             self._start()
@@ -107,5 +107,5 @@
 
     def _replace(self, crashed: CrashingUpstream) -> None:
         """Have another one come for one that has crashed."""
-        gevent.spawn_later(BACK_AFTER_S, self._lapsed, crashed)
+        gevent.spawn_later(BACK_AFTER_S, self._on_removed, crashed)
         gevent.spawn_later(BACK_AFTER_S, self._start)
