--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -52,7 +52,7 @@
         vol.Optional("checks_fences", default=True): bool,
     }
 )
-CHANGE: Final = vol.Schema(
+CHANGE_SCHEMA: Final = vol.Schema(
     {
         vol.Optional("submission"): vol.All(_TEXT, vol.Match(r"^[\w.-]+$")),
         vol.Optional("base_generation", default=None): vol.Any(None, int),
@@ -137,7 +137,7 @@
 
     def _submit(self, raw: Any, start: StartResponse) -> Iterable[bytes]:
         """Check a change, then carry it to the platform."""
-        checked = CHANGE(raw)
+        checked = CHANGE_SCHEMA(raw)
         if "policy" in checked:
             parse_policy(checked["policy"])
         change = ConfigChange(
