--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -29,7 +29,7 @@
         """Start to listen; crashed is told of the end, which all connections notice."""
         super().__init__(upstream_id, default_script)
         self._is_fatal = is_fatal
-        self._crashed = crashed
+        self._on_crashed = crashed
         self._open: set[socket.socket] = set()
         self.is_down = False
 
@@ -47,7 +47,7 @@
         self.stop()
         for one in self._open:
             reset(one)
-        self._crashed(self)
+        self._on_crashed(self)
 
     def _serve(self, raw: socket.socket, address: tuple[str, int]) -> None:
         """Serve one connection."""
