--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -61,7 +61,7 @@
         vol.Optional("runners"): [RUNNER],
     }
 )
-FACTS: Final = vol.Schema(
+FACTS_SCHEMA: Final = vol.Schema(
     {
         vol.Required("kind"): _TEXT,
         vol.Required("workspace"): _TEXT,
@@ -164,7 +164,7 @@
         policy = self._node.config.policy
         if policy is None:
             return send_problem(start, _bad_request("no policy is in force yet"))
-        return send_json(start, 200, explain(policy, Facts(**FACTS(raw))))
+        return send_json(start, 200, explain(policy, Facts(**FACTS_SCHEMA(raw))))
 
     def _gauges(self) -> dict[str, float]:
         """Return what is read when metrics are asked for."""
