--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -10,7 +10,7 @@
 
 from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script, reset
 
-CRASH_AFTER_S: Final = 0.1
+CRASH_DELAY_S: Final = 0.1
 """Time from when a request begins to run until its upstream ends."""
 BACK_AFTER_S: Final = 1.2
 """Time until another upstream takes the place of one that has crashed."""
@@ -37,7 +37,7 @@
         """Keep a request that is run here, and end of it if it is fatal."""
         super().record_request(seen)
         if self._is_fatal(seen):
-            gevent.spawn_later(CRASH_AFTER_S, self.crash)
+            gevent.spawn_later(CRASH_DELAY_S, self.crash)
 
     def crash(self) -> None:
         """End with all that runs here."""
