--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -12,7 +12,7 @@
 
 CRASH_DELAY_S: Final = 0.1
 """Time from when a request begins to run until its upstream ends."""
-BACK_AFTER_S: Final = 1.2
+REPLACEMENT_DELAY_S: Final = 1.2
 """Time until another upstream takes the place of one that has crashed."""
 
 
@@ -107,5 +107,5 @@
 
     def _replace(self, crashed: CrashingUpstream) -> None:
         """Have another one come for one that has crashed."""
-        gevent.spawn_later(BACK_AFTER_S, self._on_removed, crashed)
-        gevent.spawn_later(BACK_AFTER_S, self._start)
+        gevent.spawn_later(REPLACEMENT_DELAY_S, self._on_removed, crashed)
+        gevent.spawn_later(REPLACEMENT_DELAY_S, self._start)
