--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -205,7 +205,7 @@
         script = scripts.pop(0) if scripts else self._default_script()
         copy_of = headers.get("kv-from", "").rpartition("/")[2]
         if script.misdirected:
-            misdirected = (_id(request_id), *self._named())
+            misdirected = (_id(request_id), *self._signal_headers())
             connection.write(encode_head(421, misdirected, (b"Content-Length: 0",)))
             self._note_leaving(request_id)
             return
@@ -230,7 +230,7 @@
         finally:
             script.ended.set()
 
-    def _named(self) -> tuple[tuple[bytes, bytes], ...]:
+    def _signal_headers(self) -> tuple[tuple[bytes, bytes], ...]:
         """Return the headers by which it signals something about itself."""
         named = [(b"Server-Leaving", b"1")] if self.leaves else []
         if self.rate_limit is not None:
@@ -257,7 +257,12 @@
         more: tuple[tuple[bytes, bytes], ...] = (),
     ) -> None:
         """Turn a request away without running it."""
-        headers = (_id(request_id), (b"X-Driftstall-Not-Executed", b"1"), *self._named(), *more)
+        headers = (
+            _id(request_id),
+            (b"X-Driftstall-Not-Executed", b"1"),
+            *self._signal_headers(),
+            *more,
+        )
         connection.write(encode_head(status, headers, (b"Content-Length: 0",)))
         self._note_leaving(request_id)
 
@@ -273,15 +278,15 @@
             raw.recv(1)
             return
         if script.only_another:
-            another = (_id("another"), SEAL, *self._named())
+            another = (_id("another"), SEAL, *self._signal_headers())
             connection.write(encode_head(200, another, ()) + b"other")
             return
         if script.surplus_before:
             other = (_id("another"), SEAL)
-            named = (*other, *self._named())
+            named = (*other, *self._signal_headers())
             connection.write(encode_head(200, named, (b"Content-Length: 5",)) + b"other")
         gevent.sleep(script.work_s)
-        headers = (_id(request_id), SEAL, *self._named())
+        headers = (_id(request_id), SEAL, *self._signal_headers())
         length = () if script.unframed else (b"Content-Length: %d" % len(script.body),)
         connection.write(encode_head(script.status, headers, length))
         self._note_leaving(request_id)
@@ -306,7 +311,7 @@
         first = int(headers.get("last-event-id") or 0) + 1
         extra = () if script.unframed else (b"Transfer-Encoding: chunked",)
         framed = _as_it_is if script.unframed else encode_chunk
-        answer = (_id(request_id), SEAL, STREAM_TYPE, *self._named())
+        answer = (_id(request_id), SEAL, STREAM_TYPE, *self._signal_headers())
         if not connection.write(encode_head(script.status, answer, extra)):
             return
         self._note_leaving(request_id)
@@ -348,7 +353,7 @@
         """Answer a call of the system's own."""
         data = orjson.dumps(body)
         length = (b"Content-Length: %d" % len(data),)
-        connection.write(encode_head(status, self._named(), length) + data)
+        connection.write(encode_head(status, self._signal_headers(), length) + data)
 
     def _move(self, connection: CallerConnection, wanted: dict[str, Any]) -> None:
         """Answer a call that copies a run."""
