--- a/driftstall/daemon/http_responses.py
+++ b/driftstall/daemon/http_responses.py
@@ -37,7 +37,7 @@
     return f"{status} {REASONS.get(status, 'Status')}"
 
 
-def send(start: StartResponse, status: int, body: bytes, kind: str) -> Iterable[bytes]:
+def send_body(start: StartResponse, status: int, body: bytes, kind: str) -> Iterable[bytes]:
     """Answer with a whole body."""
     headers = [("Content-Type", kind), ("Content-Length", str(len(body)))]
     start(status_line(status), headers)
@@ -46,7 +46,7 @@
 
 def send_json(start: StartResponse, status: int, value: Any) -> Iterable[bytes]:
     """Answer with JSON."""
-    return send(start, status, orjson.dumps(value), JSON_TYPE)
+    return send_body(start, status, orjson.dumps(value), JSON_TYPE)
 
 
 def problem_fields(problem: Problem) -> dict[str, Any]:
