--- a/driftstall/daemon/settings.py
+++ b/driftstall/daemon/settings.py
@@ -84,7 +84,7 @@
     return check
 
 
-def _whole(low: int, high: int) -> Any:
+def _integer(low: int, high: int) -> Any:
     """Return a check for a whole number within bounds."""
     check = _number(low, high)
 
@@ -114,9 +114,9 @@
         vol.Required("operator_token"): _secret,
         vol.Required("peer_key"): _secret,
         vol.Required("locate_keep"): _number(0, 3600),
-        vol.Required("max_body"): _whole(1_000, 100_000_000),
-        vol.Required("max_connections"): _whole(1, 100_000),
-        vol.Required("max_requests"): _whole(1, 100_000),
+        vol.Required("max_body"): _integer(1_000, 100_000_000),
+        vol.Required("max_connections"): _integer(1, 100_000),
+        vol.Required("max_requests"): _integer(1, 100_000),
         vol.Required("idle_timeout"): _number(1, 3600),
         vol.Required("default_deadline"): _number(1, 86_400),
         vol.Required("tls_cert"): _text,
