--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -310,7 +310,7 @@
             return
         first = int(headers.get("last-event-id") or 0) + 1
         extra = () if script.unframed else (b"Transfer-Encoding: chunked",)
-        framed = _as_it_is if script.unframed else encode_chunk
+        framed = _unframed if script.unframed else encode_chunk
         answer = (_id(request_id), SEAL, STREAM_TYPE, *self._signal_headers())
         if not connection.write(encode_head(script.status, answer, extra)):
             return
@@ -381,7 +381,7 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def _as_it_is(data: bytes) -> bytes:
+def _unframed(data: bytes) -> bytes:
     """Return a piece of an answer that ends with its connection."""
     return data
 
