--- a/driftstall/daemon/settings.py
+++ b/driftstall/daemon/settings.py
@@ -68,7 +68,7 @@
     return text
 
 
-def _number(low: float, high: float) -> Any:
+def _bounded_number(low: float, high: float) -> Any:
     """Return a check for a number within bounds."""
     message = f"choose a number from {low:g} to {high:g}"
 
@@ -86,7 +86,7 @@
 
 def _integer(low: int, high: int) -> Any:
     """Return a check for a whole number within bounds."""
-    check = _number(low, high)
+    check = _bounded_number(low, high)
 
     def whole(value: Any) -> int:
         number = check(value)
@@ -113,12 +113,12 @@
         vol.Required("platform_token"): _text,
         vol.Required("operator_token"): _secret,
         vol.Required("peer_key"): _secret,
-        vol.Required("locate_keep"): _number(0, 3600),
+        vol.Required("locate_keep"): _bounded_number(0, 3600),
         vol.Required("max_body"): _integer(1_000, 100_000_000),
         vol.Required("max_connections"): _integer(1, 100_000),
         vol.Required("max_requests"): _integer(1, 100_000),
-        vol.Required("idle_timeout"): _number(1, 3600),
-        vol.Required("default_deadline"): _number(1, 86_400),
+        vol.Required("idle_timeout"): _bounded_number(1, 3600),
+        vol.Required("default_deadline"): _bounded_number(1, 86_400),
         vol.Required("tls_cert"): _text,
         vol.Required("tls_key"): _text,
         vol.Required("trace"): _text,
