--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -207,7 +207,7 @@
         if script.misdirected:
             misdirected = (_id(request_id), *self._signal_headers())
             connection.write(encode_head(421, misdirected, (b"Content-Length: 0",)))
-            self._note_leaving(request_id)
+            self._record_leaving_signal(request_id)
             return
         has_copy = copy_of in self.copies
         if script.not_run or (copy_of and not has_copy and not script.reset):
@@ -237,7 +237,7 @@
             named.append((b"Server-Limit", f"{self.rate_limit:g}".encode()))
         return (*named, *self.extra_headers)
 
-    def _note_leaving(self, request_id: str) -> None:
+    def _record_leaving_signal(self, request_id: str) -> None:
         """Note a response that signals that it leaves."""
         if self.leaves:
             self.signalled_leaving.append(SignalRecord(time.monotonic(), request_id))
@@ -264,7 +264,7 @@
             *more,
         )
         connection.write(encode_head(status, headers, (b"Content-Length: 0",)))
-        self._note_leaving(request_id)
+        self._record_leaving_signal(request_id)
 
     def _whole(
         self, raw: socket.socket, connection: CallerConnection, request_id: str, script: Script
@@ -289,7 +289,7 @@
         headers = (_id(request_id), SEAL, *self._signal_headers())
         length = () if script.unframed else (b"Content-Length: %d" % len(script.body),)
         connection.write(encode_head(script.status, headers, length))
-        self._note_leaving(request_id)
+        self._record_leaving_signal(request_id)
         if script.cut_after is not None:
             connection.write(script.body[: script.cut_after])
             reset(raw)
@@ -314,7 +314,7 @@
         answer = (_id(request_id), SEAL, STREAM_TYPE, *self._signal_headers())
         if not connection.write(encode_head(script.status, answer, extra)):
             return
-        self._note_leaving(request_id)
+        self._record_leaving_signal(request_id)
         if script.reset_after_head:
             reset(raw)
             return
