--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -107,7 +107,7 @@
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         if path.startswith("/control"):
             return self._control(environ, start, path)
-        start = self._naming_era(start)
+        start = self._with_era_header(start)
         if self.faults.slow_s:
             gevent.sleep(self.faults.slow_s)
         if time.monotonic() < self.faults.down_until:
@@ -121,7 +121,7 @@
             return self._read(environ, start, kind, name)
         return self._write(environ, start, method, kind, name)
 
-    def _naming_era(self, start: StartResponse) -> StartResponse:
+    def _with_era_header(self, start: StartResponse) -> StartResponse:
         """Have all answers name the era in which they are given."""
 
         def named(status: str, headers: list[tuple[str, str]]) -> Any:
