--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -129,7 +129,7 @@
 
         return named
 
-    def _take_copy(self, without: str) -> None:
+    def _take_snapshot(self, without: str) -> None:
         """Remember all that is held now, but for one kind, as if that were written later."""
         objects = {place: one for place, one in self.objects.items() if place[0] != without}
         self.copy = Copy(objects, tuple(self.history), self.forgotten, self.revision)
@@ -244,7 +244,7 @@
         if "down_s" in script:
             self.faults.down_until = time.monotonic() + script["down_s"]
         if script.get("copy"):
-            self._take_copy(script.get("without", ""))
+            self._take_snapshot(script.get("without", ""))
         self.revision += int(script.get("changed_elsewhere", 0))
         if script.get("come_back"):
             self._come_back(script.get("written_at_once", []))
