--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -134,7 +134,7 @@
         objects = {place: one for place, one in self.objects.items() if place[0] != without}
         self.copy = Copy(objects, tuple(self.history), self.forgotten, self.revision)
 
-    def _come_back(self, written_at_once: list[dict[str, Any]]) -> None:
+    def _restore_snapshot(self, written_at_once: list[dict[str, Any]]) -> None:
         """Hold what the copy holds; what was written since is gone, and its revisions as well.
 
         What is written at once is there before any watch has noticed the return.
@@ -247,7 +247,7 @@
             self._take_snapshot(script.get("without", ""))
         self.revision += int(script.get("changed_elsewhere", 0))
         if script.get("come_back"):
-            self._come_back(script.get("written_at_once", []))
+            self._restore_snapshot(script.get("written_at_once", []))
         if script.get("forget"):
             self.forgotten = self.revision
             self.history.clear()
