--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class Snapshot:
     """Hold what the store held at one moment."""
 
     objects: dict[tuple[str, str], dict[str, Any]]
@@ -98,7 +98,7 @@
     revision: int = 0
     era: int = 1
     """Rises by one each time that the store comes back from a copy."""
-    copy: Copy | None = None
+    copy: Snapshot | None = None
     faults: Faults = field(default_factory=Faults)
     changed: Event = field(default_factory=Event)
 
@@ -132,7 +132,7 @@
     def _take_snapshot(self, without: str) -> None:
         """Remember all that is held now, but for one kind, as if that were written later."""
         objects = {place: one for place, one in self.objects.items() if place[0] != without}
-        self.copy = Copy(objects, tuple(self.history), self.forgotten, self.revision)
+        self.copy = Snapshot(objects, tuple(self.history), self.forgotten, self.revision)
 
     def _restore_snapshot(self, written_at_once: list[dict[str, Any]]) -> None:
         """Hold what the copy holds; what was written since is gone, and its revisions as well.
