--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -127,14 +127,14 @@
         """Drop a generation and free its memory."""
         generation = self.find(generation_id)
         if generation is not None:
-            self._take_out(generation)
+            self._remove(generation)
 
     def pause(self, generation_id: str) -> None:
         """Free a generation's memory but keep its tokens, for a later resume."""
         generation = self.find(generation_id)
         if generation is None or generation.phase is Phase.PAUSED:
             return
-        self._take_out(generation)
+        self._remove(generation)
         generation.phase = Phase.PAUSED
         self.paused[generation_id] = generation
 
@@ -144,7 +144,7 @@
         if generation is not None:
             self._queue(generation)
 
-    def _take_out(self, generation: Generation) -> None:
+    def _remove(self, generation: Generation) -> None:
         """Remove a generation from wherever it is."""
         self.paused.pop(generation.generation_id, None)
         if self.running.pop(generation.generation_id, None) is not None:
@@ -205,7 +205,7 @@
 
     def _preempt(self, generation: Generation) -> None:
         """Take a stream's memory; it will prefill again."""
-        self._take_out(generation)
+        self._remove(generation)
         generation.preempted += 1
         self.preemptions += 1
         self._queue(generation)
@@ -266,7 +266,7 @@
 
     def _finish(self, generation: Generation) -> None:
         """Free a finished stream's memory; its prefix stays cached."""
-        self._take_out(generation)
+        self._remove(generation)
         prefix = generation.prefix
         if generation.reply is not None:
             prefix = (*prefix, generation.reply)
