--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -191,13 +191,13 @@
 
     def _preempt_for(self, generation: Generation) -> bool:
         """Preempt a strictly lower priority for a waiting one."""
-        victim = self._victim()
+        victim = self._choose_victim()
         if victim is None or victim.priority <= generation.priority:
             return False
         self._preempt(victim)
         return True
 
-    def _victim(self) -> Generation | None:
+    def _choose_victim(self) -> Generation | None:
         """Return the lowest priority, youngest stream."""
         if not self.running:
             return None
@@ -213,7 +213,7 @@
     def _room(self, need: int, evicted: list[int], preempted: list[Generation]) -> bool:
         """Make room for some tokens; tell whether there is room now."""
         while self.used_tokens + need > self.shape.memory_tokens:
-            victim = self._victim()
+            victim = self._choose_victim()
             if victim is None:
                 return False
             self._preempt(victim)
