--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -210,7 +210,7 @@
         self.preemptions += 1
         self._queue(generation)
 
-    def _room(self, need: int, evicted: list[int], preempted: list[Generation]) -> bool:
+    def _make_room(self, need: int, evicted: list[int], preempted: list[Generation]) -> bool:
         """Make room for some tokens; tell whether there is room now."""
         while self.used_tokens + need > self.shape.memory_tokens:
             victim = self._choose_victim()
@@ -231,7 +231,10 @@
             part = min(left, generation.target - generation.filled)
             if part <= 0 or generation.phase is not Phase.PREFILL:
                 continue
-            if not self._room(part, evicted, preempted) or generation.phase is not Phase.PREFILL:
+            if (
+                not self._make_room(part, evicted, preempted)
+                or generation.phase is not Phase.PREFILL
+            ):
                 continue
             generation.filled += part
             self._used += part
@@ -253,7 +256,7 @@
         for generation in list(self.running.values()):
             if generation.phase is not Phase.DECODE:
                 continue
-            if not self._room(1, evicted, preempted) or generation.phase is not Phase.DECODE:
+            if not self._make_room(1, evicted, preempted) or generation.phase is not Phase.DECODE:
                 continue
             generation.filled += 1
             self._used += 1
