--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -42,7 +42,7 @@
 CACHE_LAG_S = 1.0
 CACHE_GAP = 0.1
 """Share of cache events that are lost."""
-ORPHAN_S = 10.0
+ORPHAN_TIMEOUT_S = 10.0
 """How long a generation runs on with nobody reading."""
 KEPT_FINISHED = 2_000
 CRASH_TAG = "[crash]"
@@ -176,7 +176,7 @@
         now = time.monotonic()
         for generation in list(self._engine.running.values()):
             stream = self._streams.get(generation.generation_id)
-            if stream and not stream.readers and now - stream.orphan_at > ORPHAN_S:
+            if stream and not stream.readers and now - stream.orphan_at > ORPHAN_TIMEOUT_S:
                 self._cancel(stream)
 
     def _cancel(self, stream: Stream) -> None:
