--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -44,7 +44,7 @@
 """Share of cache events that are lost."""
 ORPHAN_TIMEOUT_S = 10.0
 """How long a generation runs on with nobody reading."""
-KEPT_FINISHED = 2_000
+MAX_FINISHED_STREAMS = 2_000
 CRASH_TAG = "[crash]"
 """A prompt with this ends the process that runs it."""
 CRASH_S = 0.05
@@ -158,7 +158,7 @@
         stream.done = True
         self.counts["finished"] += 1
         self._finished.append(stream.generation.generation_id)
-        while len(self._finished) > KEPT_FINISHED:
+        while len(self._finished) > MAX_FINISHED_STREAMS:
             self._streams.pop(self._finished.popleft(), None)
 
     def _note_cache(self, evicted: Iterable[int]) -> None:
