--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -142,7 +142,7 @@
                 stream = self._streams.get(generation.generation_id)
                 if stream is not None:
                     self._wake(stream)
-            self._note_cache(step.evicted)
+            self._record_cache_events(step.evicted)
             self._drop_orphans()
 
     def _wake(self, stream: Stream) -> None:
@@ -161,7 +161,7 @@
         while len(self._finished) > MAX_FINISHED_STREAMS:
             self._streams.pop(self._finished.popleft(), None)
 
-    def _note_cache(self, evicted: Iterable[int]) -> None:
+    def _record_cache_events(self, evicted: Iterable[int]) -> None:
         """Keep cache events for later, with gaps."""
         now = time.monotonic()
         events: list[tuple[tuple[PrefixMark, ...], int]] = [((), one) for one in evicted]
