--- a/stand_ins/http.py
+++ b/stand_ins/http.py
@@ -29,7 +29,7 @@
         return environ
 
 
-def cut(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
+def close_unanswered(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
     """Lose the answer: close the connection before any byte of it leaves."""
     environ[ENVIRON_SOCKET].shutdown(socket.SHUT_RDWR)
     return answer(start, 200, {})
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -25,7 +25,7 @@
 from docopt import docopt  # noqa: E402
 from gevent.event import Event  # noqa: E402
 
-from stand_ins.http import StartResponse, answer, cut, query, read_json, serve  # noqa: E402
+from stand_ins.http import StartResponse, answer, close_unanswered, query, read_json, serve  # noqa: E402
 
 PREFIX = "/api/objects/"
 MAX_VALUE_BYTES = 1_048_576
@@ -209,7 +209,7 @@
         stored = self._change(kind, name, body.get("spec"), gone=method == "DELETE")
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return cut(environ, start)
+            return close_unanswered(environ, start)
         return answer(start, 200, stored)
 
     def _change(self, kind: str, name: str, spec: Any, *, gone: bool) -> dict[str, Any]:
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -28,7 +28,7 @@
     Signals,
     StartResponse,
     answer,
-    cut,
+    close_unanswered,
     read_json,
     serve,
 )
@@ -82,7 +82,7 @@
             gevent.sleep(self.late_s)
         if self.drop_answers > 0:
             self.drop_answers -= 1
-            return cut(environ, start)
+            return close_unanswered(environ, start)
         echo = body.decode("utf-8", "replace")[:200]
         told = {"service": self.name, "call": call_id, "echo": echo}
         return answer(start, 200, told, self.signals.headers())
