--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -36,7 +36,7 @@
     broken_promises,
 )
 from soak.fleet import Listed
-from soak.ledger import Arrival, Asked, Ended, Ledger, Limited, Notice, Sort, Stay, Window
+from soak.ledger import Arrival, Asked, Ended, Ledger, Limited, Notice, RequestKind, Stay, Window
 from soak.plan import CALM_LAST_S, Kind, Plan, draw
 from soak.proxy import Proxy
 from soak.run import Size, Soak
@@ -52,9 +52,9 @@
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (number, number) for number in numbers)
 
 
-def good(ledger: Ledger, name: str, sort: Sort, at: float, path: str = "") -> Asked:
+def good(ledger: Ledger, name: str, sort: RequestKind, at: float, path: str = "") -> Asked:
     """Add a request that was served well."""
-    body = stream_body(1, 2, 3) if sort is Sort.STREAM else b"whole"
+    body = stream_body(1, 2, 3) if sort is RequestKind.STREAM else b"whole"
     target = path or f"/{sort}/x"
     asked = Asked(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
     ledger.asked[name] = asked
@@ -108,11 +108,11 @@
     """Record some requests of each sort."""
     ledger = context.ledger = Ledger(EVENTS)
     for index in range(100):
-        sort = (Sort.SAFE, Sort.ONCE, Sort.STREAM)[index % 3]
+        sort = (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)[index % 3]
         good(ledger, f"r{index}", sort, START + index)
-    context.once = good(ledger, "once", Sort.ONCE, LATER)
-    context.stream = good(ledger, "stream", Sort.STREAM, LATER)
-    refused = good(ledger, "refused", Sort.ONCE, LATER)
+    context.once = good(ledger, "once", RequestKind.ONCE, LATER)
+    context.stream = good(ledger, "stream", RequestKind.STREAM, LATER)
+    refused = good(ledger, "refused", RequestKind.ONCE, LATER)
     refused.status, refused.body, refused.sealed = 503, b'{"retry_after_s": 0.4}', False
     ledger.arrivals.pop()
     context.refused = refused
@@ -128,7 +128,7 @@
     """Let an upstream get a call long after its notice."""
     context.ledger.notices["u9"] = Notice("u9", LATER - 3.0)
     arrive(context, "late", "u9", "/safe/x", LATER)
-    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=Sort.SAFE)
+    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=RequestKind.SAFE)
     context.ledger.asked["late"].path = "/safe/x"
 
 
@@ -137,7 +137,7 @@
     window = Window(LATER - CORDON_S - 1.0, LATER + 1.0)
     context.ledger.cordoned.append(Stay("u9", window))
     arrive(context, "late", "u9", "/safe/x", LATER)
-    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=Sort.SAFE)
+    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=RequestKind.SAFE)
     context.ledger.asked["late"].path = "/safe/x"
 
 
@@ -146,7 +146,7 @@
     window = Window(LATER - COLD_KNOWN_S, LATER + 2.0)
     context.ledger.cold.append(Stay("u9", window))
     for index in range(int(COLD_RATE * COLD_OVER + COLD_SLACK) + 1):
-        good(context.ledger, f"cold-{index}", Sort.SAFE, LATER)
+        good(context.ledger, f"cold-{index}", RequestKind.SAFE, LATER)
         context.ledger.arrivals[-1] = replace(
             context.ledger.arrivals[-1], upstream_id="u9", at=LATER + index * 0.1
         )
@@ -158,7 +158,7 @@
     context.ledger.limited.append(Limited("u9", 2.0, window, is_first=True))
     for index in range(int(2.0 * LIMIT_OVER * LIMIT_WINDOW_S) + LIMIT_SLACK + 1):
         at = LATER + index * 0.1
-        good(context.ledger, f"limit-{index}", Sort.SAFE, at)
+        good(context.ledger, f"limit-{index}", RequestKind.SAFE, at)
         arrival = replace(context.ledger.arrivals[-1], upstream_id="u9", at=at)
         context.ledger.arrivals[-1] = arrival
 
@@ -169,19 +169,19 @@
     context.ledger.ended_under += [Ended(f"u{n}", target, LATER - 9.0 + n) for n in range(3)]
     for index in range(FATAL_SENDS + 1):
         at = LATER + index * 0.1
-        asked = good(context.ledger, f"fatal-{index}", Sort.STREAM, at, target)
+        asked = good(context.ledger, f"fatal-{index}", RequestKind.STREAM, at, target)
         asked.status = 502
 
 
 def refused_wrongly(context: Any) -> None:
     """Let ordinary calls be refused as if they ended upstreams."""
     for index in range(BLAMED_WRONGLY + 1):
-        asked = good(context.ledger, f"wrongly-{index}", Sort.SAFE, LATER)
+        asked = good(context.ledger, f"wrongly-{index}", RequestKind.SAFE, LATER)
         asked.status, asked.body = 503, b'{"code":"crashes_runners","retry_after_s":30}'
         context.ledger.arrivals.pop()
 
 
-def probe(context: Any, sort: Sort, status: int) -> None:
+def probe(context: Any, sort: RequestKind, status: int) -> None:
     """Record a probe of the configuration."""
     asked = good(context.ledger, "probe", sort, LATER, "/added3/x")
     asked.status = status
@@ -226,8 +226,8 @@
     "an upstream got more calls than its limit allows": over_limit,
     "a request was sent on after three upstreams had ended under it": sent_on,
     "calls that end nothing are refused for it": refused_wrongly,
-    "an added route is denied by a calm instance": lambda c: probe(c, Sort.ADDED, 404),
-    "a dropped route is served by a calm instance": lambda c: probe(c, Sort.DROPPED, 200),
+    "an added route is denied by a calm instance": lambda c: probe(c, RequestKind.ADDED, 404),
+    "a dropped route is served by a calm instance": lambda c: probe(c, RequestKind.DROPPED, 200),
     "a calm instance gives no answer for 4 s": unanswered,
     "the last calls were not served": last_unserved,
     "a process has ended by itself": lambda c: c.ledger.ended.append("x ended by itself with 139"),
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from soak.ledger import STORE, Arrival, Asked, Ledger, Sort
+from soak.ledger import STORE, Arrival, Asked, Ledger, RequestKind
 
 NOT_RUN: Final = frozenset({408, 421, 429, 503})
 """Statuses that promise that the request has not run and never will."""
@@ -78,7 +78,7 @@
 def _request(ledger: Ledger, one: Asked, runs: dict[str, list[Arrival]]) -> Iterator[str]:
     """Check one request by itself."""
     ran = [arrival for arrival in runs[one.request_id] if not arrival.is_resumed]
-    if one.sort in (Sort.ONCE, Sort.STREAM) and len(ran) > 1:
+    if one.sort in (RequestKind.ONCE, RequestKind.STREAM) and len(ran) > 1:
         yield f"ran {len(ran)} times"
     if one.status in NOT_RUN and ran:
         yield "said not to have run, but ran"
@@ -86,11 +86,14 @@
         yield "refused without a time to come back"
     if one.status == 200 and not one.sealed:
         yield "a success that no upstream gave"
-    if one.sort is Sort.STREAM and one.status == 200:
+    if one.sort is RequestKind.STREAM and one.status == 200:
         yield from _stream(ledger, one)
     elif one.status == 200 and one.complete and one.body != b"whole":
         yield "a success with another body"
-    if one.sort in (Sort.SAFE, Sort.ONCE, Sort.STREAM) and one.status in DENIED:
+    if (
+        one.sort in (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)
+        and one.status in DENIED
+    ):
         yield "denied though every configuration allows it"
     yield from _configuration(ledger, one)
     yield from _in_time(ledger, one)
@@ -107,11 +110,11 @@
 
 def _configuration(ledger: Ledger, one: Asked) -> Iterator[str]:
     """Check what the newest configuration has changed, at calm instances."""
-    if one.sort not in (Sort.ADDED, Sort.DROPPED) or not _calm(ledger, one):
+    if one.sort not in (RequestKind.ADDED, RequestKind.DROPPED) or not _calm(ledger, one):
         return
-    if one.sort is Sort.ADDED and one.status in DENIED:
+    if one.sort is RequestKind.ADDED and one.status in DENIED:
         yield "an added route is not known"
-    if one.sort is Sort.DROPPED and one.status == 200:
+    if one.sort is RequestKind.DROPPED and one.status == 200:
         yield "a dropped route is still served"
 
 
@@ -313,7 +316,9 @@
 
 def _recovery(ledger: Ledger) -> Iterator[str]:
     """Check that nearly all is served once all faults have ended."""
-    usual = [one for one in ledger.asked.values() if one.sort in (Sort.SAFE, Sort.ONCE)]
+    usual = [
+        one for one in ledger.asked.values() if one.sort in (RequestKind.SAFE, RequestKind.ONCE)
+    ]
     end = max((one.sent_at for one in usual), default=0.0)
     last = [one for one in usual if one.sent_at >= end - LAST_S]
     served = sum(one.status == 200 and one.complete for one in last)
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -11,7 +11,7 @@
 STORE = "store"
 
 
-class Sort(StrEnum):
+class RequestKind(StrEnum):
     """Name the sort of a request."""
 
     SAFE = "safe"
@@ -28,7 +28,7 @@
     """Hold one request of a caller, and how it ended."""
 
     request_id: str
-    sort: Sort
+    sort: RequestKind
     path: str
     instance: str
     sent_at: float
--- a/soak/run.py
+++ b/soak/run.py
@@ -25,13 +25,13 @@
 from soak.caller import CallerConnection
 from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, broken_promises
 from soak.fleet import EVENTS, FATAL, ZONES, Listed
-from soak.ledger import STORE, Asked, Ledger, Sort, Stay, Window
+from soak.ledger import STORE, Asked, Ledger, RequestKind, Stay, Window
 from soak.plan import Kind, Plan, Step, draw
 from soak.proxy import Proxy
 
 GRACE_S: Final = 3.0
 """Time from SIGTERM to SIGKILL (graceS)."""
-TIMEOUTS_S: Final = {Sort.STREAM: 6.0}
+TIMEOUTS_S: Final = {RequestKind.STREAM: 6.0}
 CALL_TIMEOUT_S: Final = 2.0
 LOCATED_S: Final = 1.0
 """How long a caller keeps located addresses."""
@@ -378,7 +378,7 @@
         wanted = document(self._version)
         for one in wanted["routes"]:
             long = one["kind"] == "streaming"
-            one["timeoutMs"] = (TIMEOUTS_S[Sort.STREAM] if long else CALL_TIMEOUT_S) * 1000
+            one["timeoutMs"] = (TIMEOUTS_S[RequestKind.STREAM] if long else CALL_TIMEOUT_S) * 1000
         if self._size.plan is Plan.ZONES:
             wanted["services"] = [one | {"coldPerS": COLD_RATE} for one in wanted["services"]]
         added = route("added", f"/added{self._version}/", "safe", "portal")
@@ -400,7 +400,9 @@
             if not located:
                 gevent.sleep(REJECTED_PAUSE_S)
                 continue
-            sort = source.choice((Sort.SAFE, Sort.ONCE, Sort.ONCE, Sort.STREAM))
+            sort = source.choice(
+                (RequestKind.SAFE, RequestKind.ONCE, RequestKind.ONCE, RequestKind.STREAM)
+            )
             asked = self._ask(connection, source.choice(located), sort, f"/{sort}/x")
             gevent.sleep(source.uniform(0.0, 0.2) + (asked.status != 200) * REJECTED_PAUSE_S)
         connection.close()
@@ -412,7 +414,7 @@
         while self._traffic:
             connection = CallerConnection()
             instance = source.choice(self._instances)
-            self._ask(connection, instance, Sort.STREAM, f"{FATAL}-{number}")
+            self._ask(connection, instance, RequestKind.STREAM, f"{FATAL}-{number}")
             connection.close()
             gevent.sleep(source.uniform(*FATAL_PAUSE_S))
 
@@ -430,7 +432,7 @@
         return []
 
     def _ask(
-        self, connection: CallerConnection, instance: GatewayProcess, sort: Sort, path: str
+        self, connection: CallerConnection, instance: GatewayProcess, sort: RequestKind, path: str
     ) -> Asked:
         """Send one request."""
         timeout_s = TIMEOUTS_S.get(sort, CALL_TIMEOUT_S)
@@ -453,7 +455,7 @@
 
     def _probe_one(self, instance: GatewayProcess, version: int) -> None:
         """Ask one instance for the newest route and for the one dropped last."""
-        for sort, number in ((Sort.ADDED, version), (Sort.DROPPED, version - 1)):
+        for sort, number in ((RequestKind.ADDED, version), (RequestKind.DROPPED, version - 1)):
             if self._version != version:
                 return
             connection = CallerConnection()
