--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -25,7 +25,7 @@
     EVENT_STREAM,
     StartResponse,
     problem_fields,
-    send,
+    send_body,
     send_json,
     send_problem,
 )
@@ -73,7 +73,7 @@
         """Serve one call; an unforeseen fault is answered, not fatal."""
         path = environ["PATH_INFO"]
         if path == PATH_LIVE:
-            return send(start, 200, b"live\n", "text/plain")
+            return send_body(start, 200, b"live\n", "text/plain")
         if path == PATH_READY:
             return self._serve_readiness(start)
         self._hub.stats.requests += 1
@@ -101,8 +101,8 @@
     def _serve_readiness(self, start: StartResponse) -> Iterable[bytes]:
         """Tell whether this instance may be used."""
         if self._node.is_ready:
-            return send(start, 200, b"ready\n", "text/plain")
-        return send(start, 503, b"not ready\n", "text/plain")
+            return send_body(start, 200, b"ready\n", "text/plain")
+        return send_body(start, 503, b"not ready\n", "text/plain")
 
     def _serve(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Run the filter chain, then what the path asks for."""
@@ -299,7 +299,7 @@
         if isinstance(result, Problem):
             return self._respond_problem(start, result)
         self._hub.stats.completed += 1
-        return send(start, result.status, result.body, result.content_type)
+        return send_body(start, result.status, result.body, result.content_type)
 
 
 def resume_prefix(key: bytes, workspace: str, runner_id: str, generation: str) -> bytes:
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -18,7 +18,7 @@
     WorkspaceConfig,
 )
 from driftstall.core import Problem, Ran
-from driftstall.daemon.http_responses import StartResponse, send, send_json, send_problem
+from driftstall.daemon.http_responses import StartResponse, send_body, send_json, send_problem
 from driftstall.daemon.node import Node
 from driftstall.daemon.stats import COUNTERS, render
 from driftstall.daemon.wire import config_to_json
@@ -86,7 +86,7 @@
         """Serve one call."""
         route = f"{environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         if route == "GET /metrics":
-            return send(start, 200, render(self._node.hub.stats, self._gauges()), "text/plain")
+            return send_body(start, 200, render(self._node.hub.stats, self._gauges()), "text/plain")
         header = environ.get("HTTP_AUTHORIZATION", "")
         if not hmac.compare_digest(header.encode(), f"Bearer {self._token}".encode()):
             detail = "send the operator token as 'Authorization: Bearer TOKEN'"
