--- a/soak/checks.py
+++ b/soak/checks.py
@@ -78,7 +78,7 @@
 def _request(ledger: Ledger, one: Asked, runs: dict[str, list[Arrival]]) -> Iterator[str]:
     """Check one request by itself."""
     ran = [arrival for arrival in runs[one.request_id] if not arrival.is_resumed]
-    if one.sort in (RequestKind.ONCE, RequestKind.STREAM) and len(ran) > 1:
+    if one.kind in (RequestKind.ONCE, RequestKind.STREAM) and len(ran) > 1:
         yield f"ran {len(ran)} times"
     if one.status in NOT_RUN and ran:
         yield "said not to have run, but ran"
@@ -86,12 +86,12 @@
         yield "refused without a time to come back"
     if one.status == 200 and not one.sealed:
         yield "a success that no upstream gave"
-    if one.sort is RequestKind.STREAM and one.status == 200:
+    if one.kind is RequestKind.STREAM and one.status == 200:
         yield from _stream(ledger, one)
     elif one.status == 200 and one.complete and one.body != b"whole":
         yield "a success with another body"
     if (
-        one.sort in (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)
+        one.kind in (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)
         and one.status in DENIED
     ):
         yield "denied though every configuration allows it"
@@ -110,11 +110,11 @@
 
 def _configuration(ledger: Ledger, one: Asked) -> Iterator[str]:
     """Check what the newest configuration has changed, at calm instances."""
-    if one.sort not in (RequestKind.ADDED, RequestKind.DROPPED) or not _calm(ledger, one):
+    if one.kind not in (RequestKind.ADDED, RequestKind.DROPPED) or not _calm(ledger, one):
         return
-    if one.sort is RequestKind.ADDED and one.status in DENIED:
+    if one.kind is RequestKind.ADDED and one.status in DENIED:
         yield "an added route is not known"
-    if one.sort is RequestKind.DROPPED and one.status == 200:
+    if one.kind is RequestKind.DROPPED and one.status == 200:
         yield "a dropped route is still served"
 
 
@@ -317,7 +317,7 @@
 def _recovery(ledger: Ledger) -> Iterator[str]:
     """Check that nearly all is served once all faults have ended."""
     usual = [
-        one for one in ledger.asked.values() if one.sort in (RequestKind.SAFE, RequestKind.ONCE)
+        one for one in ledger.asked.values() if one.kind in (RequestKind.SAFE, RequestKind.ONCE)
     ]
     end = max((one.sent_at for one in usual), default=0.0)
     last = [one for one in usual if one.sent_at >= end - LAST_S]
@@ -329,6 +329,6 @@
 def _describe(one: Asked) -> str:
     """Return what one needs to look a request up in the logs."""
     return (
-        f"request {one.request_id} ({one.sort}) to {one.instance} at {one.sent_at:.2f} s, "
+        f"request {one.request_id} ({one.kind}) to {one.instance} at {one.sent_at:.2f} s, "
         f"status {one.status}, complete {one.complete}, took {one.ended_at - one.sent_at:.2f} s"
     )
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -28,7 +28,7 @@
     """Hold one request of a caller, and how it ended."""
 
     request_id: str
-    sort: RequestKind
+    kind: RequestKind
     path: str
     instance: str
     sent_at: float
