--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -36,7 +36,17 @@
     broken_promises,
 )
 from soak.fleet import Listed
-from soak.ledger import Arrival, Asked, Ended, Ledger, Limited, Notice, RequestKind, Stay, Window
+from soak.ledger import (
+    Arrival,
+    Ended,
+    Ledger,
+    Limited,
+    Notice,
+    RequestKind,
+    SentRequest,
+    Stay,
+    Window,
+)
 from soak.plan import CALM_LAST_S, Kind, Plan, draw
 from soak.proxy import Proxy
 from soak.run import Size, Soak
@@ -52,11 +62,11 @@
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (number, number) for number in numbers)
 
 
-def good(ledger: Ledger, name: str, sort: RequestKind, at: float, path: str = "") -> Asked:
+def good(ledger: Ledger, name: str, sort: RequestKind, at: float, path: str = "") -> SentRequest:
     """Add a request that was served well."""
     body = stream_body(1, 2, 3) if sort is RequestKind.STREAM else b"whole"
     target = path or f"/{sort}/x"
-    asked = Asked(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
+    asked = SentRequest(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
     ledger.asked[name] = asked
     ledger.arrivals.append(Arrival(name, "u1", target, at + 0.05, False))
     return asked
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from features.worlds.gateway_world import request_bytes
-from soak.ledger import Asked
+from soak.ledger import SentRequest
 
 CONNECT_S: Final = 1.0
 SPARE_S: Final = 2.0
@@ -53,7 +53,7 @@
         self._connection: socket.socket | None = None
         self._address = ""
 
-    def ask(self, address: str, asked: Asked) -> None:
+    def ask(self, address: str, asked: SentRequest) -> None:
         """Send one request and fill in how it ended."""
         try:
             self._open(address)
@@ -86,7 +86,7 @@
         self._connection = socket.create_connection((host, int(port)), CONNECT_S)
         self._address = address
 
-    def _read(self, asked: Asked) -> None:
+    def _read(self, asked: SentRequest) -> None:
         """Read one answer to its end, or to the connection's."""
         assert self._connection is not None
         answer = _Answer()
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from soak.ledger import STORE, Arrival, Asked, Ledger, RequestKind
+from soak.ledger import STORE, Arrival, Ledger, RequestKind, SentRequest
 
 NOT_RUN: Final = frozenset({408, 421, 429, 503})
 """Statuses that promise that the request has not run and never will."""
@@ -75,7 +75,7 @@
     return found
 
 
-def _request(ledger: Ledger, one: Asked, runs: dict[str, list[Arrival]]) -> Iterator[str]:
+def _request(ledger: Ledger, one: SentRequest, runs: dict[str, list[Arrival]]) -> Iterator[str]:
     """Check one request by itself."""
     ran = [arrival for arrival in runs[one.request_id] if not arrival.is_resumed]
     if one.kind in (RequestKind.ONCE, RequestKind.STREAM) and len(ran) > 1:
@@ -99,7 +99,7 @@
     yield from _in_time(ledger, one)
 
 
-def _stream(ledger: Ledger, one: Asked) -> Iterator[str]:
+def _stream(ledger: Ledger, one: SentRequest) -> Iterator[str]:
     """Check the events of a stream."""
     events = one.events
     if events != list(range(1, len(events) + 1)):
@@ -108,7 +108,7 @@
         yield f"ended as complete after {len(events)} events"
 
 
-def _configuration(ledger: Ledger, one: Asked) -> Iterator[str]:
+def _configuration(ledger: Ledger, one: SentRequest) -> Iterator[str]:
     """Check what the newest configuration has changed, at calm instances."""
     if one.kind not in (RequestKind.ADDED, RequestKind.DROPPED) or not _calm(ledger, one):
         return
@@ -118,14 +118,14 @@
         yield "a dropped route is still served"
 
 
-def _in_time(ledger: Ledger, one: Asked) -> Iterator[str]:
+def _in_time(ledger: Ledger, one: SentRequest) -> Iterator[str]:
     """Check that the final answer came in time, from a calm instance."""
     took_s = one.ended_at - one.sent_at
     if took_s > one.timeout_s + LATE_S + MACHINE_SLACK_S and _calm(ledger, one):
         yield f"no final answer for {took_s:.1f} s"
 
 
-def _calm(ledger: Ledger, one: Asked, until: float | None = None) -> bool:
+def _calm(ledger: Ledger, one: SentRequest, until: float | None = None) -> bool:
     """Tell whether the instance and the store were calm around a request, to its end or earlier."""
     begins, ends = one.sent_at - CALM_AFTER_S, one.ended_at if until is None else until
     return all(ledger.calm(name, begins, ends) for name in (one.instance, STORE))
@@ -326,7 +326,7 @@
         yield f"only {served} of the last {len(last)} calls were served"
 
 
-def _describe(one: Asked) -> str:
+def _describe(one: SentRequest) -> str:
     """Return what one needs to look a request up in the logs."""
     return (
         f"request {one.request_id} ({one.kind}) to {one.instance} at {one.sent_at:.2f} s, "
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SentRequest:
     """Hold one request of a caller, and how it ended."""
 
     request_id: str
@@ -110,7 +110,7 @@
 
     events: int
     """Events of a whole stream."""
-    asked: dict[str, Asked] = field(default_factory=dict)
+    asked: dict[str, SentRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     notices: dict[str, Notice] = field(default_factory=dict)
     told: dict[str, Notice] = field(default_factory=dict)
--- a/soak/run.py
+++ b/soak/run.py
@@ -25,7 +25,7 @@
 from soak.caller import CallerConnection
 from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, broken_promises
 from soak.fleet import EVENTS, FATAL, ZONES, Listed
-from soak.ledger import STORE, Asked, Ledger, RequestKind, Stay, Window
+from soak.ledger import STORE, Ledger, RequestKind, SentRequest, Stay, Window
 from soak.plan import Kind, Plan, Step, draw
 from soak.proxy import Proxy
 
@@ -433,11 +433,11 @@
 
     def _ask(
         self, connection: CallerConnection, instance: GatewayProcess, sort: RequestKind, path: str
-    ) -> Asked:
+    ) -> SentRequest:
         """Send one request."""
         timeout_s = TIMEOUTS_S.get(sort, CALL_TIMEOUT_S)
         request_id = f"s{self._seed}-{next(self._numbers)}"
-        asked = Asked(request_id, sort, path, instance.name, time.monotonic(), timeout_s)
+        asked = SentRequest(request_id, sort, path, instance.name, time.monotonic(), timeout_s)
         self.ledger.asked[request_id] = asked
         connection.ask(instance.listen["front"], asked)
         return asked
