--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -67,7 +67,7 @@
     body = stream_body(1, 2, 3) if sort is RequestKind.STREAM else b"whole"
     target = path or f"/{sort}/x"
     asked = SentRequest(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
-    ledger.asked[name] = asked
+    ledger.requests[name] = asked
     ledger.arrivals.append(Arrival(name, "u1", target, at + 0.05, False))
     return asked
 
@@ -138,8 +138,10 @@
     """Let an upstream get a call long after its notice."""
     context.ledger.notices["u9"] = Notice("u9", LATER - 3.0)
     arrive(context, "late", "u9", "/safe/x", LATER)
-    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=RequestKind.SAFE)
-    context.ledger.asked["late"].path = "/safe/x"
+    context.ledger.requests["late"] = replace(
+        context.once, request_id="late", sort=RequestKind.SAFE
+    )
+    context.ledger.requests["late"].path = "/safe/x"
 
 
 def in_cordon(context: Any) -> None:
@@ -147,8 +149,10 @@
     window = Window(LATER - CORDON_S - 1.0, LATER + 1.0)
     context.ledger.cordoned.append(Stay("u9", window))
     arrive(context, "late", "u9", "/safe/x", LATER)
-    context.ledger.asked["late"] = replace(context.once, request_id="late", sort=RequestKind.SAFE)
-    context.ledger.asked["late"].path = "/safe/x"
+    context.ledger.requests["late"] = replace(
+        context.once, request_id="late", sort=RequestKind.SAFE
+    )
+    context.ledger.requests["late"].path = "/safe/x"
 
 
 def cold_burst(context: Any) -> None:
@@ -213,7 +217,7 @@
 def last_unserved(context: Any) -> None:
     """Let the last calls break off."""
     for index in range(97, 100):
-        context.ledger.asked[f"r{index}"].status = 0
+        context.ledger.requests[f"r{index}"].status = 0
 
 
 CHANGES: dict[str, Callable[[Any], Any]] = {
@@ -456,5 +460,5 @@
     """Play it, and look for lines; some requests must have been served under the faults."""
     broken = context.soak.play()
     assert not broken, (broken, context.soak.folder)
-    served = [one for one in context.soak.ledger.asked.values() if one.status == 200]
+    served = [one for one in context.soak.ledger.requests.values() if one.status == 200]
     assert len(served) > 50, len(served)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -42,8 +42,8 @@
         broken = run.play()
     finally:
         run.close()
-    asked = len(run.ledger.asked)
-    served = sum(one.status == 200 and one.complete for one in run.ledger.asked.values())
+    asked = len(run.ledger.requests)
+    served = sum(one.status == 200 and one.complete for one in run.ledger.requests.values())
     print(f"seed {seed}: {len(broken)} broken, {served} of {asked} requests served", flush=True)
     for line in broken:
         print(f"  {line}")
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -59,7 +59,7 @@
     for arrival in ledger.arrivals:
         runs[arrival.request_id].append(arrival)
     found = [*ledger.ended, *ledger.not_ready]
-    for one in ledger.asked.values():
+    for one in ledger.requests.values():
         found += [f"{line}: {_describe(one)}" for line in _request(ledger, one, runs)]
     found += list(_unasked(ledger))
     found += list(_after_notice(ledger))
@@ -134,7 +134,7 @@
 def _unasked(ledger: Ledger) -> Iterator[str]:
     """Check that upstreams saw only what callers have sent."""
     for arrival in ledger.arrivals:
-        asked = ledger.asked.get(arrival.request_id)
+        asked = ledger.requests.get(arrival.request_id)
         if asked is None or asked.path != arrival.target:
             yield f"nobody asked for this: {arrival}"
 
@@ -149,7 +149,7 @@
         notice = ledger.notices.get(arrival.upstream_id)
         if notice is None or arrival.at <= notice.at + DRAIN_S + MACHINE_SLACK_S:
             continue
-        asked = ledger.asked[arrival.request_id]
+        asked = ledger.requests[arrival.request_id]
         stable = ledger.calm(STORE, notice.at - CALM_AFTER_S, notice.at)
         if stable and _calm(ledger, asked, arrival.at):
             late = arrival.at - notice.at
@@ -166,7 +166,7 @@
         if told is None or arrival.is_resumed:
             continue
         late = arrival.at - told.at
-        asked = ledger.asked[arrival.request_id]
+        asked = ledger.requests[arrival.request_id]
         calm = ledger.calm(asked.instance, told.at - CALM_AFTER_S, arrival.at)
         if late > OWN_WORD_KNOWN_S + MACHINE_SLACK_S and calm:
             yield f"sent to {arrival.upstream_id} {late:.1f} s after its word: {_describe(asked)}"
@@ -182,10 +182,10 @@
         first: dict[str, float] = {}
         heard_at = min((one.at for one in signals), default=float("inf")) + CONTACT_S
         for signal in signals:
-            instance = ledger.asked[signal.request_id].instance
+            instance = ledger.requests[signal.request_id].instance
             first[instance] = min(signal.at, first.get(instance, signal.at))
         for one in ledger.reached[upstream_id]:
-            asked = ledger.asked[one.request_id]
+            asked = ledger.requests[one.request_id]
             since = first.get(asked.instance)
             if one.at > heard_at + MACHINE_SLACK_S and ledger.calm(
                 asked.instance, heard_at - CONTACT_S, one.at
@@ -203,10 +203,10 @@
     """Check that no calm instance sends to an upstream within its back-off."""
     for upstream_id, rejections in ledger.rejections.items():
         for rejection in rejections:
-            instance = ledger.asked[rejection.request_id].instance
+            instance = ledger.requests[rejection.request_id].instance
             begins = rejection.at + REJECTED_KNOWN_S + MACHINE_SLACK_S
             for one in ledger.reached[upstream_id]:
-                asked = ledger.asked[one.request_id]
+                asked = ledger.requests[one.request_id]
                 is_within = begins < one.at < rejection.at + rejection.for_s
                 if not is_within or asked.instance != instance:
                     continue
@@ -227,7 +227,7 @@
             is_late = late > CORDON_S + MACHINE_SLACK_S and arrival.at <= stay.window.ends
             if arrival.upstream_id != stay.upstream_id or not is_late:
                 continue
-            asked = ledger.asked[arrival.request_id]
+            asked = ledger.requests[arrival.request_id]
             if _calm(ledger, asked, arrival.at):
                 told = f"sent to {stay.upstream_id} {late:.1f} s after its zone was cordoned"
                 yield f"{told}: {_describe(asked)}"
@@ -264,7 +264,7 @@
             for arrival in ledger.arrivals
             if arrival.upstream_id == one.upstream_id
             and since <= arrival.at <= one.window.ends
-            and _runs_calm(ledger, ledger.asked[arrival.request_id].instance, arrival.at)
+            and _runs_calm(ledger, ledger.requests[arrival.request_id].instance, arrival.at)
         )
         for index, at in enumerate(times):
             count = sum(other < at + LIMIT_WINDOW_S for other in times[index:])
@@ -293,7 +293,7 @@
             for one in ledger.arrivals
             if one.target == target
             and one.at > due
-            and _calm(ledger, ledger.asked[one.request_id], one.at)
+            and _calm(ledger, ledger.requests[one.request_id], one.at)
         ]
         if len(late) > FATAL_SENDS:
             yield (
@@ -307,7 +307,7 @@
     fatal = {one.target for one in ledger.ended_under}
     refused = [
         one
-        for one in ledger.asked.values()
+        for one in ledger.requests.values()
         if CRASHES in one.body and one.path not in fatal and _calm(ledger, one)
     ]
     if len(refused) > BLAMED_WRONGLY:
@@ -317,7 +317,7 @@
 def _recovery(ledger: Ledger) -> Iterator[str]:
     """Check that nearly all is served once all faults have ended."""
     usual = [
-        one for one in ledger.asked.values() if one.kind in (RequestKind.SAFE, RequestKind.ONCE)
+        one for one in ledger.requests.values() if one.kind in (RequestKind.SAFE, RequestKind.ONCE)
     ]
     end = max((one.sent_at for one in usual), default=0.0)
     last = [one for one in usual if one.sent_at >= end - LAST_S]
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -110,7 +110,7 @@
 
     events: int
     """Events of a whole stream."""
-    asked: dict[str, SentRequest] = field(default_factory=dict)
+    requests: dict[str, SentRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     notices: dict[str, Notice] = field(default_factory=dict)
     told: dict[str, Notice] = field(default_factory=dict)
--- a/soak/run.py
+++ b/soak/run.py
@@ -438,7 +438,7 @@
         timeout_s = TIMEOUTS_S.get(sort, CALL_TIMEOUT_S)
         request_id = f"s{self._seed}-{next(self._numbers)}"
         asked = SentRequest(request_id, sort, path, instance.name, time.monotonic(), timeout_s)
-        self.ledger.asked[request_id] = asked
+        self.ledger.requests[request_id] = asked
         connection.ask(instance.listen["front"], asked)
         return asked
 
