--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -44,7 +44,7 @@
     Notice,
     RequestKind,
     SentRequest,
-    Stay,
+    UpstreamPeriod,
     Window,
 )
 from soak.plan import CALM_LAST_S, Kind, Plan, draw
@@ -147,7 +147,7 @@
 def in_cordon(context: Any) -> None:
     """Let an upstream get a call long after its zone was cordoned."""
     window = Window(LATER - CORDON_S - 1.0, LATER + 1.0)
-    context.ledger.cordoned.append(Stay("u9", window))
+    context.ledger.cordoned.append(UpstreamPeriod("u9", window))
     arrive(context, "late", "u9", "/safe/x", LATER)
     context.ledger.requests["late"] = replace(
         context.once, request_id="late", sort=RequestKind.SAFE
@@ -158,7 +158,7 @@
 def cold_burst(context: Any) -> None:
     """Let a cold upstream get more than it bears within a second."""
     window = Window(LATER - COLD_KNOWN_S, LATER + 2.0)
-    context.ledger.cold.append(Stay("u9", window))
+    context.ledger.cold.append(UpstreamPeriod("u9", window))
     for index in range(int(COLD_RATE * COLD_OVER + COLD_SLACK) + 1):
         good(context.ledger, f"cold-{index}", RequestKind.SAFE, LATER)
         context.ledger.arrivals[-1] = replace(
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,7 +15,7 @@
 from driftstall.platform.names import KIND_UPSTREAMS
 from driftstall.platform.store import Store
 from features.worlds.upstream_samples import entry_spec
-from soak.ledger import Arrival, Ended, Ledger, Limited, Notice, Stay, Window
+from soak.ledger import Arrival, Ended, Ledger, Limited, Notice, UpstreamPeriod, Window
 from soak.plan import Plan
 from soak.proxy import Proxy
 from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script
@@ -238,7 +238,7 @@
         self._born += 1
         self._open(old.upstream_id)
         now = time.monotonic()
-        self._ledger.cold.append(Stay(old.upstream_id, Window(now, now + COLD_S)))
+        self._ledger.cold.append(UpstreamPeriod(old.upstream_id, Window(now, now + COLD_S)))
         self._write(old.upstream_id, self._spec("ready", cold_s=COLD_S))
         gevent.spawn_later(COLD_S, self._warm, old.upstream_id, self._born)
 
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class UpstreamPeriod:
     """Hold that an upstream was cold, or in a cordoned zone, for a while."""
 
     upstream_id: str
@@ -115,9 +115,9 @@
     notices: dict[str, Notice] = field(default_factory=dict)
     told: dict[str, Notice] = field(default_factory=dict)
     """When upstreams began to say themselves that they leave; the store did not know it then."""
-    cordoned: list[Stay] = field(default_factory=list)
+    cordoned: list[UpstreamPeriod] = field(default_factory=list)
     """From the store's acknowledgement until the order to free the zone."""
-    cold: list[Stay] = field(default_factory=list)
+    cold: list[UpstreamPeriod] = field(default_factory=list)
     limited: list[Limited] = field(default_factory=list)
     reached: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
     """All requests that reached an upstream, also rejected ones, by its id."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -25,7 +25,7 @@
 from soak.caller import CallerConnection
 from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, broken_promises
 from soak.fleet import EVENTS, FATAL, ZONES, Listed
-from soak.ledger import STORE, Ledger, RequestKind, SentRequest, Stay, Window
+from soak.ledger import STORE, Ledger, RequestKind, SentRequest, UpstreamPeriod, Window
 from soak.plan import Kind, Plan, Step, draw
 from soak.proxy import Proxy
 
@@ -346,7 +346,7 @@
         window = Window(began, time.monotonic())
         # Those that have come meanwhile under other names are cordoned from their start on.
         ids = {one.upstream.upstream_id for one in self._fleet if one.zone == zone}
-        self.ledger.cordoned += [Stay(one, window) for one in ids]
+        self.ledger.cordoned += [UpstreamPeriod(one, window) for one in ids]
         self._until_taken(lambda: self._store.delete(KIND_CORDONS, zone))
         self._cordons.discard(zone)
 
