--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -40,7 +40,7 @@
     Arrival,
     Ended,
     Ledger,
-    Limited,
+    LimitPeriod,
     Notice,
     RequestKind,
     SentRequest,
@@ -169,7 +169,7 @@
 def over_limit(context: Any) -> None:
     """Let an upstream that names a limit get more than is allowed within four seconds."""
     window = Window(LATER - CONTACT_S - 1.0, LATER + LIMIT_WINDOW_S)
-    context.ledger.limited.append(Limited("u9", 2.0, window, is_first=True))
+    context.ledger.limited.append(LimitPeriod("u9", 2.0, window, is_first=True))
     for index in range(int(2.0 * LIMIT_OVER * LIMIT_WINDOW_S) + LIMIT_SLACK + 1):
         at = LATER + index * 0.1
         good(context.ledger, f"limit-{index}", RequestKind.SAFE, at)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,7 +15,7 @@
 from driftstall.platform.names import KIND_UPSTREAMS
 from driftstall.platform.store import Store
 from features.worlds.upstream_samples import entry_spec
-from soak.ledger import Arrival, Ended, Ledger, Limited, Notice, UpstreamPeriod, Window
+from soak.ledger import Arrival, Ended, Ledger, LimitPeriod, Notice, UpstreamPeriod, Window
 from soak.plan import Plan
 from soak.proxy import Proxy
 from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script
@@ -186,7 +186,7 @@
             began = time.monotonic()
             gevent.sleep(for_s / 2)
             window = Window(began, time.monotonic())
-            named = Limited(upstream.upstream_id, limit, window, is_first)
+            named = LimitPeriod(upstream.upstream_id, limit, window, is_first)
             self._ledger.limited.append(named)
         upstream.rate_limit = None
 
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class LimitPeriod:
     """Hold how many requests a second an upstream said it takes, and for how long it did."""
 
     upstream_id: str
@@ -118,7 +118,7 @@
     cordoned: list[UpstreamPeriod] = field(default_factory=list)
     """From the store's acknowledgement until the order to free the zone."""
     cold: list[UpstreamPeriod] = field(default_factory=list)
-    limited: list[Limited] = field(default_factory=list)
+    limited: list[LimitPeriod] = field(default_factory=list)
     reached: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
     """All requests that reached an upstream, also rejected ones, by its id."""
     signalled_leaving: dict[str, list[SignalRecord]] = field(
