--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,7 +15,7 @@
 from driftstall.platform.names import KIND_UPSTREAMS
 from driftstall.platform.store import Store
 from features.worlds.upstream_samples import entry_spec
-from soak.ledger import Arrival, Ended, Ledger, LimitPeriod, Notice, UpstreamPeriod, Window
+from soak.ledger import Arrival, FatalCrash, Ledger, LimitPeriod, Notice, UpstreamPeriod, Window
 from soak.plan import Plan
 from soak.proxy import Proxy
 from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script
@@ -269,7 +269,7 @@
         if proxy is None:
             return
         now = time.monotonic()
-        self._ledger.ended_under.append(Ended(old.upstream_id, target, now))
+        self._ledger.ended_under.append(FatalCrash(old.upstream_id, target, now))
         # First: the entry of the next one may have to wait for the store.
         proxy.stop()
         if self.upstream is old:
