--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -180,7 +180,7 @@
 def sent_on(context: Any) -> None:
     """Let a request be sent on four times after three upstreams have ended under it."""
     target = "/stream/fatal-0"
-    context.ledger.ended_under += [FatalCrash(f"u{n}", target, LATER - 9.0 + n) for n in range(3)]
+    context.ledger.fatal_crashes += [FatalCrash(f"u{n}", target, LATER - 9.0 + n) for n in range(3)]
     for index in range(FATAL_SENDS + 1):
         at = LATER + index * 0.1
         asked = good(context.ledger, f"fatal-{index}", RequestKind.STREAM, at, target)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -283,8 +283,8 @@
 
 def _ended_under(ledger: Ledger) -> Iterator[str]:
     """Check that calm instances send on no more what has ended three upstreams."""
-    for target in sorted({one.target for one in ledger.ended_under}):
-        times = sorted(one.at for one in ledger.ended_under if one.target == target)
+    for target in sorted({one.target for one in ledger.fatal_crashes}):
+        times = sorted(one.at for one in ledger.fatal_crashes if one.target == target)
         if len(times) < FATAL_ENDS:
             continue
         due = times[FATAL_ENDS - 1] + CONTACT_S + MACHINE_SLACK_S
@@ -304,7 +304,7 @@
 
 def _blamed(ledger: Ledger) -> Iterator[str]:
     """Check that what ends no upstream is not refused for it, but for a moment."""
-    fatal = {one.target for one in ledger.ended_under}
+    fatal = {one.target for one in ledger.fatal_crashes}
     refused = [
         one
         for one in ledger.requests.values()
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -269,7 +269,7 @@
         if proxy is None:
             return
         now = time.monotonic()
-        self._ledger.ended_under.append(FatalCrash(old.upstream_id, target, now))
+        self._ledger.fatal_crashes.append(FatalCrash(old.upstream_id, target, now))
         # First: the entry of the next one may have to wait for the store.
         proxy.stop()
         if self.upstream is old:
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -129,7 +129,7 @@
     """Responses by which an upstream rejected a request with a back-off."""
     stopped: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
     """When an instance was killed, stopped or paused, by its name."""
-    ended_under: list[FatalCrash] = field(default_factory=list)
+    fatal_crashes: list[FatalCrash] = field(default_factory=list)
     disturbed: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
     """By name of an instance or an upstream, or STORE."""
     ended: list[str] = field(default_factory=list)
