--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -244,7 +244,9 @@
     "a dropped route is served by a calm instance": lambda c: probe(c, RequestKind.DROPPED, 200),
     "a calm instance gives no answer for 4 s": unanswered,
     "the last calls were not served": last_unserved,
-    "a process has ended by itself": lambda c: c.ledger.ended.append("x ended by itself with 139"),
+    "a process has ended by itself": lambda c: c.ledger.unexpected_exits.append(
+        "x ended by itself with 139"
+    ),
 }
 
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -58,7 +58,7 @@
     runs: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in ledger.arrivals:
         runs[arrival.request_id].append(arrival)
-    found = [*ledger.ended, *ledger.not_ready]
+    found = [*ledger.unexpected_exits, *ledger.not_ready]
     for one in ledger.requests.values():
         found += [f"{line}: {_describe(one)}" for line in _request(ledger, one, runs)]
     found += list(_unasked(ledger))
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -132,7 +132,7 @@
     fatal_crashes: list[FatalCrash] = field(default_factory=list)
     disturbed: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
     """By name of an instance or an upstream, or STORE."""
-    ended: list[str] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
     """Processes that ended though nobody told them to."""
     not_ready: list[str] = field(default_factory=list)
     """Instances that were not ready at the end."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -469,7 +469,7 @@
             code = one.process.poll()
             expected = (None, 0, -signal.SIGKILL)
             if code not in expected:
-                self.ledger.ended.append(f"{one.name} ended by itself with {code}")
+                self.ledger.unexpected_exits.append(f"{one.name} ended by itself with {code}")
             elif not one.ready():
                 self.ledger.not_ready.append(f"{one.name} is not ready at the end")
             elif code is None and one.name not in listed:
