--- a/soak/checks.py
+++ b/soak/checks.py
@@ -162,7 +162,7 @@
     The store is silent then, and is no excuse: the engine tells who asks it.
     """
     for arrival in ledger.arrivals:
-        told = ledger.told.get(arrival.upstream_id)
+        told = ledger.leaving_reports.get(arrival.upstream_id)
         if told is None or arrival.is_resumed:
             continue
         late = arrival.at - told.at
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -202,7 +202,7 @@
         """Say so to who asks, serve on for a while and end; the store hears of it when it can."""
         old, proxy = self.upstream, self.proxy
         old.report = ENDS_SOON
-        self._ledger.told[old.upstream_id] = Notice(old.upstream_id, time.monotonic())
+        self._ledger.leaving_reports[old.upstream_id] = Notice(old.upstream_id, time.monotonic())
         gevent.spawn_later(self._source.uniform(*self._serves_on), self._end, old, proxy)
         self._write(old.upstream_id, self._spec("draining"))
         self._note(old.upstream_id)
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -113,7 +113,7 @@
     requests: dict[str, SentRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     notices: dict[str, Notice] = field(default_factory=dict)
-    told: dict[str, Notice] = field(default_factory=dict)
+    leaving_reports: dict[str, Notice] = field(default_factory=dict)
     """When upstreams began to say themselves that they leave; the store did not know it then."""
     cordoned: list[UpstreamPeriod] = field(default_factory=list)
     """From the store's acknowledgement until the order to free the zone."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -331,7 +331,7 @@
         for number in range(1, len(engines)):
             gevent.sleep(UNSEEN_GAP_S)
             listed = engines[(first + number) % len(engines)]
-            if listed.upstream.upstream_id not in self.ledger.told:
+            if listed.upstream.upstream_id not in self.ledger.leaving_reports:
                 self._spawn(listed.leave_unseen)
 
     def _cordon(self, step: Step) -> None:
