--- a/soak/checks.py
+++ b/soak/checks.py
@@ -184,7 +184,7 @@
         for signal in signals:
             instance = ledger.requests[signal.request_id].instance
             first[instance] = min(signal.at, first.get(instance, signal.at))
-        for one in ledger.reached[upstream_id]:
+        for one in ledger.received[upstream_id]:
             asked = ledger.requests[one.request_id]
             since = first.get(asked.instance)
             if one.at > heard_at + MACHINE_SLACK_S and ledger.calm(
@@ -205,7 +205,7 @@
         for rejection in rejections:
             instance = ledger.requests[rejection.request_id].instance
             begins = rejection.at + REJECTED_KNOWN_S + MACHINE_SLACK_S
-            for one in ledger.reached[upstream_id]:
+            for one in ledger.received[upstream_id]:
                 asked = ledger.requests[one.request_id]
                 is_within = begins < one.at < rejection.at + rejection.for_s
                 if not is_within or asked.instance != instance:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -85,7 +85,7 @@
     ) -> None:
         """Start to listen; end is told of a path whose request ends this upstream."""
         super().__init__(upstream_id, self._script)
-        self.arrival_records = ledger.reached[upstream_id]
+        self.arrival_records = ledger.received[upstream_id]
         self.signalled_leaving = ledger.signalled_leaving[upstream_id]
         self.rejections = ledger.rejections[upstream_id]
         self._end = end
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -119,7 +119,7 @@
     """From the store's acknowledgement until the order to free the zone."""
     cold: list[UpstreamPeriod] = field(default_factory=list)
     limited: list[LimitPeriod] = field(default_factory=list)
-    reached: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
+    received: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
     """All requests that reached an upstream, also rejected ones, by its id."""
     signalled_leaving: dict[str, list[SignalRecord]] = field(
         default_factory=lambda: defaultdict(list)
