--- a/soak/checks.py
+++ b/soak/checks.py
@@ -128,7 +128,7 @@
 def _calm(ledger: Ledger, one: SentRequest, until: float | None = None) -> bool:
     """Tell whether the instance and the store were calm around a request, to its end or earlier."""
     begins, ends = one.sent_at - CALM_AFTER_S, one.ended_at if until is None else until
-    return all(ledger.calm(name, begins, ends) for name in (one.instance, STORE))
+    return all(ledger.is_undisturbed(name, begins, ends) for name in (one.instance, STORE))
 
 
 def _unasked(ledger: Ledger) -> Iterator[str]:
@@ -150,7 +150,7 @@
         if notice is None or arrival.at <= notice.at + DRAIN_S + MACHINE_SLACK_S:
             continue
         asked = ledger.requests[arrival.request_id]
-        stable = ledger.calm(STORE, notice.at - CALM_AFTER_S, notice.at)
+        stable = ledger.is_undisturbed(STORE, notice.at - CALM_AFTER_S, notice.at)
         if stable and _calm(ledger, asked, arrival.at):
             late = arrival.at - notice.at
             yield f"sent to {arrival.upstream_id} {late:.1f} s after its notice: {_describe(asked)}"
@@ -167,7 +167,7 @@
             continue
         late = arrival.at - told.at
         asked = ledger.requests[arrival.request_id]
-        calm = ledger.calm(asked.instance, told.at - CALM_AFTER_S, arrival.at)
+        calm = ledger.is_undisturbed(asked.instance, told.at - CALM_AFTER_S, arrival.at)
         if late > OWN_WORD_KNOWN_S + MACHINE_SLACK_S and calm:
             yield f"sent to {arrival.upstream_id} {late:.1f} s after its word: {_describe(asked)}"
 
@@ -187,7 +187,7 @@
         for one in ledger.received[upstream_id]:
             asked = ledger.requests[one.request_id]
             since = first.get(asked.instance)
-            if one.at > heard_at + MACHINE_SLACK_S and ledger.calm(
+            if one.at > heard_at + MACHINE_SLACK_S and ledger.is_undisturbed(
                 asked.instance, heard_at - CONTACT_S, one.at
             ):
                 late = one.at - heard_at + CONTACT_S
@@ -210,7 +210,7 @@
                 is_within = begins < one.at < rejection.at + rejection.for_s
                 if not is_within or asked.instance != instance:
                     continue
-                if ledger.calm(instance, rejection.at, one.at):
+                if ledger.is_undisturbed(instance, rejection.at, one.at):
                     after = one.at - rejection.at
                     told = f"sent to {upstream_id} {after:.1f} s after a back-off"
                     yield f"{told} of {rejection.for_s:g} s: {_describe(asked)}"
@@ -220,7 +220,7 @@
     """Check that upstreams of a cordoned zone get nothing from calm instances after the bound."""
     for stay in ledger.cordoned:
         since = stay.window.begins
-        if not ledger.calm(STORE, since - CALM_AFTER_S, since):
+        if not ledger.is_undisturbed(STORE, since - CALM_AFTER_S, since):
             continue
         for arrival in ledger.arrivals:
             late = arrival.at - since
@@ -278,7 +278,7 @@
 
 def _runs_calm(ledger: Ledger, instance: str, at: float) -> bool:
     """Tell whether an instance was calm for long enough when it sent something."""
-    return ledger.calm(instance, at - CALM_AFTER_S, at)
+    return ledger.is_undisturbed(instance, at - CALM_AFTER_S, at)
 
 
 def _ended_under(ledger: Ledger) -> Iterator[str]:
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -145,6 +145,6 @@
         """Tell whether an instance ran without a stop during a span of time."""
         return all(one.ends < begins or one.begins > ends for one in self.stopped[name])
 
-    def calm(self, name: str, begins: float, ends: float) -> bool:
+    def is_undisturbed(self, name: str, begins: float, ends: float) -> bool:
         """Tell whether nothing disturbed a part during a span of time."""
         return all(one.ends < begins or one.begins > ends for one in self.disturbed[name])
