--- a/soak/checks.py
+++ b/soak/checks.py
@@ -194,7 +194,7 @@
                 yield f"sent to {upstream_id} {late:.1f} s after any signal: {_describe(asked)}"
             if since is None or one.at <= since + DRAIN_S + MACHINE_SLACK_S:
                 continue
-            if ledger.ran_on(asked.instance, since, one.at):
+            if ledger.ran_throughout(asked.instance, since, one.at):
                 late = one.at - since
                 yield f"sent to {upstream_id} {late:.1f} s after its signal: {_describe(asked)}"
 
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -141,7 +141,7 @@
         """Note that something is disturbed for a while."""
         self.disturbed[name].append(Window(begins, ends))
 
-    def ran_on(self, name: str, begins: float, ends: float) -> bool:
+    def ran_throughout(self, name: str, begins: float, ends: float) -> bool:
         """Tell whether an instance ran without a stop during a span of time."""
         return all(one.ends < begins or one.begins > ends for one in self.stopped[name])
 
