--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -35,7 +35,7 @@
     LIMIT_WINDOW_S,
     broken_promises,
 )
-from soak.fleet import Listed
+from soak.fleet import UpstreamSlot
 from soak.ledger import (
     Arrival,
     FatalCrash,
@@ -336,7 +336,7 @@
 def raced_upstream(context: Any) -> None:
     """Start an upstream, and forget its entry."""
     context.raced = RacedStore()
-    context.listed = Listed(1, "portal", context.raced, Ledger(EVENTS), random.Random(1))
+    context.listed = UpstreamSlot(1, "portal", context.raced, Ledger(EVENTS), random.Random(1))
     context.name = context.listed.upstream.upstream_id
     context.add_cleanup(context.listed.upstream.stop)
     context.raced.entries.clear()
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -115,7 +115,7 @@
             gevent.spawn_later(after_s, self._end, self, seen.target)
 
 
-class Listed:
+class UpstreamSlot:
     """Hold one place of the fleet: a new upstream takes it when the old one goes."""
 
     def __init__(
@@ -136,7 +136,7 @@
         self._ledger = ledger
         self._born = int(time.time() * 1000)
         self._starts = itertools.count(1)
-        self.all: list[Listed] = []
+        self.all: list[UpstreamSlot] = []
         self._listed: dict[str, dict[str, Any]] = {}
         """What each entry that is to be there says."""
         self._unlisted: set[str] = set()
--- a/soak/run.py
+++ b/soak/run.py
@@ -24,7 +24,7 @@
 from measures.gateway_process import GatewayProcess
 from soak.caller import CallerConnection
 from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, broken_promises
-from soak.fleet import EVENTS, FATAL, ZONES, Listed
+from soak.fleet import EVENTS, FATAL, ZONES, UpstreamSlot
 from soak.ledger import STORE, Ledger, RequestKind, SentRequest, UpstreamPeriod, Window
 from soak.plan import Kind, Plan, Step, draw
 from soak.proxy import Proxy
@@ -90,7 +90,7 @@
         self._store.create(KIND_CONFIG, NAME_CONFIG, self._document())
         services = ["portal"] * PORTALS + ["engines"] * ENGINES
         self._fleet = [
-            Listed(place, service, self._store, self.ledger, self._source, size.plan)
+            UpstreamSlot(place, service, self._store, self.ledger, self._source, size.plan)
             for place, service in enumerate(services, start=1)
         ]
         for one in self._fleet:
