--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -33,7 +33,7 @@
     LIMIT_OVER,
     LIMIT_SLACK,
     LIMIT_WINDOW_S,
-    broken_promises,
+    find_violations,
 )
 from soak.fleet import UpstreamSlot
 from soak.ledger import (
@@ -271,13 +271,13 @@
 @then("no promise is broken")
 def none_broken(context: Any) -> None:
     """Check the record."""
-    assert broken_promises(context.ledger) == []
+    assert find_violations(context.ledger) == []
 
 
 @then('a promise is broken: "{line}"')
 def one_broken(context: Any, line: str) -> None:
     """Check the record."""
-    found = broken_promises(context.ledger)
+    found = find_violations(context.ledger)
     assert found and all(line in one for one in found), found
 
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -53,7 +53,7 @@
 CALM_AFTER_S: Final = CONTACT_S + MACHINE_SLACK_S
 
 
-def broken_promises(ledger: Ledger) -> list[str]:
+def find_violations(ledger: Ledger) -> list[str]:
     """Return a line for each broken promise."""
     runs: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in ledger.arrivals:
--- a/soak/run.py
+++ b/soak/run.py
@@ -23,7 +23,7 @@
 from measures.bench import Bench, BenchError
 from measures.gateway_process import GatewayProcess
 from soak.caller import CallerConnection
-from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, broken_promises
+from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, find_violations
 from soak.fleet import EVENTS, FATAL, ZONES, UpstreamSlot
 from soak.ledger import STORE, Ledger, RequestKind, SentRequest, UpstreamPeriod, Window
 from soak.plan import Kind, Plan, Step, draw
@@ -135,7 +135,7 @@
         self._traffic = False
         gevent.joinall(jobs, timeout=END_S)
         self._look_at_ends()
-        return broken_promises(self.ledger)
+        return find_violations(self.ledger)
 
     def _await_ready(self) -> None:
         """Wait until all instances are ready; the proxies here run meanwhile."""
