--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -22,7 +22,6 @@
 from measures.bench import FIRST_PORT, SLICE_PORTS, free_port
 from measures.gateway_process import GatewayProcess
 from soak.checks import (
-    BLAMED_WRONGLY,
     COLD_KNOWN_S,
     COLD_OVER,
     COLD_RATE,
@@ -33,6 +32,7 @@
     LIMIT_OVER,
     LIMIT_SLACK,
     LIMIT_WINDOW_S,
+    MAX_FALSE_REFUSALS,
     find_violations,
 )
 from soak.fleet import UpstreamSlot
@@ -189,7 +189,7 @@
 
 def refused_wrongly(context: Any) -> None:
     """Let ordinary calls be refused as if they ended upstreams."""
-    for index in range(BLAMED_WRONGLY + 1):
+    for index in range(MAX_FALSE_REFUSALS + 1):
         asked = good(context.ledger, f"wrongly-{index}", RequestKind.SAFE, LATER)
         asked.status, asked.body = 503, b'{"code":"crashes_runners","retry_after_s":30}'
         context.ledger.arrivals.pop()
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -43,7 +43,7 @@
 FATAL_SENDS: Final = 3
 """What so many upstreams have ended under may be sent so often again, once all can know."""
 CRASHES: Final = b'"crashes_runners"'
-BLAMED_WRONGLY: Final = 3
+MAX_FALSE_REFUSALS: Final = 3
 """Requests that were only beside two crashes, before word of a good end had come."""
 RECOVERED_SHARE: Final = 0.9
 """Share of the requests of the last seconds that must be served."""
@@ -310,7 +310,7 @@
         for one in ledger.requests.values()
         if CRASHES in one.body and one.path not in fatal and _calm(ledger, one)
     ]
-    if len(refused) > BLAMED_WRONGLY:
+    if len(refused) > MAX_FALSE_REFUSALS:
         yield f"{len(refused)} requests refused that end nothing: {_describe(refused[0])}"
 
 
