--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -28,11 +28,11 @@
     COLD_SLACK,
     CONTACT_S,
     CORDON_S,
-    FATAL_SENDS,
     LIMIT_OVER,
     LIMIT_SLACK,
     LIMIT_WINDOW_S,
     MAX_FALSE_REFUSALS,
+    MAX_FATAL_SENDS,
     find_violations,
 )
 from soak.fleet import UpstreamSlot
@@ -181,7 +181,7 @@
     """Let a request be sent on four times after three upstreams have ended under it."""
     target = "/stream/fatal-0"
     context.ledger.fatal_crashes += [FatalCrash(f"u{n}", target, LATER - 9.0 + n) for n in range(3)]
-    for index in range(FATAL_SENDS + 1):
+    for index in range(MAX_FATAL_SENDS + 1):
         at = LATER + index * 0.1
         asked = good(context.ledger, f"fatal-{index}", RequestKind.STREAM, at, target)
         asked.status = 502
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -40,7 +40,7 @@
 FALL_KNOWN_S: Final = 0.5
 """A limit that falls counts for all after this time; an answer tells of it soon."""
 FATAL_ENDS: Final = 3
-FATAL_SENDS: Final = 3
+MAX_FATAL_SENDS: Final = 3
 """What so many upstreams have ended under may be sent so often again, once all can know."""
 CRASHES: Final = b'"crashes_runners"'
 MAX_FALSE_REFUSALS: Final = 3
@@ -295,7 +295,7 @@
             and one.at > due
             and _calm(ledger, ledger.requests[one.request_id], one.at)
         ]
-        if len(late) > FATAL_SENDS:
+        if len(late) > MAX_FATAL_SENDS:
             yield (
                 f"{target} was sent on {len(late)} times after three upstreams had ended under it; "
                 f"{len(times)} ended in all"
