--- a/soak/checks.py
+++ b/soak/checks.py
@@ -39,7 +39,7 @@
 """An upstream that names a limit may get limit x LIMIT_OVER x LIMIT_WINDOW_S + LIMIT_SLACK."""
 FALL_KNOWN_S: Final = 0.5
 """A limit that falls counts for all after this time; an answer tells of it soon."""
-FATAL_ENDS: Final = 3
+FATAL_CRASH_THRESHOLD: Final = 3
 MAX_FATAL_SENDS: Final = 3
 """What so many upstreams have ended under may be sent so often again, once all can know."""
 CRASHES: Final = b'"crashes_runners"'
@@ -285,9 +285,9 @@
     """Check that calm instances send on no more what has ended three upstreams."""
     for target in sorted({one.target for one in ledger.fatal_crashes}):
         times = sorted(one.at for one in ledger.fatal_crashes if one.target == target)
-        if len(times) < FATAL_ENDS:
+        if len(times) < FATAL_CRASH_THRESHOLD:
             continue
-        due = times[FATAL_ENDS - 1] + CONTACT_S + MACHINE_SLACK_S
+        due = times[FATAL_CRASH_THRESHOLD - 1] + CONTACT_S + MACHINE_SLACK_S
         late = [
             one
             for one in ledger.arrivals
