--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -23,8 +23,8 @@
 from measures.gateway_process import GatewayProcess
 from soak.checks import (
     COLD_KNOWN_S,
-    COLD_OVER,
     COLD_RATE,
+    COLD_RATE_FACTOR,
     COLD_SLACK,
     CONTACT_S,
     CORDON_S,
@@ -159,7 +159,7 @@
     """Let a cold upstream get more than it bears within a second."""
     window = Window(LATER - COLD_KNOWN_S, LATER + 2.0)
     context.ledger.cold.append(UpstreamPeriod("u9", window))
-    for index in range(int(COLD_RATE * COLD_OVER + COLD_SLACK) + 1):
+    for index in range(int(COLD_RATE * COLD_RATE_FACTOR + COLD_SLACK) + 1):
         good(context.ledger, f"cold-{index}", RequestKind.SAFE, LATER)
         context.ledger.arrivals[-1] = replace(
             context.ledger.arrivals[-1], upstream_id="u9", at=LATER + index * 0.1
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -24,7 +24,7 @@
 """An upstream of a cordoned zone gets nothing after this time (evacuateMs)."""
 COLD_RATE: Final = 3.0
 """Requests a second that a cold upstream bears (coldPerS)."""
-COLD_OVER: Final = 1.5
+COLD_RATE_FACTOR: Final = 1.5
 COLD_SLACK: Final = 2.0
 """It may get COLD_RATE x COLD_OVER + COLD_SLACK in a second (coldOver, coldSlack)."""
 COLD_KNOWN_S: Final = 0.5
@@ -235,7 +235,7 @@
 
 def _cold(ledger: Ledger) -> Iterator[str]:
     """Check that all instances together, calm or not, spare cold upstreams."""
-    most = COLD_RATE * COLD_OVER + COLD_SLACK
+    most = COLD_RATE * COLD_RATE_FACTOR + COLD_SLACK
     for stay in ledger.cold:
         times = sorted(
             one.at
