--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -28,7 +28,7 @@
     COLD_SLACK,
     CONTACT_S,
     CORDON_S,
-    LIMIT_OVER,
+    LIMIT_RATE_FACTOR,
     LIMIT_SLACK,
     LIMIT_WINDOW_S,
     MAX_FALSE_REFUSALS,
@@ -170,7 +170,7 @@
     """Let an upstream that names a limit get more than is allowed within four seconds."""
     window = Window(LATER - CONTACT_S - 1.0, LATER + LIMIT_WINDOW_S)
     context.ledger.limited.append(LimitPeriod("u9", 2.0, window, is_first=True))
-    for index in range(int(2.0 * LIMIT_OVER * LIMIT_WINDOW_S) + LIMIT_SLACK + 1):
+    for index in range(int(2.0 * LIMIT_RATE_FACTOR * LIMIT_WINDOW_S) + LIMIT_SLACK + 1):
         at = LATER + index * 0.1
         good(context.ledger, f"limit-{index}", RequestKind.SAFE, at)
         arrival = replace(context.ledger.arrivals[-1], upstream_id="u9", at=at)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -34,7 +34,7 @@
 APPLY_S: Final = 2.0
 """A configuration is in force after this time (configApplyMs)."""
 LIMIT_WINDOW_S: Final = 4.0
-LIMIT_OVER: Final = 1.5
+LIMIT_RATE_FACTOR: Final = 1.5
 LIMIT_SLACK: Final = 5
 """An upstream that names a limit may get limit x LIMIT_OVER x LIMIT_WINDOW_S + LIMIT_SLACK."""
 FALL_KNOWN_S: Final = 0.5
@@ -256,7 +256,7 @@
     The store's troubles are no excuse, nor are those of an instance that ended before.
     """
     for one in ledger.limited:
-        most = one.per_s * LIMIT_OVER * LIMIT_WINDOW_S + LIMIT_SLACK
+        most = one.per_s * LIMIT_RATE_FACTOR * LIMIT_WINDOW_S + LIMIT_SLACK
         known_s = CONTACT_S if one.is_first else FALL_KNOWN_S
         since = one.window.begins + known_s + MACHINE_SLACK_S
         times = sorted(
