--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -47,7 +47,7 @@
     UpstreamPeriod,
     Window,
 )
-from soak.plan import CALM_LAST_S, Kind, Plan, draw
+from soak.plan import CALM_LAST_S, Kind, Plan, draw_steps
 from soak.proxy import Proxy
 from soak.run import Size, Soak
 
@@ -287,7 +287,7 @@
 def plans(context: Any, first: int, second: int) -> None:
     """Draw plans."""
     one, again, other = (
-        draw(seed, instances=4, upstreams=5, seconds=60.0) for seed in (first, first, second)
+        draw_steps(seed, instances=4, upstreams=5, seconds=60.0) for seed in (first, first, second)
     )
     assert one == again and one != other
     assert all(step.at_s + step.for_s <= 60.0 - CALM_LAST_S + 0.5 for step in (*one, *other))
@@ -298,7 +298,7 @@
 @then("seed 7 gives that plan notices, removals and connections that fall silent")
 def leaving_plan(context: Any) -> None:
     """Draw a plan of a minute."""
-    steps = draw(7, instances=4, upstreams=5, seconds=60.0, plan=Plan.LEAVING)
+    steps = draw_steps(7, instances=4, upstreams=5, seconds=60.0, plan=Plan.LEAVING)
     kinds = {step.kind for step in steps}
     assert {Kind.LEAVE, Kind.REMOVE, Kind.SILENCE} <= kinds, kinds
     assert all(step.at_s + step.for_s <= 60.0 - CALM_LAST_S + 0.5 for step in steps)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -229,7 +229,7 @@
 }
 
 
-def draw(
+def draw_steps(
     seed: int, *, instances: int, upstreams: int, seconds: float, plan: Plan = Plan.MIXED
 ) -> tuple[Step, ...]:
     """Return the steps of a run, in their order."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -26,7 +26,7 @@
 from soak.checks import APPLY_S, COLD_RATE, CONTACT_S, CORDON_S, DRAIN_S, find_violations
 from soak.fleet import EVENTS, FATAL, ZONES, UpstreamSlot
 from soak.ledger import STORE, Ledger, RequestKind, SentRequest, UpstreamPeriod, Window
-from soak.plan import Kind, Plan, Step, draw
+from soak.plan import Kind, Plan, Step, draw_steps
 from soak.proxy import Proxy
 
 GRACE_S: Final = 3.0
@@ -121,7 +121,7 @@
         if self._size.plan is Plan.CRASHING:
             jobs += [gevent.spawn(self._call_fatal, number) for number in range(FATAL_CALLERS)]
         began = time.monotonic()
-        steps = draw(
+        steps = draw_steps(
             self._seed,
             instances=self._size.instances,
             upstreams=len(self._fleet),
