--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand in for the outside systems in demos, tests and measurements."""
+"""Fakes of the outside systems (platform, engines, services) for demos, tests and measurements."""
 
 from __future__ import annotations
--- a/stand_ins/crashing.py
+++ b/stand_ins/crashing.py
@@ -1,4 +1,4 @@
-"""Stand in for upstreams that some requests crash: the process ends with all that runs there."""
+"""Fake upstreams that some requests crash, which ends all requests that run there."""
 
 from __future__ import annotations
 
@@ -11,55 +11,55 @@
 from stand_ins.routed import ReceivedRequest, RoutedUpstream, Script, reset
 
 CRASH_DELAY_S: Final = 0.1
-"""Time from when a request begins to run until its upstream ends."""
+"""Time from the start of a fatal request until its upstream crashes."""
 REPLACEMENT_DELAY_S: Final = 1.2
-"""Time until another upstream takes the place of one that has crashed."""
+"""Time until a crashed upstream is replaced by another one."""
 
 
 class CrashingUpstream(RoutedUpstream):
-    """Serve as a stand-in that ends soon after it has begun to run some requests."""
+    """A fake upstream that crashes soon after it has started to run a fatal request."""
 
     def __init__(
         self,
         upstream_id: str,
         default_script: Callable[[], Script],
         is_fatal: Callable[[ReceivedRequest], bool],
-        crashed: Callable[[CrashingUpstream], None],
+        on_crashed: Callable[[CrashingUpstream], None],
     ) -> None:
-        """Start to listen; crashed is told of the end, which all connections notice."""
+        """Start listening; `on_crashed` is called after a crash, which resets all connections."""
         super().__init__(upstream_id, default_script)
         self._is_fatal = is_fatal
-        self._on_crashed = crashed
-        self._open: set[socket.socket] = set()
+        self._on_crashed = on_crashed
+        self._connections: set[socket.socket] = set()
         self.is_down = False
 
     def record_request(self, seen: ReceivedRequest) -> None:
-        """Keep a request that is run here, and end of it if it is fatal."""
+        """Record a request that is run here, and schedule a crash if it is fatal."""
         super().record_request(seen)
         if self._is_fatal(seen):
             gevent.spawn_later(CRASH_DELAY_S, self.crash)
 
     def crash(self) -> None:
-        """End with all that runs here."""
+        """Stop listening and reset all connections."""
         if self.is_down:
             return
         self.is_down = True
         self.stop()
-        for one in self._open:
-            reset(one)
+        for connection in self._connections:
+            reset(connection)
         self._on_crashed(self)
 
     def _serve(self, raw: socket.socket, address: tuple[str, int]) -> None:
         """Serve one connection."""
-        self._open.add(raw)
+        self._connections.add(raw)
         try:
             super()._serve(raw, address)
         finally:
-            self._open.discard(raw)
+            self._connections.discard(raw)
 
 
 class CrashingFleet:
-    """Hold upstreams of one service; another one comes for each that has crashed."""
+    """Upstreams of a service, in which each crashed one is replaced by another."""
 
     def __init__(
         self,
@@ -70,7 +70,10 @@
         on_joined: Callable[[CrashingUpstream], None],
         on_removed: Callable[[CrashingUpstream], None],
     ) -> None:
-        """Start so many; joined lists one that has come, lapsed takes off one that has crashed."""
+        """Start a number of upstreams.
+
+        `on_joined` lists an upstream that has started, `on_removed` unlists one that has crashed.
+        """
         self._default_script = default_script
         self._is_fatal = is_fatal
         self._on_joined = on_joined
@@ -81,31 +84,31 @@
 
     @property
     def crashed(self) -> list[CrashingUpstream]:
-        """Return those that have crashed."""
-        return [one for one in self.all if one.is_down]
+        """Return the upstreams that have crashed."""
+        return [upstream for upstream in self.all if upstream.is_down]
 
     @property
     def seen(self) -> Iterable[ReceivedRequest]:
-        """Return all requests that were run."""
-        return (seen for one in self.all for seen in one.seen)
+        """Return all requests that were run by any upstream."""
+        return (seen for upstream in self.all for seen in upstream.seen)
 
     def stop(self) -> None:
-        """Stop all."""
-        for one in self.all:
-            one.is_down = True
-            one.stop()
+        """Stop all upstreams."""
+        for upstream in self.all:
+            upstream.is_down = True
+            upstream.stop()
 
     def _start(self) -> None:
-        """Start one and list it."""
+        """Start an upstream and list it."""
         name = f"engine-{len(self.all) + 1}"
         upstream = CrashingUpstream(name, self._default_script, self._is_fatal, self._replace)
         self.all.append(upstream)
-        peers = {one.address: one for one in self.all if not one.is_down}
-        for one in self.all:
-            one.peers = dict(peers)
+        peers = {peer.address: peer for peer in self.all if not peer.is_down}
+        for member in self.all:
+            member.peers = dict(peers)
         self._on_joined(upstream)
 
     def _replace(self, crashed: CrashingUpstream) -> None:
-        """Have another one come for one that has crashed."""
+        """Schedule the removal of a crashed upstream and the start of another one."""
         gevent.spawn_later(REPLACEMENT_DELAY_S, self._on_removed, crashed)
         gevent.spawn_later(REPLACEMENT_DELAY_S, self._start)
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -41,19 +41,19 @@
 REPORT_LAG_S = 0.5
 CACHE_LAG_S = 1.0
 CACHE_GAP = 0.1
-"""Share of cache events that are lost."""
+"""Share of cache events that are dropped."""
 ORPHAN_TIMEOUT_S = 10.0
-"""How long a generation runs on with nobody reading."""
+"""Time after which a generation without readers is cancelled."""
 MAX_FINISHED_STREAMS = 2_000
 CRASH_TAG = "[crash]"
-"""A prompt with this ends the process that runs it."""
+"""A prompt with this tag crashes the process that runs it."""
 CRASH_S = 0.05
 LENGTH_TAG = re.compile(r"\[length=(\d+)\]")
 
 
 @dataclass(slots=True)
 class Stream:
-    """Hold a generation and who reads it."""
+    """A generation and its readers."""
 
     generation: Generation
     messages: list[tuple[str, str]]
@@ -64,31 +64,31 @@
     orphan_at: float = 0.0
 
     def text(self, index: int) -> str:
-        """Return the text of one token; it names its generation, so that mixing shows."""
+        """Return the text of a token; it names its generation, so that mixed-up streams show."""
         return f"{self.generation.generation_id}#{index} "
 
 
 @dataclass(slots=True)
 class Faults:
-    """Hold the scripted faults."""
+    """Scripted faults."""
 
     hang_until: float = 0.0
     frozen_until: float = 0.0
-    """Until then the engine answers and reports, but generates nothing."""
+    """Until this time the engine answers and reports, but generates no tokens."""
     cut_after: int = 0
-    """Cut each new stream after so many tokens, once."""
+    """Number of tokens after which the next stream is cut, once."""
     duplicate: bool = False
     skip: int = 0
     refuse: int = 0
 
 
 class EngineServer:
-    """Serve one engine."""
+    """HTTP server of one engine."""
 
     def __init__(
         self, runner_id: str, engine: Engine, speed: float, model: str, fences: bool
     ) -> None:
-        """Take the engine model and how fast to run it."""
+        """Initialize with the engine model and the factor by which it runs faster."""
         self._runner_id = runner_id
         self._engine = engine
         self._speed = speed
@@ -111,12 +111,12 @@
         self._stale_orders: list[int] = []
 
     def start(self) -> None:
-        """Start the engine's loops."""
+        """Start the loops that run the engine and refresh its report."""
         gevent.spawn(self._run)
         gevent.spawn(self._report_loop)
 
     def _run(self) -> None:
-        """Run steps in real time."""
+        """Run the engine's steps in real time."""
         due = time.monotonic()
         while True:
             if self._engine.is_idle:
@@ -151,7 +151,7 @@
         stream.changed.clear()
 
     def _finish(self, generation_id: str) -> None:
-        """Mark a stream as ended and keep it for late resumes."""
+        """Mark a stream as ended, and keep it for late resumes."""
         stream = self._streams.get(generation_id)
         if stream is None:
             return
@@ -162,9 +162,9 @@
             self._streams.pop(self._finished.popleft(), None)
 
     def _record_cache_events(self, evicted: Iterable[int]) -> None:
-        """Keep cache events for later, with gaps."""
+        """Queue cache events to be shown after CACHE_LAG_S; some are dropped."""
         now = time.monotonic()
-        events: list[tuple[tuple[PrefixMark, ...], int]] = [((), one) for one in evicted]
+        events: list[tuple[tuple[PrefixMark, ...], int]] = [((), digest) for digest in evicted]
         events += [(prefix, 0) for prefix in self._engine.drain_stored_prefixes()]
         for prefix, digest in events:
             self._cache_next += 1
@@ -172,7 +172,7 @@
                 self._cache.append((now + CACHE_LAG_S, self._cache_next, prefix, digest))
 
     def _drop_orphans(self) -> None:
-        """Cancel generations that nobody has read for a while."""
+        """Cancel generations that have had no reader for ORPHAN_TIMEOUT_S."""
         now = time.monotonic()
         for generation in list(self._engine.running.values()):
             stream = self._streams.get(generation.generation_id)
@@ -180,7 +180,7 @@
                 self._cancel(stream)
 
     def _cancel(self, stream: Stream) -> None:
-        """Drop a generation."""
+        """Cancel a generation and remove its stream."""
         self._engine.cancel(stream.generation.generation_id)
         self._streams.pop(stream.generation.generation_id, None)
         stream.done = True
@@ -188,7 +188,7 @@
         self._wake(stream)
 
     def _report_loop(self) -> None:
-        """Refresh the lagging report."""
+        """Refresh the report, which lags by up to REPORT_LAG_S."""
         while True:
             self._report = {
                 "used_tokens": self._engine.used_tokens,
@@ -201,7 +201,7 @@
             gevent.sleep(REPORT_LAG_S)
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one call."""
+        """Serve a request."""
         path = environ["PATH_INFO"]
         if path.startswith("/control"):
             return self._control(environ, start, path)
@@ -227,7 +227,7 @@
             return answer(start, 503, {"error": "not run"}, self._signals.headers())
         if self._signals.backoff_s:
             return self._signals.reject(start)
-        messages = [(one["role"], one["content"]) for one in body["messages"]]
+        messages = [(message["role"], message["content"]) for message in body["messages"]]
         marks = [PrefixMark(*mark) for mark in prefix_marks(body["model"], messages)]
         length = self._length(messages, int(body["max_tokens"]))
         reply = f"{generation_id}:{length}"
@@ -251,20 +251,20 @@
         return self._stream(stream, 0, start)
 
     def _length(self, messages: list[tuple[str, str]], cap: int) -> int:
-        """Draw the output's true length; a tag in the prompt sets it for tests."""
+        """Sample the true output length in tokens; a tag in the prompt sets it for tests."""
         found = LENGTH_TAG.search(messages[-1][1])
         if found:
             return max(1, min(cap, int(found.group(1))))
         return max(1, min(cap, int(self._random.lognormvariate(4.6, 0.9))))
 
     def _stream(self, stream: Stream, index: int, start: StartResponse) -> Iterable[bytes]:
-        """Answer with the stream of events."""
+        """Answer with the stream of events from an index on."""
         headers = [("Content-Type", "text/event-stream"), *self._signals.headers()]
         start("200 OK", headers)
         return self._events(stream, index)
 
     def _events(self, stream: Stream, index: int) -> Iterator[bytes]:
-        """Yield tokens from an index as they come."""
+        """Yield the events of tokens from an index on, as they are generated."""
         stream.readers += 1
         sent = 0
         try:
@@ -295,7 +295,7 @@
             stream.orphan_at = time.monotonic()
 
     def _event(self, stream: Stream, index: int) -> bytes:
-        """Return the event of one token, in the chat-completions shape."""
+        """Encode the event of a token in the chat-completions format."""
         name = stream.generation.generation_id
         self.counts["tokens_sent"] += 1
         return (
@@ -305,15 +305,15 @@
         ).encode()
 
     def _end(self, stream: Stream) -> bytes:
-        """Return the last event: the finish reason, usage and cached prefix."""
+        """Encode the last event: the finish reason, usage and cached prefix."""
         generation = stream.generation
-        capped = "stop"
+        finish_reason = "stop"
         reply = generation.reply
         data = {
             "id": generation.generation_id,
             "object": "chat.completion.chunk",
             "model": stream.model,
-            "choices": [{"index": 0, "delta": {}, "finish_reason": capped}],
+            "choices": [{"index": 0, "delta": {}, "finish_reason": finish_reason}],
             "usage": {
                 "prompt_tokens": generation.input_tokens,
                 "completion_tokens": generation.produced,
@@ -346,16 +346,18 @@
         return answer(start, 200, {})
 
     def _cache_events(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Return cache events that are old enough to be shown."""
+        """Answer with the cache events after a position that are old enough to be shown."""
         after, now = int(query(environ)["after"]), time.monotonic()
-        ripe = [one for one in self._cache if one[0] <= now and one[1] > after]
-        stored = [[[mark.digest, mark.tokens] for mark in one[2]] for one in ripe if one[2]]
-        evicted = [one[3] for one in ripe if not one[2]]
-        position = ripe[-1][1] if ripe else after
+        visible = [event for event in self._cache if event[0] <= now and event[1] > after]
+        stored = [
+            [[mark.digest, mark.tokens] for mark in event[2]] for event in visible if event[2]
+        ]
+        evicted = [event[3] for event in visible if not event[2]]
+        position = visible[-1][1] if visible else after
         return answer(start, 200, {"next": position, "stored": stored, "evicted": evicted})
 
     def _order(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Take a fenced order."""
+        """Execute an order, unless its fence is older than that of an earlier one."""
         order = read_json(environ)
         fence = int(order["fence"])
         if fence < self._fence:
@@ -368,7 +370,7 @@
         return answer(start, 200, {})
 
     def _control(self, environ: dict[str, Any], start: StartResponse, path: str) -> Iterable[bytes]:
-        """Script faults, and give statistics."""
+        """Set scripted faults, or answer with statistics."""
         if path == "/control/stats":
             self.counts["preemptions"] = self._engine.preemptions
             extra = {
--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -1,9 +1,9 @@
-"""Model a model engine that batches continuously in limited memory.
+"""Simulation of a model engine with continuous batching in limited memory.
 
-One step gives each decoding stream one token and works off one chunk of prefill.
-When memory is full the engine evicts cached prefixes, then preempts: the lowest
-priority, youngest stream loses its memory and prefills again. The figures are
-those of the project's design page: about 15 ms a step, 45 ms with a full chunk.
+A step generates one token for each decoding stream and processes one chunk of prefill. When memory
+is full the engine evicts cached prefixes, then preempts: the youngest stream of the lowest priority
+loses its memory and prefills again. The figures are those of the project's design page: about 15 ms
+per step, 45 ms with a full chunk.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Phase(StrEnum):
-    """Name the phases of a generation."""
+    """Phase of a generation."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """Describe an engine's speed and size."""
+    """Speed and size of an engine."""
 
     memory_tokens: int = 48_000
     chunk_tokens: int = 512
@@ -39,32 +39,32 @@
 
 @dataclass(slots=True)
 class Generation:
-    """Hold one generation on the engine."""
+    """A generation on the engine."""
 
     generation_id: str
     priority: int
     input_tokens: int
     output_tokens: int
-    """The true length, which only the engine knows."""
+    """True output length, which only the engine knows."""
     prefix: tuple[PrefixMark, ...]
     reply: PrefixMark | None
-    """The prefix that a follow-up of this conversation will bring."""
+    """Prefix that a follow-up request of this conversation will have."""
     order: int = 0
     phase: Phase = Phase.WAITING
     produced: int = 0
     filled: int = 0
-    """Tokens of context whose memory is filled."""
+    """Context tokens that are in memory."""
     target: int = 0
-    """Tokens of context to fill before decoding goes on."""
+    """Context tokens that must be in memory before decoding continues."""
     shared: int = 0
-    """Tokens of the context that the prefix cache holds for it."""
+    """Context tokens that the prefix cache holds."""
     pin: int = 0
     preempted: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Tell what one step did."""
+    """Result of a step."""
 
     seconds: float
     tokens: tuple[Generation, ...] = ()
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class Engine:
-    """Run generations step by step; pure, the caller advances the clock."""
+    """Engine that runs generations step by step. It has no clock: the caller advances the time."""
 
     shape: EngineShape = field(default_factory=EngineShape)
     running: OrderedDict[str, Generation] = field(default_factory=OrderedDict)
@@ -90,16 +90,16 @@
 
     @property
     def used_tokens(self) -> int:
-        """Return the memory in use by streams, in tokens; what they share counts once."""
+        """Return the memory in use by streams, in tokens; shared prefixes count once."""
         return self._used + self.cache.pinned
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether there is nothing to do."""
+        """Return True if no generation is running or waiting."""
         return not self.running and not self.waiting
 
     def drain_stored_prefixes(self) -> tuple[tuple[PrefixMark, ...], ...]:
-        """Return and forget the prefixes stored since the last call."""
+        """Return the prefixes stored since the last call."""
         stored = tuple(self._stored)
         self._stored.clear()
         return stored
@@ -111,20 +111,20 @@
         self._queue(generation)
 
     def _queue(self, generation: Generation) -> None:
-        """Put a generation into the engine's own queue."""
+        """Add a generation to the engine's queue, ordered by priority and arrival."""
         generation.phase = Phase.WAITING
         self.waiting.append(generation)
         self.waiting.sort(key=lambda entry: (entry.priority, entry.order))
 
     def find(self, generation_id: str) -> Generation | None:
-        """Return a generation in any phase."""
+        """Return a generation in any phase, or None."""
         found = self.running.get(generation_id) or self.paused.get(generation_id)
         if found is not None:
             return found
-        return next((one for one in self.waiting if one.generation_id == generation_id), None)
+        return next((entry for entry in self.waiting if entry.generation_id == generation_id), None)
 
     def cancel(self, generation_id: str) -> None:
-        """Drop a generation and free its memory."""
+        """Cancel a generation and free its memory."""
         generation = self.find(generation_id)
         if generation is not None:
             self._remove(generation)
@@ -145,7 +145,7 @@
             self._queue(generation)
 
     def _remove(self, generation: Generation) -> None:
-        """Remove a generation from wherever it is."""
+        """Remove a generation from its queue or batch, and free its memory."""
         self.paused.pop(generation.generation_id, None)
         if self.running.pop(generation.generation_id, None) is not None:
             self._used -= generation.filled - generation.shared
@@ -155,7 +155,7 @@
         generation.filled = generation.shared = generation.pin = 0
 
     def step(self) -> Step:
-        """Run one step and tell what it did."""
+        """Run a step and return its result."""
         evicted: list[int] = []
         self._start_waiting(evicted)
         preempted: list[Generation] = []
@@ -167,30 +167,30 @@
         return Step(seconds, tuple(tokens), tuple(finished), tuple(preempted), tuple(evicted))
 
     def _fit_cache(self) -> list[int]:
-        """Evict cached prefixes that no longer fit beside the streams."""
+        """Evict cached prefixes that no longer fit in memory; return their digests."""
         return self.cache.shrink(self.shape.memory_tokens - self._used)
 
     def _start_waiting(self, evicted: list[int]) -> None:
-        """Admit from the queue while the next prompt fits."""
+        """Start waiting generations as long as the next one fits in memory."""
         while self.waiting and len(self.running) < self.shape.max_streams:
             generation = self.waiting[0]
-            need = generation.input_tokens + generation.produced
-            pending = sum(one.target - one.filled for one in self.running.values())
-            if self.used_tokens + pending + need > self.shape.memory_tokens:
+            required = generation.input_tokens + generation.produced
+            pending = sum(other.target - other.filled for other in self.running.values())
+            if self.used_tokens + pending + required > self.shape.memory_tokens:
                 if not self._preempt_for(generation):
                     return
                 continue
             self.waiting.pop(0)
             generation.phase = Phase.PREFILL
-            generation.target = need
+            generation.target = required
             generation.pin = self.cache.pin(generation.prefix)
-            generation.shared = min(self.cache.touch(generation.prefix), need - 1)
+            generation.shared = min(self.cache.touch(generation.prefix), required - 1)
             generation.filled = generation.shared
             self.running[generation.generation_id] = generation
             evicted += self._fit_cache()
 
     def _preempt_for(self, generation: Generation) -> bool:
-        """Preempt a strictly lower priority for a waiting one."""
+        """Preempt a stream of strictly lower priority; return True if there was one."""
         victim = self._choose_victim()
         if victim is None or victim.priority <= generation.priority:
             return False
@@ -198,37 +198,37 @@
         return True
 
     def _choose_victim(self) -> Generation | None:
-        """Return the lowest priority, youngest stream."""
+        """Return the youngest stream of the lowest priority, or None."""
         if not self.running:
             return None
-        return max(self.running.values(), key=lambda one: (one.priority, one.order))
+        return max(self.running.values(), key=lambda stream: (stream.priority, stream.order))
 
     def _preempt(self, generation: Generation) -> None:
-        """Take a stream's memory; it will prefill again."""
+        """Free a stream's memory and queue it to prefill again."""
         self._remove(generation)
         generation.preempted += 1
         self.preemptions += 1
         self._queue(generation)
 
-    def _make_room(self, need: int, evicted: list[int], preempted: list[Generation]) -> bool:
-        """Make room for some tokens; tell whether there is room now."""
-        while self.used_tokens + need > self.shape.memory_tokens:
+    def _make_room(self, tokens: int, evicted: list[int], preempted: list[Generation]) -> bool:
+        """Preempt and evict until some tokens fit in memory; return True if they do."""
+        while self.used_tokens + tokens > self.shape.memory_tokens:
             victim = self._choose_victim()
             if victim is None:
                 return False
             self._preempt(victim)
             preempted.append(victim)
-        if self._used + need + self.cache.tokens > self.shape.memory_tokens:
-            evicted += self.cache.shrink(self.shape.memory_tokens - self._used - need)
+        if self._used + tokens + self.cache.tokens > self.shape.memory_tokens:
+            evicted += self.cache.shrink(self.shape.memory_tokens - self._used - tokens)
         return True
 
     def _prefill_chunk(self, evicted: list[int], preempted: list[Generation]) -> int:
-        """Work off one chunk of prefill, in order of priority."""
-        left = self.shape.chunk_tokens
-        filling = [one for one in self.running.values() if one.phase is Phase.PREFILL]
-        filling.sort(key=lambda one: (one.priority, one.order))
+        """Process one chunk of prefill in order of priority; return its tokens."""
+        remaining = self.shape.chunk_tokens
+        filling = [stream for stream in self.running.values() if stream.phase is Phase.PREFILL]
+        filling.sort(key=lambda stream: (stream.priority, stream.order))
         for generation in filling:
-            part = min(left, generation.target - generation.filled)
+            part = min(remaining, generation.target - generation.filled)
             if part <= 0 or generation.phase is not Phase.PREFILL:
                 continue
             if (
@@ -238,19 +238,19 @@
                 continue
             generation.filled += part
             self._used += part
-            left -= part
+            remaining -= part
             if generation.filled >= generation.target:
                 generation.phase = Phase.DECODE
-            if left == 0:
+            if remaining == 0:
                 break
-        done = self.shape.chunk_tokens - left
+        done = self.shape.chunk_tokens - remaining
         self.prefilled_tokens += done
         return done
 
     def _decode(
         self, evicted: list[int], preempted: list[Generation]
     ) -> tuple[list[Generation], list[Generation]]:
-        """Give each decoding stream one token."""
+        """Generate one token for each decoding stream; return these and the finished ones."""
         tokens: list[Generation] = []
         finished: list[Generation] = []
         for generation in list(self.running.values()):
--- a/stand_ins/http.py
+++ b/stand_ins/http.py
@@ -1,4 +1,4 @@
-"""Serve JSON over gevent's WSGI for the stand-ins."""
+"""JSON over gevent's WSGI server, for the fakes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Handler(WSGIHandler):
-    """Show the socket to the app, so that a script can cut it."""
+    """WSGI handler that passes the socket to the app, so that a script can close it."""
 
     def get_environ(self) -> dict[str, Any]:
         """Add the socket to the environment."""
@@ -30,31 +30,31 @@
 
 
 def close_unanswered(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-    """Lose the answer: close the connection before any byte of it leaves."""
+    """Close the connection before any byte of the answer is sent."""
     environ[ENVIRON_SOCKET].shutdown(socket.SHUT_RDWR)
     return answer(start, 200, {})
 
 
 @dataclass(slots=True)
 class Signals:
-    """Hold what a stand-in signals about itself with its responses."""
+    """What a fake upstream signals about itself with its responses."""
 
     rate_limit: float | None = None
-    """The requests a second that it takes; None to name no limit."""
+    """Requests per second that it accepts; None to send no limit."""
     leaves: bool = False
     backoff_s: float = 0.0
-    """The back-off with which it rejects all requests; zero to reject none."""
+    """Back-off in seconds with which it rejects all requests; zero to reject none."""
     signalled_at: list[float] = field(default_factory=list)
-    """When it signalled that it leaves, or rejected a request, by the steady clock."""
+    """Times at which it signalled that it leaves or rejected a request, by the monotonic clock."""
 
     def script(self, script: dict[str, Any]) -> None:
-        """Take the parts of a script that are about signals."""
+        """Apply the fields of a script that concern signals."""
         self.rate_limit = script.get("rate_limit", self.rate_limit)
         self.leaves = script.get("leaves", self.leaves)
         self.backoff_s = script.get("backoff_s", self.backoff_s)
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers of a response, and note what they signal."""
+        """Return the signal headers of a response, and record that they were sent."""
         found = [] if self.rate_limit is None else [("X-Rate-Limit", f"{self.rate_limit:g}")]
         if self.leaves:
             found.append(("X-Leaving", "1"))
@@ -71,7 +71,7 @@
 def answer(
     start: StartResponse, status: int, value: Any, more: Iterable[tuple[str, str]] = ()
 ) -> Iterable[bytes]:
-    """Answer with JSON."""
+    """Send a JSON response."""
     body = orjson.dumps(value)
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     headers += more
@@ -80,7 +80,7 @@
 
 
 def read_json(environ: dict[str, Any]) -> Any:
-    """Read a JSON body; an empty one is an empty object."""
+    """Decode a JSON body; an empty body is read as an empty object."""
     raw = environ["wsgi.input"].read()
     return orjson.loads(raw) if raw else {}
 
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -34,26 +34,26 @@
 )
 
 CRASH_PATH = "/crash"
-"""A call of this ends the process that runs it."""
+"""A call of this path crashes the process that runs it."""
 
 
 @dataclass(slots=True)
 class Service:
-    """Count the runs of each call, by the id that the call's body or header carries."""
+    """A service that counts the runs of each call, by the id in the call's header or its path."""
 
     name: str
     runs: Counter[str] = field(default_factory=Counter)
     late_s: float = 0.0
     drop_answers: int = 0
-    """Calls that run but whose answer is lost."""
+    """Number of calls to run without sending an answer."""
     refuse: int = 0
-    """Calls answered 503 before they run."""
+    """Number of calls to answer with 503 before they run."""
     signals: Signals = field(default_factory=Signals)
     arrivals: list[float] = field(default_factory=list)
-    """When calls arrived, by the machine's steady clock."""
+    """Times at which calls arrived, by the monotonic clock."""
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one call."""
+        """Serve a request."""
         path = environ["PATH_INFO"]
         if path == "/control":
             script = read_json(environ)
@@ -84,8 +84,8 @@
             self.drop_answers -= 1
             return close_unanswered(environ, start)
         echo = body.decode("utf-8", "replace")[:200]
-        told = {"service": self.name, "call": call_id, "echo": echo}
-        return answer(start, 200, told, self.signals.headers())
+        value = {"service": self.name, "call": call_id, "echo": echo}
+        return answer(start, 200, value, self.signals.headers())
 
 
 def main() -> None:
