--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -54,7 +54,7 @@
         """Start with no configuration."""
         self._hub = hub
         self._members = members
-        self._get_or_create_controller = ConfigurationController()
+        self._controller = ConfigurationController()
         self._policy: Policy | None = None
         self._has_read_platform = False
         self._revision = 0
@@ -64,7 +64,7 @@
     @property
     def document(self) -> ConfigDocument:
         """Return the configuration in force."""
-        return self._get_or_create_controller.document
+        return self._controller.document
 
     @property
     def policy(self) -> Policy | None:
@@ -216,7 +216,7 @@
     def _apply_if_newer(self, document: ConfigDocument) -> None:
         """Put a newer configuration in force."""
         before = self.document.policy
-        if not self._get_or_create_controller.apply_if_newer(document):
+        if not self._controller.apply_if_newer(document):
             return
         if document.policy and (document.policy != before or self._policy is None):
             self._policy = parse_policy(document.policy)
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -42,17 +42,17 @@
         """Build the controller; its incarnation grows with each start."""
         self._hub = hub
         incarnation = int(hub.wall_time() * 1000)
-        self._get_or_create_controller = MembershipController(hub.own, incarnation, hub.rng)
+        self._controller = MembershipController(hub.own, incarnation, hub.rng)
         self._listed_runners: dict[str, bool] = {}
         self._has_read_list = False
-        hub.set_address_lookup(self._get_or_create_controller.address_of)
+        hub.set_address_lookup(self._controller.address_of)
         for kind in (Ping, Ack, PingRequest):
             hub.on_message(kind, self._handle_message)
 
     @property
     def live(self) -> tuple[Instance, ...]:
         """Return the instances that are not dead."""
-        return self._get_or_create_controller.live
+        return self._controller.live
 
     def start(self) -> None:
         """Start to probe and to read the platform's list."""
@@ -94,7 +94,7 @@
 
     def _is_reader(self) -> bool:
         """Tell whether this instance reads the list for the fleet."""
-        live = self._get_or_create_controller.live
+        live = self._controller.live
         if len(live) <= MAX_ALL_READERS:
             return True
         own = weight(LIST_KEY, self._hub.own.instance_id)
@@ -102,7 +102,7 @@
 
     def _publish_changes(self, runners: dict[str, bool]) -> None:
         """Tell those that do not read the list which runners leave or are back."""
-        live = self._get_or_create_controller.live
+        live = self._controller.live
         if len(live) <= MAX_ALL_READERS:
             return
         for runner_id, leaving in runners.items():
@@ -114,7 +114,7 @@
 
     def _apply(self, event: MembershipEvent) -> None:
         """Hand an event to the controller and carry out its actions."""
-        actions = self._get_or_create_controller.handle(event, self._hub.now())
+        actions = self._controller.handle(event, self._hub.now())
         changed = [one for one in actions if not self._carry_out(one)]
         if changed:
             self._hub.notify_members()
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -42,7 +42,7 @@
         self._hub = hub
         self._members = members
         self._fleet = fleet
-        self._get_or_create_controller = PlacementController(hub.own.instance_id)
+        self._controller = PlacementController(hub.own.instance_id)
 
     def start(self) -> None:
         """Start the periodic placement."""
@@ -52,7 +52,7 @@
         """Renew the lease, and order engines to load models that differ from the configuration."""
         first = owner_of("placement", self._members.live)
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
-        if not is_first and not self._get_or_create_controller.has_lease(self._hub.now()):
+        if not is_first and not self._controller.has_lease(self._hub.now()):
             return
         self._dispatch(PlacementPeriod(is_first, self._read_wanted_models() if is_first else ()))
 
@@ -74,7 +74,7 @@
 
     def _dispatch(self, event: PlacementEvent) -> None:
         """Pass an event to the controller and carry out the resulting actions."""
-        for action in self._get_or_create_controller.handle(event, self._hub.now()):
+        for action in self._controller.handle(event, self._hub.now()):
             follow_up = self._carry_out(action)
             if follow_up is not None:
                 self._dispatch(follow_up)
