--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -30,32 +30,32 @@
 PREFIX = "/api/objects/"
 MAX_VALUE_BYTES = 1_048_576
 WATCH_CHECK_S = 0.5
-"""How often a waiting watch looks whether the store has gone down."""
+"""Interval at which a waiting watch checks whether the store is down."""
 
 
 @dataclass(slots=True)
 class Faults:
-    """Hold the scripted faults."""
+    """Scripted faults."""
 
     down_until: float = 0.0
     silent: bool = False
-    """Whether a store that is down says nothing; else it answers 503."""
+    """Whether a store that is down sends no answer; otherwise it answers 503."""
     slow_s: float = 0.0
     lose_answers: int = 0
-    """Writes that take effect but whose answer is lost."""
+    """Number of writes to execute without sending an answer."""
 
 
 @dataclass(slots=True)
 class Counter:
-    """Count calls in whole seconds, for the rate limits and the statistics."""
+    """Count of calls per second, for the rate limits and the statistics."""
 
     limit: int
     second: int = 0
     count: int = 0
     total: int = 0
 
-    def take(self) -> bool:
-        """Count one call; return whether it is within the limit."""
+    def count_call(self) -> bool:
+        """Count a call; return True if it is within the limit."""
         now = int(time.monotonic())
         if now != self.second:
             self.second, self.count = now, 0
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Hold one change for watches."""
+    """A change of an object, kept for watches."""
 
     revision: int
     kind: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Hold what the store held at one moment."""
+    """State of the store at one time."""
 
     objects: dict[tuple[str, str], dict[str, Any]]
     history: tuple[Change, ...]
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class Platform:
-    """Serve the object store from memory."""
+    """In-memory object store."""
 
     writes: Counter
     reads: Counter
@@ -94,16 +94,16 @@
     objects: dict[tuple[str, str], dict[str, Any]] = field(default_factory=dict)
     history: list[Change] = field(default_factory=list)
     forgotten: int = 0
-    """The revision up to which the history is gone."""
+    """Revision up to which the history is no longer available."""
     revision: int = 0
     era: int = 1
-    """Rises by one each time that the store comes back from a copy."""
-    copy: Snapshot | None = None
+    """Rises by one each time that the store is restored from a snapshot."""
+    snapshot: Snapshot | None = None
     faults: Faults = field(default_factory=Faults)
     changed: Event = field(default_factory=Event)
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one call."""
+        """Serve a request."""
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         if path.startswith("/control"):
             return self._control(environ, start, path)
@@ -122,76 +122,80 @@
         return self._write(environ, start, method, kind, name)
 
     def _with_era_header(self, start: StartResponse) -> StartResponse:
-        """Have all answers name the era in which they are given."""
+        """Wrap the start of a response to add the store's era to its headers."""
 
-        def named(status: str, headers: list[tuple[str, str]]) -> Any:
+        def start_with_era(status: str, headers: list[tuple[str, str]]) -> Any:
             return start(status, [*headers, ("Store-Era", str(self.era))])
 
-        return named
+        return start_with_era
 
     def _take_snapshot(self, without: str) -> None:
-        """Remember all that is held now, but for one kind, as if that were written later."""
-        objects = {place: one for place, one in self.objects.items() if place[0] != without}
-        self.copy = Snapshot(objects, tuple(self.history), self.forgotten, self.revision)
+        """Take a snapshot without the objects of one kind, as if these were written later."""
+        objects = {key: stored for key, stored in self.objects.items() if key[0] != without}
+        self.snapshot = Snapshot(objects, tuple(self.history), self.forgotten, self.revision)
 
     def _restore_snapshot(self, written_at_once: list[dict[str, Any]]) -> None:
-        """Hold what the copy holds; what was written since is gone, and its revisions as well.
+        """Restore the snapshot; later writes and their revisions are lost.
 
-        What is written at once is there before any watch has noticed the return.
+        The objects in `written_at_once` are written before any watch notices the restore.
         """
-        assert self.copy is not None
-        self.objects = dict(self.copy.objects)
-        self.history = list(self.copy.history)
-        self.forgotten, self.revision = self.copy.forgotten, self.copy.revision
+        assert self.snapshot is not None
+        self.objects = dict(self.snapshot.objects)
+        self.history = list(self.snapshot.history)
+        self.forgotten, self.revision = self.snapshot.forgotten, self.snapshot.revision
         self.era += 1
-        for one in written_at_once:
-            self._change(one["kind"], one["name"], one["spec"], gone=False)
+        for written in written_at_once:
+            self._change(written["kind"], written["name"], written["spec"], gone=False)
         self.changed.set()
         self.changed.clear()
 
     def _read(
         self, environ: dict[str, Any], start: StartResponse, kind: str, name: str
     ) -> Iterable[bytes]:
-        """Serve one reading call."""
-        if not self.reads.take():
+        """Serve a read: an object, a page of a list, or a watch."""
+        if not self.reads.count_call():
             return answer(start, 429, {"error": "too many reads"})
         if name:
             found = self.objects.get((kind, name))
             if found is None:
                 return answer(start, 404, {"error": "no such object"})
             return answer(start, 200, found)
-        asked = query(environ)
-        if "watch" in asked:
-            return self._watch(start, kind, int(asked["watch"]), float(asked["waitMs"]) / 1000)
-        names = sorted(one for of, one in self.objects if of == kind)
-        names = [one for one in names if one > asked.get("after", "")]
-        items = [self.objects[(kind, one)] for one in names[: self.page]]
+        parameters = query(environ)
+        if "watch" in parameters:
+            return self._watch(
+                start, kind, int(parameters["watch"]), float(parameters["waitMs"]) / 1000
+            )
+        names = sorted(
+            stored_name for stored_kind, stored_name in self.objects if stored_kind == kind
+        )
+        names = [listed for listed in names if listed > parameters.get("after", "")]
+        items = [self.objects[(kind, listed)] for listed in names[: self.page]]
         more = len(names) > self.page
         return answer(start, 200, {"items": items, "more": more, "at": self.revision})
 
     def _watch(self, start: StartResponse, kind: str, at: int, wait_s: float) -> Iterable[bytes]:
-        """Answer when something of the kind has changed after a revision."""
-        ends = time.monotonic() + wait_s
+        """Answer when an object of the kind has changed after a revision, or after `wait_s`."""
+        deadline = time.monotonic() + wait_s
         while True:
             if at < self.forgotten or at > self.revision:
                 return answer(start, 410, {"error": "there is no such history"})
             if time.monotonic() < self.faults.down_until:
                 return answer(start, 503, {"error": "down"})
             events = [
-                {"object": one.value, "gone": one.gone}
-                for one in self.history
-                if one.revision > at and one.kind == kind
+                {"object": change.value, "gone": change.gone}
+                for change in self.history
+                if change.revision > at and change.kind == kind
             ]
-            left = ends - time.monotonic()
-            if events or left <= 0:
+            remaining_s = deadline - time.monotonic()
+            if events or remaining_s <= 0:
                 return answer(start, 200, {"events": events, "at": self.revision})
-            self.changed.wait(min(left, WATCH_CHECK_S))
+            self.changed.wait(min(remaining_s, WATCH_CHECK_S))
 
     def _write(
         self, environ: dict[str, Any], start: StartResponse, method: str, kind: str, name: str
     ) -> Iterable[bytes]:
-        """Serve one writing call."""
-        if not self.writes.take():
+        """Serve a write: a creation (POST), a replacement (PUT) or a deletion."""
+        if not self.writes.count_call():
             return answer(start, 429, {"error": "too many writes"})
         if int(environ.get("CONTENT_LENGTH") or 0) > MAX_VALUE_BYTES:
             return answer(start, 413, {"error": "too large"})
@@ -203,8 +207,8 @@
             return answer(start, 409, current)
         if method != "POST" and current is None:
             return answer(start, 404, {"error": "no such object"})
-        wanted = metadata.get("revision")
-        if current is not None and wanted not in (None, current["metadata"]["revision"]):
+        expected = metadata.get("revision")
+        if current is not None and expected not in (None, current["metadata"]["revision"]):
             return answer(start, 409, current)
         stored = self._change(kind, name, body.get("spec"), gone=method == "DELETE")
         if self.faults.lose_answers > 0:
@@ -213,7 +217,7 @@
         return answer(start, 200, stored)
 
     def _change(self, kind: str, name: str, spec: Any, *, gone: bool) -> dict[str, Any]:
-        """Make, replace or remove an object, and wake the watches."""
+        """Create, replace or remove an object, and wake the watches."""
         current = self.objects.get((kind, name))
         if current is not None and not gone and current["spec"] == spec:
             return current
@@ -232,12 +236,12 @@
         return stored
 
     def _control(self, environ: dict[str, Any], start: StartResponse, path: str) -> Iterable[bytes]:
-        """Script faults, and give statistics."""
+        """Set scripted faults, or answer with statistics."""
         if path == "/control/stats":
             counts = {"reads": self.reads.total, "writes": self.writes.total}
             objects = {
-                f"{kind}/{name}": one["metadata"]["revision"]
-                for (kind, name), one in self.objects.items()
+                f"{kind}/{name}": stored["metadata"]["revision"]
+                for (kind, name), stored in self.objects.items()
             }
             return answer(start, 200, counts | {"objects": objects})
         script = read_json(environ)
--- a/stand_ins/routed.py
+++ b/stand_ins/routed.py
@@ -1,8 +1,8 @@
-"""Stand in for the upstreams of the gateway: plain calls and streams, with scripted faults.
+"""Fake upstreams of the gateway that serve plain calls and streams, with scripted faults.
 
-It runs inside the test process. Each request id may be given a script; without one a
-request is answered whole. Streams count events from one and can be copied to another
-stand-in and gone on with there.
+They run inside the test process. A request id may be given a script; without one the default script
+answers the whole request. Streams number their events from one, and can be copied to another fake
+upstream and resumed there.
 """
 
 from __future__ import annotations
@@ -27,66 +27,66 @@
 STREAM_TYPE: Final = (b"Content-Type", b"text/event-stream")
 SEAL: Final = (b"X-Driftstall-Response-Seal", b"seal")
 RESET: Final = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-"""Linger for no time, so that a close resets the connection."""
+"""SO_LINGER option with a zero timeout, with which a close resets the connection."""
 
 
 @dataclass(slots=True)
 class Script:
-    """Say what happens to one request, once."""
+    """How one request is answered."""
 
     status: int = 200
     body: bytes = b"whole"
     not_run: bool = False
     misdirected: bool = False
-    """Say by the status alone that another upstream was meant."""
+    """Answer with status 421 (misdirected request) and no header that says so."""
     reset: bool = False
-    """Close without an answer, after the request was read and before a copy was looked for."""
+    """Reset the connection without an answer, whether or not the named replica exists."""
     reset_after_head: bool = False
-    """Close a stream after its head, before any event."""
+    """Reset a stream's connection after the response head, before any event."""
     crash: bool = False
-    """Stop to listen, and close without an answer."""
+    """Stop listening, and reset the connection without an answer."""
     hang: bool = False
     unframed: bool = False
-    """Answer without a length; the answer ends with its connection."""
+    """Answer without a length; the response ends when the connection is closed."""
     cut_after: int | None = None
-    """Break off after so many bytes of the body."""
+    """Reset the connection after this many bytes of the body."""
     surplus_before: bool = False
-    """Answer another request first."""
+    """Send the response of another request first."""
     only_another: bool = False
-    """Answer another request without a length, and close."""
+    """Send only the response of another request, without a length, and close."""
     surplus_after: bool = False
-    """Send more bytes after the whole answer."""
+    """Send more bytes after the complete response."""
     events: int = 5
     break_after: int | None = None
-    """Break a stream off after so many events."""
+    """Close a stream after this event."""
     repeat_event: int | None = None
     skip_event: int | None = None
     coalesce_from: int | None = None
-    """Send all events of a stream from this one on together."""
+    """Send all events of a stream from this one on in a single write."""
     half_event: bool = False
-    """Break off inside the next event."""
+    """With `break_after`: close the stream in the middle of the next event."""
     pause_after: int | None = None
-    """Wait for the script's gate after so many events."""
+    """Wait for the script's gate after this event."""
     event_pause_s: float = 0.0
     """Pause before each event."""
     work_s: float = 0.0
-    """Time before the answer of a plain call."""
+    """Time before the response to a plain call."""
     paused: Event = field(default_factory=Event)
-    """Set when a stream waits for the gate."""
+    """Set when a stream is waiting for the gate."""
     gate: Event = field(default_factory=Event)
     late: Event = field(default_factory=Event)
-    """Set when an answer that comes late may be given."""
+    """Set by a test when a delayed answer may be sent."""
     ended: Event = field(default_factory=Event)
-    """Set when the request's connection has ended here."""
+    """Set when the fake upstream has finished with the request."""
 
     def with_new_events(self) -> Script:
-        """Return the same script with events of its own."""
+        """Return a copy of the script with its own gevent events."""
         return replace(self, gate=Event(), paused=Event(), late=Event(), ended=Event())
 
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """Hold one request as it arrived."""
+    """A request as it was received."""
 
     request_id: str
     headers: dict[str, str]
@@ -94,73 +94,74 @@
     target: str
     body: bytes
     is_resumed: bool = False
-    """Whether it goes on from a copy that is here; else it is a run of its own."""
+    """Whether it was resumed from a replica held here; otherwise it is a run of its own."""
 
 
 @dataclass(frozen=True, slots=True)
 class SignalRecord:
-    """Hold one response by which a stand-in has signalled something about itself."""
+    """An arrival of a request, or a response with which a fake upstream sent a signal."""
 
     at: float
-    """By the steady clock."""
+    """Time by the monotonic clock."""
     request_id: str
     for_s: float = 0.0
-    """The back-off that it requested."""
+    """Back-off in seconds that the upstream requested."""
 
 
 class RoutedUpstream:
-    """Serve one upstream at a loopback address."""
+    """A fake upstream at a loopback address."""
 
     def __init__(self, upstream_id: str, default_script: Callable[[], Script] = Script) -> None:
-        """Start to listen; usual makes the script of a request that was given none."""
+        """Start listening; `default_script` returns the script of requests without their own."""
         self.upstream_id = upstream_id
         self._default_script = default_script
         self.seen: list[ReceivedRequest] = []
         self.scripts: dict[str, list[Script]] = defaultdict(list)
         self.copies: dict[str, int] = {}
-        """Copies held here, by name, with the events that they contain."""
+        """Number of events in each replica held here, by the replica's name."""
         self.running: dict[str, int] = {}
         self.stopped: set[str] = set()
         self.move_answers: list[Callable[[dict[str, Any]], tuple[int, dict[str, Any]]]] = []
         self.peers: dict[str, RoutedUpstream] = {}
         self.report: dict[str, Any] = {"state": "ready"}
-        """What it says of itself when it is asked."""
+        """Report that it answers probes with."""
         self.rate_limit: float | None = None
-        """The requests a second that it names with its answers; None to name none."""
+        """Rate limit (requests per second) in its response headers; None to send none."""
         self.leaves = False
-        """Whether it signals with all responses that it leaves."""
+        """Whether it signals in all responses that it leaves."""
         self.extra_headers: tuple[tuple[bytes, bytes], ...] = ()
         """Further headers of all responses."""
         self.backoff = ""
-        """The time of back-off that it requests where it rejects a request, as it is written."""
+        """Text of the Retry-After header with which it rejects requests; empty to send none."""
         self.rejected_share = 0.0
-        """Share of requests that it rejects."""
+        """Share of requests that it rejects, chosen at random."""
         self.source = random.Random(upstream_id)
         self.signalled_leaving: list[SignalRecord] = []
         self.rejections: list[SignalRecord] = []
         self.arrivals: list[float] = []
-        """When callers' requests arrived, by the steady clock; also those turned away."""
+        """Times at which callers' requests arrived, including refused ones, by the monotonic
+        clock."""
         self.arrival_records: list[SignalRecord] = []
-        """The same with their ids."""
+        """The same arrivals with their request ids."""
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address it listens at."""
         return f"127.0.0.1:{self._server.server_port}"
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._server.stop(timeout=0)
 
     def record_request(self, seen: ReceivedRequest) -> None:
-        """Keep a request that is run here."""
+        """Record a request that is run here."""
         self.seen.append(seen)
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request was run here."""
-        return sum(one.request_id == request_id for one in self.seen)
+        """Return the number of times that a request was run here."""
+        return sum(request.request_id == request_id for request in self.seen)
 
     def _serve(self, raw: socket.socket, _: tuple[str, int]) -> None:
         """Serve one connection."""
@@ -177,8 +178,8 @@
     def _answer(
         self, raw: socket.socket, connection: CallerConnection, call: CallerRequest
     ) -> None:
-        """Answer one request as its script says."""
-        headers = {k.decode().lower(): v.decode() for k, v in call.headers}
+        """Answer a request according to its script."""
+        headers = {name.decode().lower(): value.decode() for name, value in call.headers}
         if "x-driftstall-request-id" in headers:
             self.arrivals.append(time.monotonic())
             request_id = headers["x-driftstall-request-id"]
@@ -190,8 +191,8 @@
             self._move(connection, orjson.loads(call.body))
             return
         if call.path.startswith("/api/kv-handle/"):
-            for one in (self, *self.peers.values()):
-                one.copies.pop(call.path.rpartition("/")[2], None)
+            for holder in (self, *self.peers.values()):
+                holder.copies.pop(call.path.rpartition("/")[2], None)
             self._write_json(connection, 200, {})
             return
         request_id = headers.get("x-driftstall-request-id", "")
@@ -231,19 +232,19 @@
             script.ended.set()
 
     def _signal_headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        """Return the headers by which it signals something about itself."""
-        named = [(b"Server-Leaving", b"1")] if self.leaves else []
+        """Return the headers with which it signals its leaving and its rate limit."""
+        signals = [(b"Server-Leaving", b"1")] if self.leaves else []
         if self.rate_limit is not None:
-            named.append((b"Server-Limit", f"{self.rate_limit:g}".encode()))
-        return (*named, *self.extra_headers)
+            signals.append((b"Server-Limit", f"{self.rate_limit:g}".encode()))
+        return (*signals, *self.extra_headers)
 
     def _record_leaving_signal(self, request_id: str) -> None:
-        """Note a response that signals that it leaves."""
+        """Record a response, if it signals that the upstream leaves."""
         if self.leaves:
             self.signalled_leaving.append(SignalRecord(time.monotonic(), request_id))
 
     def _reject(self, connection: CallerConnection, request_id: str) -> None:
-        """Turn a request away, and request a back-off."""
+        """Reject a request and request a back-off."""
         backoff = ((b"Retry-After", self.backoff.encode()),) if self.backoff else ()
         self._refuse(connection, request_id, 503, backoff)
         with contextlib.suppress(ValueError):
@@ -256,7 +257,7 @@
         status: int,
         more: tuple[tuple[bytes, bytes], ...] = (),
     ) -> None:
-        """Turn a request away without running it."""
+        """Reject a request without running it."""
         headers = (
             _id(request_id),
             (b"X-Driftstall-Not-Executed", b"1"),
@@ -283,8 +284,8 @@
             return
         if script.surplus_before:
             other = (_id("another"), SEAL)
-            named = (*other, *self._signal_headers())
-            connection.write(encode_head(200, named, (b"Content-Length: 5",)) + b"other")
+            other_headers = (*other, *self._signal_headers())
+            connection.write(encode_head(200, other_headers, (b"Content-Length: 5",)) + b"other")
         gevent.sleep(script.work_s)
         headers = (_id(request_id), SEAL, *self._signal_headers())
         length = () if script.unframed else (b"Content-Length: %d" % len(script.body),)
@@ -304,7 +305,7 @@
         headers: dict[str, str],
         script: Script,
     ) -> None:
-        """Answer with a stream of events, from the one after the last that the caller has."""
+        """Answer with a stream of events, starting after the caller's last event."""
         if script.reset:
             reset(raw)
             return
@@ -328,8 +329,8 @@
             if request_id in self.stopped:
                 return
             if number == script.coalesce_from:
-                rest = [n for n in range(number, script.events + 1) if n != script.skip_event]
-                connection.write(framed(b"".join(event_bytes(n) for n in rest)))
+                remaining = [n for n in range(number, script.events + 1) if n != script.skip_event]
+                connection.write(framed(b"".join(event_bytes(n) for n in remaining)))
                 break
             if not connection.write(framed(event_bytes(number))):
                 return
@@ -350,39 +351,39 @@
         connection.write(b"" if script.unframed else b"0\r\n\r\n")
 
     def _write_json(self, connection: CallerConnection, status: int, body: dict[str, Any]) -> None:
-        """Answer a call of the system's own."""
+        """Answer an internal call of the system with JSON."""
         data = orjson.dumps(body)
         length = (b"Content-Length: %d" % len(data),)
         connection.write(encode_head(status, self._signal_headers(), length) + data)
 
-    def _move(self, connection: CallerConnection, wanted: dict[str, Any]) -> None:
-        """Answer a call that copies a run."""
+    def _move(self, connection: CallerConnection, order: dict[str, Any]) -> None:
+        """Answer an order to copy a run to another upstream."""
         answer = self.move_answers.pop(0) if self.move_answers else self.copy_run
-        self._write_json(connection, *answer(wanted))
+        self._write_json(connection, *answer(order))
 
-    def copy_run(self, wanted: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Copy a run to another stand-in; with last, the run stops."""
-        run_id = wanted["id"]
+    def copy_run(self, order: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        """Copy a run to another fake upstream; with `last`, the run stops here."""
+        run_id = order["id"]
         if run_id not in self.running:
             return 404, {}
         handle = f"copy-{run_id}"
         made = self.running[run_id]
-        target = self.peers.get(wanted["targetVersion"])
+        target = self.peers.get(order["targetVersion"])
         if target is None:
             return 503, {}
         target.copies[handle] = made
-        if wanted.get("last"):
+        if order.get("last"):
             self.stopped.add(run_id)
         return 200, {"handle": handle, "made": made}
 
 
 def event_bytes(number: int) -> bytes:
-    """Return one event of a stream."""
+    """Encode an event of a stream."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 def _unframed(data: bytes) -> bytes:
-    """Return a piece of an answer that ends with its connection."""
+    """Return data unchanged: a response without a length is not chunked."""
     return data
 
 
