--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -1,4 +1,4 @@
-"""Check on real processes what becomes of requests that crash the upstreams that run them."""
+"""Test on real processes that requests which crash upstreams are quarantined."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 FATAL: Final = "/stream/fatal"
 CONTACT_S: Final = 3.0
 ASK_PAUSE_S: Final = 0.25
-"""Pause of a caller that comes back after a failure."""
+"""Pause of a caller between a failure and its retry."""
 HEAD_START_S: Final = 2.5
-"""Time in which the first ordinary streams end: each takes a second."""
+"""Time within which the first ordinary streams end; each takes a second."""
 NUMBERS: Final = itertools.count(1)
 
 
 def usual() -> Script:
-    """Return what engines do with a request: a second of events."""
+    """Return the script of an ordinary stream: events for one second."""
     return Script(events=20, event_pause_s=0.05)
 
 
 class TimedFleet(CrashingFleet):
-    """Remember when requests reached engines, and when engines crashed."""
+    """A fleet of crashing engines that records the times of arrivals and crashes."""
 
     def __init__(self, count: int, store: Store) -> None:
-        """List the engines in a store."""
+        """Start the engines and list them in the store."""
         self.arrivals: list[tuple[float, str]] = []
         self.crashes: list[float] = []
         self._store = store
@@ -49,26 +49,26 @@
         )
 
     def sends_of(self, target: str) -> list[float]:
-        """Return when a path's requests reached engines."""
-        return [at for at, one in self.arrivals if one == target]
+        """Return the arrival times of a path's requests at engines."""
+        return [at for at, arrived in self.arrivals if arrived == target]
 
     def _is_fatal(self, seen: ReceivedRequest) -> bool:
-        """Note an arrival, and tell whether it is fatal."""
+        """Record an arrival, and return True if it crashes the engine."""
         self.arrivals.append((time.monotonic(), seen.target))
         return seen.target.startswith(FATAL)
 
     def _list(self, upstream: CrashingUpstream) -> None:
-        """Write an engine's entry."""
+        """Create an engine's entry in the store."""
         with suppress(PlatformUnavailable):
             self._store.create(KIND_UPSTREAMS, upstream.upstream_id, entry_spec(upstream.address))
 
     def _unlist(self, upstream: CrashingUpstream) -> None:
-        """Let an engine's entry lapse."""
+        """Remove an engine's entry from the store."""
         with suppress(PlatformUnavailable):
             self._store.delete(KIND_UPSTREAMS, upstream.upstream_id)
 
     def _replace(self, crashed: CrashingUpstream) -> None:
-        """Note a crash."""
+        """Record a crash and replace the engine."""
         self.crashes.append(time.monotonic())
         super()._replace(crashed)
 
@@ -93,17 +93,19 @@
 def start_nodes(context: Any, count: int) -> None:
     """Start processes and wait until each serves and locates all."""
     for _ in range(count):
-        seeds = [one.listen["control"] for one in context.nodes]
+        seeds = [node.listen["control"] for node in context.nodes]
         bounds = {"contactMs": CONTACT_S * 1000, "drainMs": 2000, "graceS": 2, "ttl_max_s": 1}
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
-    fronts = {one.listen["front"] for one in context.nodes}
+    fronts = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
         wait_for_processes(f"{node.name} is ready", node.is_ready)
-        wait_for_processes(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
+        wait_for_processes(
+            f"{node.name} locates all", lambda node=node: node.located(HOST) == fronts
+        )
 
 
-def ask_again_and_again(context: Any, target: str, seconds: float) -> list[Received]:
-    """Ask for one thing as a caller who comes back after each failure, at instances by turns."""
+def ask_repeatedly(context: Any, target: str, seconds: float) -> list[Received]:
+    """Send one request repeatedly to the instances in turn, as a caller that always retries."""
     answers = []
     until = time.monotonic() + seconds
     nodes = itertools.cycle(context.nodes)
@@ -111,7 +113,7 @@
         try:
             answers.append(next(nodes).ask(target, f"again-{next(NUMBERS)}"))
         except (OSError, UpstreamError):
-            # The instance was being killed: the next one is asked.
+            # The instance was being killed; the next instance is used.
             continue
         finally:
             gevent.sleep(ASK_PAUSE_S)
@@ -120,8 +122,8 @@
 
 @when('a caller asks for "{target}" again and again at all instances by turns for {seconds:g} s')
 def asks_again(context: Any, target: str, seconds: float) -> None:
-    """Ask."""
-    context.answers = ask_again_and_again(context, target, seconds)
+    """Send the request repeatedly."""
+    context.answers = ask_repeatedly(context, target, seconds)
 
 
 @then("at most {most:d} sends of it reach engines later than {seconds:g} s after the third crash")
@@ -137,62 +139,61 @@
 
 @then("each answer without a run says so and tells when to come back")
 def refusals_tell(context: Any) -> None:
-    """Check the refusals, of which there are some."""
-    refused = [one for one in context.answers if one.status == 503]
-    assert refused, [one.status for one in context.answers]
-    for one in refused:
-        assert float(one.headers["retry-after"]) > 0, one
-        assert b'"ran":"not run"' in one.body, one
+    """Check that there are refusals and that each has Retry-After and states that nothing ran."""
+    refused = [answer for answer in context.answers if answer.status == 503]
+    assert refused, [answer.status for answer in context.answers]
+    for answer in refused:
+        assert float(answer.headers["retry-after"]) > 0, answer
+        assert b'"ran":"not run"' in answer.body, answer
 
 
 @when('{count:d} callers ask for "{target}" while one asks for "{fatal}" for {seconds:g} s')
 def ask_beside(context: Any, count: int, target: str, fatal: str, seconds: float) -> None:
-    """Ask for ordinary streams beside the fatal one."""
+    """Request ordinary streams concurrently with the fatal one."""
     asking = [
-        gevent.spawn(ask_again_and_again, context, target, seconds + HEAD_START_S)
-        for _ in range(count)
+        gevent.spawn(ask_repeatedly, context, target, seconds + HEAD_START_S) for _ in range(count)
     ]
-    # Of requests that are alike, some have ended well when the fatal one comes.
+    # Some of the identical ordinary requests have succeeded before the first fatal one.
     gevent.sleep(HEAD_START_S)
-    context.answers = ask_again_and_again(context, fatal, seconds)
+    context.answers = ask_repeatedly(context, fatal, seconds)
     gevent.joinall(asking, raise_error=True)
-    context.ordinary = [answer for one in asking for answer in one.value]
+    context.ordinary = [answer for job in asking for answer in job.value]
 
 
 @then('no answer to "/stream/same" refuses it, and at least {share:d} in 100 are whole')
 def ordinary_served(context: Any, share: int) -> None:
-    """Check the ordinary answers."""
-    refused = [one for one in context.ordinary if b"crashes_runners" in one.body]
+    """Check that no ordinary stream was quarantined, and the share of complete ones."""
+    refused = [answer for answer in context.ordinary if b"crashes_runners" in answer.body]
     assert not refused, refused[:2]
-    whole = sum(one.status == 200 and one.whole for one in context.ordinary)
+    whole = sum(answer.status == 200 and answer.whole for answer in context.ordinary)
     assert whole >= share / 100 * len(context.ordinary), (whole, len(context.ordinary))
 
 
 @then("at most {most:d} engines have crashed")
 def few_crashed(context: Any, most: int) -> None:
-    """Count."""
+    """Check the number of crashes."""
     assert 0 < len(context.engines.crashes) <= most, len(context.engines.crashes)
 
 
 def refuses(answer: Received) -> bool:
-    """Tell whether an answer refuses a request for its crashes."""
+    """Return True if the response refuses a quarantined request."""
     return answer.status == 503 and b"crashes_runners" in answer.body
 
 
 @given('"{target}" was asked for until all refuse it')
 def asked_until_refused(context: Any, target: str) -> None:
-    """Ask at each instance until it refuses."""
+    """Send the request to each instance until that instance refuses it."""
     for node in context.nodes:
         wait_for_processes(
             f"{node.name} refuses",
-            lambda one=node: refuses(one.ask(target, f"until-{next(NUMBERS)}")),
+            lambda node=node: refuses(node.ask(target, f"until-{next(NUMBERS)}")),
         )
     assert len(context.engines.crashes) <= 3, len(context.engines.crashes)
 
 
-def start_anew(context: Any, nodes: list[GatewayProcess]) -> None:
-    """Kill some instances within a moment and start them again."""
-    context.anew = nodes
+def kill_and_restart(context: Any, nodes: list[GatewayProcess]) -> None:
+    """Kill the instances at once and restart them."""
+    context.restarted = nodes
     for node in nodes:
         node.signal(signal.SIGKILL)
     for node in nodes:
@@ -205,22 +206,22 @@
 
 @when("the first instance is killed and starts anew")
 def kill_first(context: Any) -> None:
-    """Kill one."""
-    start_anew(context, context.nodes[:1])
+    """Kill and restart the first instance."""
+    kill_and_restart(context, context.nodes[:1])
 
 
 @when("all instances are killed at once and start anew")
 def kill_all(context: Any) -> None:
-    """Kill all."""
-    start_anew(context, context.nodes)
+    """Kill and restart all instances."""
+    kill_and_restart(context, context.nodes)
 
 
 @then('within {seconds:g} s of being ready it refuses "{target}", and sends it to no engine')
 def refuses_soon(context: Any, seconds: float, target: str) -> None:
-    """Ask once that time has passed: the first one that asked would be a send."""
+    """Send the request after that time; an earlier one would be sent to an engine."""
     before = len(context.engines.sends_of(target))
     gevent.sleep(seconds)
-    for node in context.anew:
+    for node in context.restarted:
         answer = node.ask(target, f"anew-{next(NUMBERS)}")
         assert refuses(answer), (node.name, answer)
     assert len(context.engines.sends_of(target)) == before
@@ -228,11 +229,11 @@
 
 @then('within {seconds:g} s of being ready they refuse "{target}", and send it to no engine')
 def refuse_soon(context: Any, seconds: float, target: str) -> None:
-    """Ask each."""
+    """Check each restarted instance."""
     refuses_soon(context, seconds, target)
 
 
 @given("the store is away")
 def store_away(context: Any) -> None:
-    """Take the store down for longer than the scenario."""
+    """Stop the store's service for longer than the scenario."""
     context.store_bench.platform.control({"down_s": 60.0})
