--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -1,4 +1,4 @@
-"""Check that nothing new goes to cordoned zones."""
+"""Test that cordoned zones receive no new requests."""
 
 from __future__ import annotations
 
@@ -34,62 +34,62 @@
 from stand_ins.routed import Script
 
 ORDERS = 800
-BOOKS = 3
+REGISTRIES = 3
 ZONES = ("a", "b")
 CORDON_S = 5.0
 NUMBERS = itertools.count(1)
 
 
 class CordonWorld:
-    """Hold the platform's cordons at each revision, and some books that learn of them."""
+    """The platform's cordons at each revision, and some instances' registries that follow them."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without cordons."""
         self._history: list[dict[str, int]] = [{}, {}]
-        """The cordons by revision, each with the revision at which it was made."""
-        self._books = [CordonRegistry() for _ in range(BOOKS)]
-        self._read_to = [0] * BOOKS
+        """The cordons by revision, each with the revision at which it was created."""
+        self._registries = [CordonRegistry() for _ in range(REGISTRIES)]
+        self._read_to = [0] * REGISTRIES
 
     def write(self, zone: str) -> None:
-        """Cordon a zone, or lift that."""
+        """Create a zone's cordon, or lift it if it exists."""
         held = dict(self._history[-1])
         if held.pop(zone, None) is None:
             held[zone] = len(self._history)
         self._history.append(held)
 
     def list(self, number: int) -> None:
-        """Let a book's instance read the whole list."""
+        """Merge the complete list into a registry."""
         at = len(self._history) - 1
-        self._books[number].merge(self._told(at))
+        self._registries[number].merge(self._cordons_at(at))
         self._read_to[number] = at
 
     def watch(self, number: int) -> None:
-        """Let it learn of all changes since, if it has read the list."""
+        """Apply all changes since the list to a registry that has read one."""
         if not self._read_to[number]:
             return
         for at in range(self._read_to[number] + 1, len(self._history)):
             before, now = self._history[at - 1], self._history[at]
             for zone in before.keys() ^ now.keys():
-                self._books[number].apply_change(
+                self._registries[number].apply_change(
                     Cordon(zone, StoreVersion(at)), lifted=zone not in now
                 )
             self._read_to[number] = at
 
-    def hear(self, number: int, back: int) -> None:
-        """Let it hear of a peer that knows what held some changes ago."""
-        self._books[number].merge(self._told(max(1, len(self._history) - 1 - back)))
+    def merge_stale(self, number: int, back: int) -> None:
+        """Merge a peer's snapshot that is some revisions old."""
+        self._registries[number].merge(self._cordons_at(max(1, len(self._history) - 1 - back)))
 
-    def hear_book(self, number: int, other: int) -> None:
-        """Let it hear another book."""
-        self._books[number].merge(self._books[other].snapshot)
+    def merge_registry(self, number: int, other: int) -> None:
+        """Merge the snapshot of another registry."""
+        self._registries[number].merge(self._registries[other].snapshot)
 
     def check(self) -> None:
-        """Compare each book with what held at the revision up to which it knows all."""
-        for book in self._books:
-            held = self._history[book.snapshot.at]
-            assert book.zones == held.keys(), (book.snapshot, held)
+        """Compare each registry with the history at its revision."""
+        for registry in self._registries:
+            held = self._history[registry.snapshot.at]
+            assert registry.zones == held.keys(), (registry.snapshot, held)
 
-    def _told(self, at: int) -> Cordons:
+    def _cordons_at(self, at: int) -> Cordons:
         held = sorted(self._history[at].items())
         return Cordons(
             StoreVersion(at), tuple(Cordon(zone, StoreVersion(revision)) for zone, revision in held)
@@ -100,14 +100,14 @@
     "no drawn order of lists, changes and peers' words leaves a wrong cordon, from seed {number:d}"
 )
 def drawn_cordons(context: Any, number: int) -> None:
-    """Draw orders; the same seed draws the same."""
-    books = st.integers(0, BOOKS - 1)
+    """Generate orders of steps; a seed always generates the same."""
+    registries = st.integers(0, REGISTRIES - 1)
     steps = st.one_of(
         st.tuples(st.just("write"), st.sampled_from(ZONES)),
-        st.tuples(st.just("list"), books),
-        st.tuples(st.just("watch"), books),
-        st.tuples(st.just("hear"), books, st.integers(0, 6)),
-        st.tuples(st.just("hear_book"), books, books),
+        st.tuples(st.just("list"), registries),
+        st.tuples(st.just("watch"), registries),
+        st.tuples(st.just("merge_stale"), registries, st.integers(0, 6)),
+        st.tuples(st.just("merge_registry"), registries, registries),
     )
 
     @seed(number)
@@ -123,33 +123,33 @@
 
 
 @given('a book that knows of a cordon of "a" at revision 7')
-def book_with_cordon(context: Any) -> None:
-    """List it."""
-    context.book = CordonRegistry()
-    context.book.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
-    assert context.book.zones == {"a"}
+def registry_with_cordon(context: Any) -> None:
+    """Merge a list with the cordon."""
+    context.cordons = CordonRegistry()
+    context.cordons.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
+    assert context.cordons.zones == {"a"}
 
 
 @when("that cordon is told to be gone at revision 7")
-def gone_at_same(context: Any) -> None:
-    """Tell its end with its own revision, as a removed object may carry it."""
-    context.book.apply_change(Cordon("a", StoreVersion(7)), lifted=True)
+def removed_at_same_revision(context: Any) -> None:
+    """Apply its removal with its own revision, as a removed object may carry it."""
+    context.cordons.apply_change(Cordon("a", StoreVersion(7)), lifted=True)
 
 
 @when("a peer still holds it")
 def peer_holds(context: Any) -> None:
-    """Tell what held before."""
-    context.book.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
+    """Merge a peer's snapshot from before the removal."""
+    context.cordons.merge(Cordons(StoreVersion(7), (Cordon("a", StoreVersion(7)),)))
 
 
 @then("no zone is cordoned")
 def none_cordoned(context: Any) -> None:
-    """Ask."""
-    assert context.book.zones == frozenset()
+    """Check that no cordon remains."""
+    assert context.cordons.zones == frozenset()
 
 
 class CordonStore(Store):
-    """List one cordon without content that could be read."""
+    """A store with one cordon whose content cannot be decoded."""
 
     def list(self, kind: str, *, stale: bool = False) -> Listing:
         """Return the list."""
@@ -158,38 +158,38 @@
 
 @given('a store that lists a cordon of "a" whose content is a text')
 def unreadable_cordon(context: Any) -> None:
-    """Read the list."""
-    context.book = CordonRegistry()
+    """Read the list through the cordon feed."""
+    context.cordons = CordonRegistry()
     listed = cordon_feed(CordonStore("127.0.0.1:1")).list()
-    context.book.merge(Cordons(listed.at, listed.items))
+    context.cordons.merge(Cordons(listed.at, listed.items))
 
 
 @then('the zones "a" are cordoned')
 def a_cordoned(context: Any) -> None:
-    """Ask."""
-    assert context.book.zones == {"a"}
+    """Check that the zone is cordoned despite the unreadable content."""
+    assert context.cordons.zones == {"a"}
 
 
 # One gateway inside the test process.
 
 
 def zone_of(world: GatewayWorld, upstream: Any) -> str:
-    """Return the zone of a stand-in."""
+    """Return the zone that the tests assign to a stand-in."""
     return "b" if upstream is world.engines[2] else "a"
 
 
 @given('a gateway whose first two engines stand in zone "a", the third in zone "b"')
 def two_zones(context: Any) -> None:
-    """List the engines anew, with their zones."""
+    """List all upstreams with their zones."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
-    everyone = (*world.plain, *world.engines)
-    entries = tuple(replace(world.entry(one), zone=zone_of(world, one)) for one in everyone)
+    upstreams = (*world.plain, *world.engines)
+    entries = tuple(replace(world.entry(each), zone=zone_of(world, each)) for each in upstreams)
     world.state.fleet.handle(Listed(entries, StoreVersion(world.revision)), world.state.now())
 
 
 def cordon(world: GatewayWorld, *zones: str) -> None:
-    """Cordon zones, and no others."""
+    """Set the cordoned zones, and lift all other cordons."""
     before = world.state.cordons.zones
     event = Cordoned(frozenset(zones), before - set(zones))
     world.state.fleet.handle(event, world.state.now())
@@ -197,13 +197,13 @@
 
 @when('zone "{zone}" is cordoned before it comes')
 def cordoned_before(context: Any, zone: str) -> None:
-    """Cordon at once."""
+    """Cordon the zone before the request."""
     cordon(world_of(context), zone)
 
 
 @when('zone "a" is cordoned while its connection is being opened')
 def cordoned_while_opened(context: Any) -> None:
-    """Cordon after the place is chosen and before the request is sent."""
+    """Cordon the zone after the upstream is chosen and before the request is sent."""
     world, usual = world_of(context), UpstreamExchange.connect.__func__  # type: ignore[attr-defined]
 
     def connect(kind: type[UpstreamExchange], address: str, timeout_s: float) -> UpstreamExchange:
@@ -213,12 +213,12 @@
 
     UpstreamExchange.connect = classmethod(connect)  # type: ignore[method-assign, assignment]
     context.add_cleanup(setattr, UpstreamExchange, "connect", classmethod(usual))
-    # So full that zone "a" is chosen.
+    # The engine in zone "b" is so full that zone "a" is chosen.
     world.state.loads.set_load("load", _share(world.engines[2].upstream_id))
 
 
 def _share(upstream_id: str) -> Any:
-    """Return the share of a request that fills most of an engine."""
+    """Return the load of a request that fills most of an engine's memory."""
     from driftstall.gateway.loads import RequestLoad
 
     return RequestLoad(upstream_id, 25_000, 0)
@@ -226,7 +226,7 @@
 
 @then('a new stream runs in zone "b"')
 def runs_in_b(context: Any) -> None:
-    """Ask for a stream."""
+    """Request a stream, and check that the engine in zone "b" ran it."""
     world = world_of(context)
     answer = world.ask("/stream/a", "s1")
     assert (answer.status, answer.whole) == (200, True), answer
@@ -235,12 +235,12 @@
 
 @given('a stream in zone "b" whose copy is kept in zone "a"')
 def stream_in_b(context: Any) -> None:
-    """Start a stream while zone "a" has more running, and let its copy count."""
+    """Start a stream while zone "a" is busier, and let its backup become ready."""
     from driftstall.decisions.sends import BACKUP_READY_AFTER_S
 
     world = world_of(context)
-    for number, one in enumerate(world.engines[:2]):
-        world.state.loads.set_load(f"load-{number}", _share(one.upstream_id))
+    for number, engine in enumerate(world.engines[:2]):
+        world.state.loads.set_load(f"load-{number}", _share(engine.upstream_id))
     (context.script,) = script_upstreams(
         world, "s1", [Script(events=8, pause_after=4, break_after=4)]
     )
@@ -255,7 +255,7 @@
 
 @when('zone "a" is cordoned and the engine of the stream breaks off')
 def cordoned_and_broken(context: Any) -> None:
-    """Cordon, then let it break off."""
+    """Cordon zone "a", then let the stream break off."""
     cordon(world_of(context), "a")
     context.script.gate.set()
     context.answer = context.asked.get(timeout=5.0)
@@ -263,48 +263,48 @@
 
 @then('nothing was sent to zone "a"')
 def nothing_to_a(context: Any) -> None:
-    """Look at what the engines there saw."""
+    """Check that the engines in zone "a" received nothing."""
     world = world_of(context)
-    assert [one.seen for one in world.engines[:2]] == [[], []]
+    assert [engine.seen for engine in world.engines[:2]] == [[], []]
     assert not context.answer.whole
 
 
 @then('a new stream keeps its copy in zone "a"')
 def copy_in_a(context: Any) -> None:
-    """Ask for a long stream, and look where its engine was asked to keep a copy."""
+    """Request a long stream, and check the backup that its engine was given."""
     world = world_of(context)
     world.ask("/stream/a", "s1", Length_Hint="1500")
     (engine,) = runs(world, "s1")
-    kept_at = {one.address for one in world.engines[:2]}
+    backups = {each.address for each in world.engines[:2]}
     (seen,) = engine.seen
-    assert seen.headers["kv-backup"] in kept_at, seen.headers
+    assert seen.headers["kv-backup"] in backups, seen.headers
 
 
 @when('zones "a" and "b" are cordoned')
 def all_cordoned(context: Any) -> None:
-    """Cordon both."""
+    """Cordon both zones."""
     cordon(world_of(context), "a", "b")
 
 
 @then("a new stream is refused within {seconds:g} s with a time to come back")
 def refused_at_once(context: Any, seconds: float) -> None:
-    """Ask for a stream."""
-    world, began = world_of(context), time.monotonic()
+    """Request a stream, and check the refusal and its time."""
+    world, started_at = world_of(context), time.monotonic()
     answer = world.ask("/stream/a", "s1")
-    assert time.monotonic() - began < seconds
+    assert time.monotonic() - started_at < seconds
     assert_refused_with_retry_after(answer)
 
 
 @then('a call is still served once zone "a" is free again')
 def served_again(context: Any) -> None:
-    """Lift the cordon, and ask."""
+    """Lift the cordon of zone "a", and send a call."""
     cordon(world_of(context), "b")
     assert world_of(context).ask("/safe/a", "c1").status == 200
 
 
 @given("an instance of a site with cordons that has read routes and upstreams")
 def fresh_with_cordons(context: Any) -> None:
-    """Let a world's state be that of such a site."""
+    """Start a gateway of a site that uses cordons."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     bounds = replace(world.state.settings.bounds, cordon_s=CORDON_S)
@@ -312,8 +312,8 @@
 
 
 @then("it is not ready until a peer tells of cordons")
-def ready_with_word(context: Any) -> None:
-    """Ask before and after."""
+def ready_after_report(context: Any) -> None:
+    """Check the readiness before and after a peer's report of cordons."""
     state = world_of(context).state
     assert not state.is_ready
     applied: list[Any] = []
@@ -329,7 +329,7 @@
 
 @given("two gateway processes of a site with cordons, the second behind a gate")
 def two_with_cordons(context: Any) -> None:
-    """Move the second upstream to another zone, and start them."""
+    """Move the second upstream to another zone, and start two processes."""
     second = context.upstreams[1]
     spec = entry_spec(second.address, "portal", slots=6, zone="b")
     assert context.store.replace(KIND_UPSTREAMS, second.upstream_id, spec) is not None
@@ -341,50 +341,53 @@
     start_node(context, context.gate.address, bounds=context.bounds, seeds=seeds)
     for node in context.nodes:
         wait_for_processes("it is ready", node.is_ready)
-        wait_for_processes("it uses both", lambda one=node: used(context, one) == {"i-1", "i-2"})
+        wait_for_processes("it uses both", lambda node=node: used(context, node) == {"i-1", "i-2"})
 
 
 def used(context: Any, node: Any) -> set[str]:
-    """Ask some calls and return which upstreams have run them."""
+    """Send some calls and return the ids of the upstreams that ran them."""
     ids = [f"k-{next(NUMBERS)}" for _ in range(8)]
-    gevent.joinall([gevent.spawn(node.ask, "/safe/a", one) for one in ids])
+    gevent.joinall([gevent.spawn(node.ask, "/safe/a", request_id) for request_id in ids])
     return {
-        one.upstream_id for one in context.upstreams for request_id in ids if one.runs(request_id)
+        upstream.upstream_id
+        for upstream in context.upstreams
+        for request_id in ids
+        if upstream.runs(request_id)
     }
 
 
 @when('the gate falls silent and zone "b" of "i-2" is cordoned')
 def silent_and_cordoned(context: Any) -> None:
-    """Silence, then cordon."""
+    """Silence the proxy, then create the cordon."""
     context.gate.silent = True
     assert context.store.create(KIND_CORDONS, "b", {}) is not None
     context.changed_at = time.monotonic()
 
 
 def assert_all_use(context: Any, wanted: set[str], seconds: float) -> None:
-    """Ask all again and again until they use just those, in time."""
+    """Send calls to all instances until they use exactly these upstreams, and check the time."""
     for node in context.nodes:
         wait_for_processes(
-            f"{node.name} uses {wanted}", lambda one=node: used(context, one) == wanted
+            f"{node.name} uses {wanted}", lambda node=node: used(context, node) == wanted
         )
-    took = time.monotonic() - context.changed_at
-    assert took <= seconds, took
+    took_s = time.monotonic() - context.changed_at
+    assert took_s <= seconds, took_s
 
 
 @then('within {seconds:g} s all send to "i-1" alone')
 def all_use_first(context: Any, seconds: float) -> None:
-    """Ask all."""
+    """Check the upstreams that all instances use."""
     assert_all_use(context, {"i-1"}, seconds)
 
 
 @then("so does a third one that starts while the store cannot be reached from it")
 def third_starts(context: Any) -> None:
-    """Start one behind a gate that is shut, and ask it alone."""
-    shut = StoreProxy(context.store_address)
-    shut.shut_down()
-    context.add_cleanup(shut.stop)
+    """Start an instance behind a closed proxy, and check the upstreams that it uses."""
+    closed = StoreProxy(context.store_address)
+    closed.shut_down()
+    context.add_cleanup(closed.stop)
     seeds = [context.nodes[0].listen["control"]]
-    start_node(context, shut.address, bounds=context.bounds, seeds=seeds)
+    start_node(context, closed.address, bounds=context.bounds, seeds=seeds)
     node = context.nodes[-1]
     wait_for_processes("it is ready", node.is_ready)
     assert used(context, node) == {"i-1"}
@@ -392,7 +395,7 @@
 
 @then('within {seconds:g} s of the cordon\'s end all send to "i-2" again')
 def lifted_again(context: Any, seconds: float) -> None:
-    """Lift it, and ask all."""
+    """Lift the cordon, and check the upstreams that all instances use."""
     context.store.delete(KIND_CORDONS, "b")
     context.changed_at = time.monotonic()
     assert_all_use(context, {"i-1", "i-2"}, seconds)
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,4 +1,4 @@
-"""Check on real processes that upstreams get no more requests than they say they take."""
+"""Test on real processes that instances respect the rate limits that upstreams signal."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from stand_ins.routed import RoutedUpstream, Script
 
 CONTACT_S: Final = 3.0
-"""Time after which all instances must know a limit."""
+"""Time within which all instances must know a limit."""
 WINDOW_S: Final = 4.0
 FACTOR: Final = 1.5
 EXTRA: Final = 5
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timed:
-    """Hold an answer and how long it took."""
+    """A response and its duration."""
 
     answer: Received
     took_s: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """Hold a limit and when it was in force, by the steady clock."""
+    """A limit and the time span in which it applied, on the monotonic clock."""
 
     upstream: RoutedUpstream
     per_s: float
@@ -51,12 +51,12 @@
 
 
 def usual_call() -> Script:
-    """Return what a portal does with a request."""
+    """Return the script of a portal's call."""
     return Script(work_s=PLAIN_WORK_S)
 
 
 def usual_stream() -> Script:
-    """Return what an engine does with a request."""
+    """Return the script of an engine's stream."""
     return Script(events=5, event_pause_s=0.02)
 
 
@@ -72,41 +72,44 @@
     context.store.create(KIND_CONFIG, NAME_CONFIG, document(3))
     context.portals = [RoutedUpstream(f"p-{n}", usual_call) for n in range(portals)]
     context.engines = [RoutedUpstream(f"e-{n}", usual_stream) for n in range(engines)]
-    for service, slots, some in (("portal", 6, context.portals), ("engines", 64, context.engines)):
-        for one in some:
-            context.add_cleanup(one.stop)
-            spec = entry_spec(one.address, service, slots=slots)
-            context.store.create(KIND_UPSTREAMS, one.upstream_id, spec)
+    for service, slots, upstreams in (
+        ("portal", 6, context.portals),
+        ("engines", 64, context.engines),
+    ):
+        for upstream in upstreams:
+            context.add_cleanup(upstream.stop)
+            spec = entry_spec(upstream.address, service, slots=slots)
+            context.store.create(KIND_UPSTREAMS, upstream.upstream_id, spec)
     context.nodes = []
     context.phases = []
     context.timed = []
 
 
 def ask_on(context: Any, target: str, until: float) -> None:
-    """Ask again and again as one caller, at instances by turns."""
+    """Send requests as one caller until that time, to the instances in turn."""
     nodes = itertools.cycle(context.nodes)
     for _ in range(next(NUMBERS) % len(context.nodes)):
         next(nodes)
     while time.monotonic() < until:
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             answer = next(nodes).ask(target, f"limit-{next(NUMBERS)}")
         except (OSError, UpstreamError):
-            # The instance was being killed: the next one is asked.
+            # The instance was being killed; the next instance is used.
             gevent.sleep(PAUSE_S)
             continue
-        context.timed.append(Timed(answer, time.monotonic() - began))
+        context.timed.append(Timed(answer, time.monotonic() - started_at))
         gevent.sleep(PAUSE_S if answer.status == 200 else REFUSED_PAUSE_S)
 
 
 def name_limit(context: Any, upstream: RoutedUpstream, per_s: float | None) -> None:
-    """Have an upstream name another limit, and note how long the one before was in force."""
+    """Change the limit that an upstream signals, and record the end of the previous limit."""
     now = time.monotonic()
     context.phases = [
-        Phase(one.upstream, one.per_s, one.since, now)
-        if one.upstream is upstream and one.until == float("inf")
-        else one
-        for one in context.phases
+        Phase(phase.upstream, phase.per_s, phase.since, now)
+        if phase.upstream is upstream and phase.until == float("inf")
+        else phase
+        for phase in context.phases
     ]
     upstream.rate_limit = per_s
     if per_s is not None:
@@ -128,7 +131,7 @@
     take: str,
     per_s: float,
 ) -> None:
-    """Start the callers, and have some upstreams name a limit."""
+    """Start the callers, and let some upstreams signal a limit."""
     context.ends_at = time.monotonic() + seconds
     context.asking = [
         gevent.spawn(ask_on, context, target, context.ends_at) for _ in range(callers)
@@ -136,13 +139,13 @@
     context.kind = context.portals if kind.startswith("portal") else context.engines
     gevent.sleep(after)
     context.limited = context.kind[:count]
-    for one in context.limited:
-        name_limit(context, one, per_s)
+    for upstream in context.limited:
+        name_limit(context, upstream, per_s)
 
 
 @when("meanwhile an instance is killed and starts anew every {pause:g} s")
 def kill_meanwhile(context: Any, pause: float) -> None:
-    """Kill instances by turns until the callers are done."""
+    """Kill and restart the instances in turn until the callers are done."""
     for node in itertools.cycle(context.nodes):
         if time.monotonic() + pause > context.ends_at:
             return
@@ -171,10 +174,10 @@
 
 
 def most_in_window(times: list[float]) -> int:
-    """Return the most of some times that fall into one window."""
+    """Return the largest number of the times that fall into one window."""
     ordered = sorted(times)
     return max(
-        (sum(at <= one < at + WINDOW_S for one in ordered) for at in ordered),
+        (sum(start <= at < start + WINDOW_S for at in ordered) for start in ordered),
         default=0,
     )
 
@@ -184,7 +187,7 @@
     " limit and 5"
 )
 def no_more(context: Any, contact: float) -> None:
-    """Count the arrivals while each limit was in force and known."""
+    """Check the peak number of arrivals while each limit applied and was known."""
     finish(context)
     assert context.phases
     found = []
@@ -198,40 +201,40 @@
 
 @then("limited upstreams get at least {share:g} of what they take")
 def limits_used(context: Any, share: float) -> None:
-    """Count the arrivals while each limit was in force and known."""
+    """Check the number of arrivals while each limit applied and was known."""
     finish(context)
     for phase in context.phases:
         since, until = phase.since + CONTACT_S, min(phase.until, context.ends_at)
-        got = sum(since <= at < until for at in phase.upstream.arrivals)
-        taken = phase.per_s * (until - since)
-        assert got >= share * taken, (phase.upstream.upstream_id, got, taken)
+        arrived = sum(since <= at < until for at in phase.upstream.arrivals)
+        allowed = phase.per_s * (until - since)
+        assert arrived >= share * allowed, (phase.upstream.upstream_id, arrived, allowed)
 
 
 @then("at least {share:d} in 100 answers are whole")
 def answers_whole(context: Any, share: int) -> None:
-    """Look at the answers."""
+    """Check the share of complete responses."""
     finish(context)
-    bad = [one for one in context.timed if one.answer.status != 200 or not one.answer.whole]
+    bad = [each for each in context.timed if each.answer.status != 200 or not each.answer.whole]
     assert len(bad) <= (1 - share / 100) * len(context.timed), (len(bad), bad[:3])
 
 
 @then("who is refused is told within {seconds:g} s when to come back, and that nothing ran")
 def refused_soon(context: Any, seconds: float) -> None:
-    """Look at the refusals, of which there are some, and at all who waited."""
+    """Check that there are refusals, their time and their content."""
     finish(context)
-    refused = [one for one in context.timed if one.answer.status != 200]
+    refused = [timed for timed in context.timed if timed.answer.status != 200]
     assert refused
-    for one in refused:
-        assert one.answer.status == 503, one
-        assert one.took_s <= seconds, one
-        assert float(one.answer.headers["retry-after"]) > 0, one
-        assert b'"ran":"not run"' in one.answer.body, one
+    for timed in refused:
+        assert timed.answer.status == 503, timed
+        assert timed.took_s <= seconds, timed
+        assert float(timed.answer.headers["retry-after"]) > 0, timed
+        assert b'"ran":"not run"' in timed.answer.body, timed
 
 
 @then("within {seconds:g} s of the end of its limit it gets as many requests as a peer")
 def lifted(context: Any, seconds: float) -> None:
-    """Compare it with its peers from then on."""
+    """Compare its arrivals after the limit with those of its peers."""
     finish(context)
     since = context.lifted_at + seconds
-    counts = [sum(at >= since for at in one.arrivals) for one in context.kind]
+    counts = [sum(at >= since for at in upstream.arrivals) for upstream in context.kind]
     assert counts[0] >= 0.5 * max(counts) > 0, counts
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -1,4 +1,4 @@
-"""Check that signals count with every response of an upstream, whatever becomes of it."""
+"""Test that signals are read from every response of an upstream, however it is handled."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 def ask_call(world: GatewayWorld, script: Script | None = None) -> None:
-    """Ask for a call, which may be answered in any way."""
+    """Send a call whose upstream follows the script."""
     script_upstreams(world, "r1", [script] if script else [])
     world.ask("/once/a", "r1")
 
 
 def ask_stream(world: GatewayWorld) -> None:
-    """Ask for a stream."""
+    """Request a stream."""
     world.ask("/stream/a", "s1")
 
 
 def reject_call(world: GatewayWorld) -> None:
-    """Have a call rejected once."""
-    for one in world.plain:
-        one.rejected_share = 1.0
+    """Send a call that all upstreams reject."""
+    for upstream in world.plain:
+        upstream.rejected_share = 1.0
     world.ask("/once/a", "r1")
 
 
 def call_engine(world: GatewayWorld, path: str) -> None:
-    """Make a call of the gateway's own to an engine."""
-    engines = [one for one in world.state.fleet.upstreams if one.service == "engines"]
+    """Send one of the gateway's own requests to an engine."""
+    engines = [each for each in world.state.fleet.upstreams if each.service == "engines"]
     source, target = engines[:2]
     dialect = world.state.dialect
     if path == "move":
@@ -58,10 +58,10 @@
 
 @when("an upstream signals that it leaves with {response}")
 def signals_with(context: Any, response: str) -> None:
-    """Have whichever upstream responds signal that it leaves, and no other one."""
+    """Let the first upstream that responds signal that it leaves, and no other upstream."""
     world = world_of(context)
-    for one in (*world.plain, *world.engines):
-        one.leaves = True
+    for upstream in (*world.plain, *world.engines):
+        upstream.leaves = True
     context.leaving = []
     usual = world.handle_leaving_signal
 
@@ -77,27 +77,31 @@
 
 @then("it takes no requests, and its peers do")
 def only_it_leaves(context: Any) -> None:
-    """Look at the fleet."""
+    """Check that only the signalling upstream is excluded."""
     fleet = world_of(context).state.fleet
-    taking = {one.upstream_id for one in fleet.upstreams if fleet.accepts_requests(one.upstream_id)}
-    known = {one.upstream_id for one in fleet.upstreams}
-    assert known - taking == set(context.leaving) and len(context.leaving) == 1, context.leaving
+    accepting = {
+        upstream.upstream_id
+        for upstream in fleet.upstreams
+        if fleet.accepts_requests(upstream.upstream_id)
+    }
+    known = {upstream.upstream_id for upstream in fleet.upstreams}
+    assert known - accepting == set(context.leaving) and len(context.leaving) == 1, context.leaving
 
 
 @when('the upstream of "r1" leaves and says by the status alone that it is not the one meant')
 def misdirected_leaves(context: Any) -> None:
-    """Have another upstream respond at the address."""
+    """Let another upstream respond at the address."""
     world = world_of(context)
     script_upstreams(world, "r1", [Script(misdirected=True)])
-    for one in world.plain:
-        one.leaves = True
+    for upstream in world.plain:
+        upstream.leaves = True
     world.ask("/once/a", "r1")
-    context.first = next(one for one in world.plain if not one.runs("r1"))
+    context.first = next(each for each in world.plain if not each.runs("r1"))
 
 
 @then("all upstreams take requests")
 def all_take(context: Any) -> None:
-    """Only the one whose own answer has signalled so leaves."""
+    """Check that a signal from another upstream at the address is not attributed to it."""
     fleet = world_of(context).state.fleet
     assert context.first.signalled_leaving
     assert fleet.accepts_requests(context.first.upstream_id)
@@ -105,10 +109,10 @@
 
 @when("an engine with a stream signals that it leaves with the answer to a question")
 def engine_leaves(context: Any) -> None:
-    """Hold a stream at its fourth event, have its engine signal, then let it go on."""
+    """Pause a stream after its fourth event, probe its engine, which signals, then continue."""
     world = world_of(context)
     script = script_upstreams(world, "s1", [Script(events=30, pause_after=4), Script(events=30)])[0]
-    # Too short for a copy that its engine keeps up.
+    # The stream is too short for a backup.
     context.asked = world.ask_later("/stream/a", "s1", X_Driftstall_Token_Count="1000,100")
     wait_for("the stream has begun", script.paused.is_set)
     (engine,) = runs(world, "s1")
@@ -123,30 +127,30 @@
 
 @then("the stream is moved to another engine and comes whole")
 def stream_moved(context: Any) -> None:
-    """Look where it went on."""
+    """Check the complete stream and the engines that ran it."""
     answer = context.asked.get(timeout=5.0)
     assert (answer.status, answer.whole) == (200, True), answer
     assert answer.body.count(b"data:") == 30, answer
-    places: list[RoutedUpstream] = runs(world_of(context), "s1")
-    assert len(places) == 2 and places.count(context.engine) == 1, places
+    engines: list[RoutedUpstream] = runs(world_of(context), "s1")
+    assert len(engines) == 2 and engines.count(context.engine) == 1, engines
 
 
 @when('three responses carry "Server-Mood: low"')
 def unknown_signal(context: Any) -> None:
-    """Have upstreams send a header of their own."""
+    """Let upstreams send an unknown signal header."""
     world = world_of(context)
     context.logged = []
     add_destinations(context.logged.append)
     context.add_cleanup(remove_destination, context.logged.append)
-    for one in world.plain:
-        one.extra_headers = ((b"Server-Mood", b"low"),)
+    for upstream in world.plain:
+        upstream.extra_headers = ((b"Server-Mood", b"low"),)
     for number in range(3):
         world.ask("/once/a", f"r{number}")
 
 
 @then('the log names "{name}" once, and three are counted')
 def logged_once(context: Any, name: str) -> None:
-    """Look for the line."""
-    lines = [one for one in context.logged if one.get("header") == name]
+    """Check the log line and the counter."""
+    lines = [line for line in context.logged if line.get("header") == name]
     assert len(lines) == 1, lines
     assert world_of(context).state.stats.unknown_signals == 3
