--- a/features/steps/foreign_entry_steps.py
+++ b/features/steps/foreign_entry_steps.py
@@ -1,4 +1,4 @@
-"""Check what is made of objects that other writers have put into the platform."""
+"""Test how malformed objects of other writers in the platform are decoded."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=6), inner),
     max_leaves=6,
 )
-"""Anything that JSON may hold."""
+"""Any JSON value."""
 
 
 def same_kind(value: Any, other: Any) -> bool:
-    """Tell whether a value could be what an upstream itself writes in the place of another."""
+    """Return True if a value has the type that an upstream itself writes for that field."""
     if isinstance(other, str):
         return isinstance(value, str)
     return isinstance(value, (int, float)) and not isinstance(value, bool)
@@ -46,7 +46,7 @@
 
 @then("no drawn change of a whole entry is taken for an upstream, from seed {number:d}")
 def changed_entries(context: Any, number: int) -> None:
-    """Leave a field out, or put a value of another kind there."""
+    """Remove a field of a valid entry, or replace it by a value of another type."""
     assert read_upstream("i-1", StoreVersion(1), WHOLE).born == WHOLE["born"]
     fields = st.sampled_from(sorted(WHOLE))
 
@@ -66,13 +66,13 @@
             found = read_upstream("i-1", StoreVersion(1), changed)
         except DocumentFault:
             return
-        raise AssertionError(f"taken for {found}: {changed}")
+        raise AssertionError(f"decoded as {found}: {changed}")
 
     check()
 
 
 def read_document(kind: str, spec: Any) -> None:
-    """Decode a document as its feed does."""
+    """Decode a document with the decoder of its feed."""
     stored = StoredObject("current", StoreVersion(1), spec)
     decoders: dict[str, Any] = {
         "an upstream": lambda: read_upstream("i-1", StoreVersion(1), spec),
@@ -95,13 +95,13 @@
 
 @then("a drawn document of {kind} is decoded or reported, and nothing else, from seed {number:d}")
 def drawn_documents(context: Any, kind: str, number: int) -> None:
-    """Draw whole documents, and samples with one value replaced anywhere."""
+    """Decode generated documents, and samples with one value replaced anywhere."""
 
     @seed(number)
     @settings(max_examples=CHANGES, deadline=None, database=None)
     @for_all(values, st.randoms(use_true_random=False), st.booleans())
     def check(value: Any, source: Any, replaced: bool) -> None:
-        spec = replace_one(SAMPLES[kind], value, source) if replaced else value
+        spec = replace_random_part(SAMPLES[kind], value, source) if replaced else value
         try:
             read_document(kind, spec)
         except DocumentFault:
@@ -110,44 +110,44 @@
     check()
 
 
-def replace_one(sample: Any, value: Any, source: Any) -> Any:
-    """Return a sample with a value in the place of one of its parts."""
+def replace_random_part(sample: Any, value: Any, source: Any) -> Any:
+    """Return a copy of a sample with one random part replaced by a value."""
     if isinstance(sample, dict) and sample:
         name = source.choice(sorted(sample))
-        return sample | {name: replace_one(sample[name], value, source)}
+        return sample | {name: replace_random_part(sample[name], value, source)}
     if isinstance(sample, list) and sample:
         index = source.randrange(len(sample))
-        changed = replace_one(sample[index], value, source)
+        changed = replace_random_part(sample[index], value, source)
         return [*sample[:index], changed, *sample[index + 1 :]]
     return value
 
 
 @then("an entry with {field} {value} is not used")
 def field_not_used(context: Any, field: str, value: str) -> None:
-    """Decode it."""
+    """Decode a valid entry with that field changed."""
     assert_unused("i-1", WHOLE | {field: orjson.loads(value)})
 
 
 @then('an entry under the name "{name}" is not used')
 def name_not_used(context: Any, name: str) -> None:
-    """Decode it."""
+    """Decode a valid entry under that name."""
     assert_unused(name.replace("\\r\\n", "\r\n"), WHOLE)
 
 
 def assert_unused(name: str, spec: Any) -> None:
-    """Check that an entry is reported."""
+    """Check that decoding an entry raises DocumentFault."""
     try:
         found = read_upstream(name, StoreVersion(1), spec)
     except DocumentFault:
         return
-    raise AssertionError(f"taken for {found}")
+    raise AssertionError(f"decoded as {found}")
 
 
 # Rows of the platform's answers.
 
 
 def row(name: Any, revision: Any, spec: Any = WHOLE) -> dict[str, Any]:
-    """Return an object as the platform gives it."""
+    """Return an object in the platform's JSON form."""
     return {"metadata": {"name": name, "revision": revision}, "spec": spec}
 
 
@@ -155,7 +155,7 @@
     "a store whose list holds a whole entry, rows that cannot be read, and bytes that are no text"
 )
 def torn_list(context: Any) -> None:
-    """Answer in two pages; the first ends with a row that has only a name."""
+    """Serve a list in two pages; the last row of the first has only a name."""
     rows = [row("i-1", 3), 5, {"metadata": 1}, row("i-2", "4"), row("i-3", True), row("i-4", None)]
     first = orjson.dumps({"items": rows, "more": True, "at": 9})
     first = first.replace(b'"v1"', b'"v\xff1"')
@@ -178,15 +178,15 @@
 
 @then("the list gives the whole entry alone, and goes on after its last name")
 def one_alone(context: Any) -> None:
-    """List; a sign that is no text stands where only a text is asked for."""
+    """Read the list; the bytes that are not UTF-8 stand in a text field of the valid entry."""
     found = context.feed.list()
-    assert [one.name for one in found.items] == ["i-1"], found
+    assert [upstream.name for upstream in found.items] == ["i-1"], found
     assert context.asked[1].endswith("after=i-4"), context.asked
 
 
 @when("the platform tells of a change that cannot be read")
 def torn_change(context: Any) -> None:
-    """Let the store answer a watch so."""
+    """Let a watch return a malformed change, and count the following lists."""
     context.lists = 0
     usual = context.store.list
 
@@ -205,12 +205,12 @@
 
 @then("the list was read again")
 def read_again(context: Any) -> None:
-    """Count."""
+    """Check the number of lists."""
     assert context.lists == 1
 
 
 class SameStore(Store):
-    """List the same entry, that can't be read, again and again."""
+    """A store whose list always has the same malformed entry."""
 
     def list(self, kind: str, *, stale: bool = False) -> Listing:
         """Return the list."""
@@ -221,13 +221,13 @@
 
 @given("a store that lists the same unreadable entry again and again")
 def same_entry(context: Any) -> None:
-    """Take its feed."""
+    """Create the store's upstream feed."""
     context.feed = upstream_feed(SameStore("127.0.0.1:1"))
 
 
 @when("it was listed {times:d} times")
 def listed_often(context: Any, times: int) -> None:
-    """List, with the log's lines kept."""
+    """Read the list repeatedly and record the log lines."""
     context.lines = []
     with patch.object(feeds, "log_event", lambda *values, **fields: context.lines.append(values)):
         for _ in range(times):
@@ -236,13 +236,13 @@
 
 @then("its reason was logged once")
 def logged_once(context: Any) -> None:
-    """Look at the lines."""
+    """Check that one line names the malformed field."""
     ((_, line),) = context.lines
     assert "slots" in line, line
 
 
 class TwoConfigs(Store):
-    """Hold two objects with routes."""
+    """A store with two routing documents."""
 
     def list(self, kind: str, *, stale: bool = False) -> Listing:
         """Return the list."""
@@ -253,11 +253,11 @@
 
 @given("a store with routes of version 3, and another object with routes of version 9")
 def two_configs(context: Any) -> None:
-    """Take its feed."""
+    """Create the store's routing feed."""
     context.feed = routing_feed(TwoConfigs("127.0.0.1:1"))
 
 
 @then("only version 3 is read")
 def only_own(context: Any) -> None:
-    """List."""
-    assert [one.document.version for one in context.feed.list().items] == [3]
+    """Check that only the document under the configured name is read."""
+    assert [item.document.version for item in context.feed.list().items] == [3]
--- a/features/steps/known_upstream_steps.py
+++ b/features/steps/known_upstream_steps.py
@@ -1,4 +1,4 @@
-"""Check what an instance that follows the platform still takes for an upstream's standing."""
+"""Test that stale updates do not bring back an upstream that has left."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from features.worlds.upstream_samples import entry_spec, upstream_of
 
 ORDERS = 1500
-"""Drawn orders of words; each takes two milliseconds."""
-MOST_WRITES = 6
-MOST_TELLS = 10
+"""Number of generated orders of updates; each takes two milliseconds."""
+MAX_WRITES = 6
+MAX_UPDATES = 10
 LISTED_AT = 10
 WHOLE = entry_spec("127.0.0.1:1", slots=8)
 FLAWS: dict[str, Any] = {
@@ -37,11 +37,11 @@
 }
 
 
-class TellingStore(Store):
-    """Hold a list, and the changes that the next watch tells of."""
+class ScriptedStore(Store):
+    """A store with a settable list and settable changes for the next watch."""
 
     def __init__(self) -> None:
-        """Start with two whole entries."""
+        """Start with two valid entries."""
         super().__init__("127.0.0.1:1")
         self.listing = Listing(
             tuple(entry(name, 5) for name in ("u1", "u2")), StoreVersion(LISTED_AT)
@@ -54,27 +54,27 @@
         return self.listing
 
     def watch(self, kind: str, at: int, wait_s: float) -> WatchAnswer:
-        """Return the changes, or no answer."""
+        """Return the changes, or raise PlatformUnavailable while the store is silent."""
         if self.is_silent:
             raise PlatformUnavailable("no answer")
         return WatchAnswer(self.events, StoreVersion(at + 1))
 
 
 def entry(name: str, revision: int, spec: Any = WHOLE) -> StoredObject:
-    """Return an upstream's entry as it is stored."""
+    """Return an upstream's stored entry."""
     return StoredObject(name, StoreVersion(revision), spec)
 
 
 @given('an instance that follows the platform, which lists "u1" and "u2"')
 def follows_platform(context: Any) -> None:
-    """Put together what follows the upstreams, and let it read the list."""
-    context.store = TellingStore()
+    """Start an instance that follows the upstreams of a scripted store."""
+    context.store = ScriptedStore()
     start_instance(context)
     assert context.fleet.accepts_requests("u1")
 
 
 def start_instance(context: Any) -> None:
-    """Start an instance that knows nothing yet, and let it read the platform's list."""
+    """Start an instance without any state, and let it read the platform's list."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     context.fleet = world.state.fleet
@@ -99,13 +99,13 @@
 
 @when('it learns that "u1" has left from the list of another peer')
 def peer_lacks(context: Any) -> None:
-    """Take in a list without it."""
+    """Apply a peer's list without it."""
     context.source.handle_peer_list((upstream_of("u2", 5),), LISTED_AT + 1)
 
 
 @when('it learns that "u1" has left from a new list of its own')
 def own_list_lacks(context: Any) -> None:
-    """Start it anew on a list without it: it never knew of it, but the list is newer."""
+    """Restart the instance on a newer list without the upstream, which it never knew."""
     context.store.listing = Listing((entry("u2", 5),), StoreVersion(LISTED_AT + 1))
     start_instance(context)
     assert context.fleet.find("u1") is None
@@ -113,37 +113,37 @@
 
 @when('a peer\'s older list still holds "u1"')
 def older_list(context: Any) -> None:
-    """Take in a list of a time when it was there."""
+    """Apply a peer's list from before it left."""
     context.source.handle_peer_list((upstream_of("u1", 5), upstream_of("u2", 5)), LISTED_AT)
 
 
 @when('a peer\'s list as of revision {at:d} lacks "u1"')
 def list_lacks(context: Any, at: int) -> None:
-    """Take in a newer list without it."""
+    """Apply a peer's newer list without it."""
     context.source.handle_peer_list((upstream_of("u2", 5),), at)
 
 
 @when('a peer\'s news of revision {revision:d} say that "u1" is ready')
 def late_news(context: Any, revision: int) -> None:
-    """Take in news that come late."""
+    """Apply a peer's delayed change."""
     context.source.handle_peer_change(ItemChange(upstream_of("u1", revision), False))
 
 
 @when('a peer\'s list as of revision {at:d} names "u1" at revision {revision:d}')
 def list_names(context: Any, at: int, revision: int) -> None:
-    """Take in a still newer list, of one that knew more."""
+    """Apply a still newer list of a peer that knows a newer entry."""
     context.source.handle_peer_list((upstream_of("u1", revision), upstream_of("u2", 5)), at)
 
 
 @when('the entry of "u1" changes into one {flaw}')
 def unreadable(context: Any, flaw: str) -> None:
-    """Tell of the change."""
+    """Let the watch return a change to an entry that cannot be decoded."""
     context.store.events = (WatchEvent(entry("u1", LISTED_AT + 1, FLAWS[flaw]), False),)
     context.follower.step()
 
 
-def tell_leaving(context: Any, name: str, revision: int) -> None:
-    """Tell of a notice."""
+def watch_leaving(context: Any, name: str, revision: int) -> None:
+    """Let the watch return the notice of an upstream."""
     leaving = entry(name, revision, WHOLE | {"state": "draining"})
     context.store.events = (WatchEvent(leaving, False),)
     context.follower.step()
@@ -151,51 +151,55 @@
 
 @when('the platform says nothing for {seconds:g} s, then that "u1" leaves')
 def silent_then_leaving(context: Any, seconds: float) -> None:
-    """Let a question wait in vain, and the next one be answered."""
+    """Leave one watch without an answer, and let the next one return the notice."""
     context.seconds = seconds
     context.store.is_silent = True
     context.world.pass_time(seconds)
     context.follower.step()
     context.store.is_silent = False
-    tell_leaving(context, "u1", LISTED_AT + 1)
+    watch_leaving(context, "u1", LISTED_AT + 1)
 
 
 def serves(context: Any, name: str) -> bool:
-    """Ask whether an upstream may be sent what has run there."""
+    """Return True if an upstream may still serve requests that ran there before."""
     state = context.world.state
     return bool(context.fleet.can_still_serve(name, state.now(), state.settings.bounds.drain_s))
 
 
 @then('"u1" may not be sent what has run there')
 def serves_no_more(context: Any) -> None:
-    """Ask: the notice may be as old as the last word before it."""
+    """Check that the drain time is over; the notice may be as old as the store's last answer."""
     assert not serves(context, "u1")
 
 
 @then('"u2", which leaves 2.3 s later and is told of at once, may be')
 def serves_still(context: Any) -> None:
-    """Tell of a notice after an idle question, which is no silence."""
+    """Apply a notice after an idle watch, which does not count as silence."""
     context.world.pass_time(context.seconds)
-    tell_leaving(context, "u2", LISTED_AT + 2)
+    watch_leaving(context, "u2", LISTED_AT + 2)
     assert serves(context, "u2")
 
 
 @then("no drawn order of true words, old and new, revives what has left, from seed {number:d}")
 def drawn_words(context: Any, number: int) -> None:
-    """Draw orders of what the platform, peers and upstreams tell; the same seed draws the same."""
+    """Generate orders of updates from the platform, peers and upstreams, and check each step."""
 
-    def draws(tells: list[StepKind], most: int) -> st.SearchStrategy[list[Step]]:
+    def steps_of(kinds: list[StepKind], max_size: int) -> st.SearchStrategy[list[Step]]:
         names, booleans = st.sampled_from(NAMES), st.booleans()
-        back, seconds = st.integers(0, MOST_WRITES), st.floats(0.0, 5.0)
-        drawn = st.builds(Step, st.sampled_from(tells), names, back, seconds, booleans)
-        return st.lists(drawn, max_size=most)
+        back, seconds = st.integers(0, MAX_WRITES), st.floats(0.0, 5.0)
+        step = st.builds(Step, st.sampled_from(kinds), names, back, seconds, booleans)
+        return st.lists(step, max_size=max_size)
 
     @seed(int(context.config.userdata.get("seed", number)))
     @settings(max_examples=ORDERS, deadline=None, database=None)
-    @for_all(draws([StepKind.WRITE], MOST_WRITES), draws(list(StepKind), MOST_TELLS), st.booleans())
+    @for_all(
+        steps_of([StepKind.WRITE], MAX_WRITES),
+        steps_of(list(StepKind), MAX_UPDATES),
+        st.booleans(),
+    )
     def check(past: list[Step], order: list[Step], knows_past: bool) -> None:
         world = FleetWorld(past, knows_past=knows_past)
-        for drawn in order:
-            world.run_step(drawn)
+        for step in order:
+            world.run_step(step)
 
     check()
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -1,4 +1,4 @@
-"""Check that a later start of an upstream is taken for another upstream."""
+"""Test that a later start of an upstream counts as a different upstream."""
 
 from __future__ import annotations
 
@@ -44,26 +44,26 @@
 
 
 class StartsWorld:
-    """Hold what the platform's entry of one upstream says, and a fleet that is told of it.
+    """The platform's entry of one upstream over time, and a fleet that receives updates of it.
 
-    A start writes its entry; heartbeats write it anew, late ones of the start before as well.
+    A start writes its entry; heartbeats rewrite it, also late ones of the previous start.
     """
 
     def __init__(self) -> None:
-        """Begin with the first start, which the fleet knows."""
+        """Begin with the first start, which is listed."""
         self._writes: list[Upstream] = [replace(upstream_of(NAME, 1), born=1)]
         self._born = 1
-        self._told_born = 1
+        self._latest_born = 1
         self.fleet = FleetController()
         self.fleet.handle(Listed((self._writes[-1],), StoreVersion(1)), 0.0)
 
     def start(self) -> None:
-        """Start again."""
+        """Start the upstream again and write its entry."""
         self._born += 1
         self._write(self._born)
 
-    def beat(self, late: bool) -> None:
-        """Write a heartbeat of the newest start, or a late one of the start before."""
+    def heartbeat(self, late: bool) -> None:
+        """Write a heartbeat of the newest start, or a late one of the previous start."""
         self._write(max(1, self._born - late))
 
     def _write(self, born: int) -> None:
@@ -71,55 +71,55 @@
         self._writes.append(entry)
 
     def watch(self) -> None:
-        """Tell the newest entry."""
-        self._tell(Changed(self._writes[-1], False), self._writes[-1])
+        """Apply the newest entry as a change."""
+        self._apply(Changed(self._writes[-1], False), self._writes[-1])
 
     def list(self) -> None:
-        """List the newest entry."""
+        """Apply a list with the newest entry."""
         newest = self._writes[-1]
-        self._tell(Listed((newest,), newest.revision), newest)
+        self._apply(Listed((newest,), newest.revision), newest)
 
-    def news(self, back: int, gone: bool) -> None:
-        """Let a peer tell of an older entry, perhaps of its end as it took it."""
+    def peer_change(self, back: int, removed: bool) -> None:
+        """Apply a peer's change of an older entry, or of its removal if the start is outdated."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
-        if gone and entry.born >= self._told_born:
+        if removed and entry.born >= self._latest_born:
             return
-        self._tell(Changed(entry, gone, from_peer=True), entry)
+        self._apply(Changed(entry, removed, from_peer=True), entry)
 
-    def offer(self, back: int) -> None:
-        """Let a peer offer its list of then."""
+    def peer_list(self, back: int) -> None:
+        """Apply a peer's list with an older entry."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
-        self._tell(ListedByPeer((entry,), entry.revision), entry)
+        self._apply(ListedByPeer((entry,), entry.revision), entry)
 
-    def doubt(self, back: int) -> None:
-        """Let a peer doubt an older start."""
+    def suspect(self, back: int) -> None:
+        """Apply a peer's suspicion of an older start."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
-        if entry.born < self._told_born:
-            self._tell(UpstreamSuspected(entry.upstream_id), None)
+        if entry.born < self._latest_born:
+            self._apply(UpstreamSuspected(entry.upstream_id), None)
 
-    def _tell(self, event: Any, entry: Upstream | None) -> None:
+    def _apply(self, event: Any, entry: Upstream | None) -> None:
         if entry is not None:
-            self._told_born = max(self._told_born, entry.born)
+            self._latest_born = max(self._latest_born, entry.born)
         self.fleet.handle(event, 0.0)
 
     def check(self) -> None:
-        """Only the latest start that was told of is known, and it takes requests."""
-        known = [one.born for one in self.fleet.upstreams]
-        assert known == [self._told_born], (known, self._told_born)
-        assert self.fleet.accepts_requests(f"{NAME}@{self._told_born}")
+        """Check that only the latest applied start is known and that it accepts requests."""
+        known = [upstream.born for upstream in self.fleet.upstreams]
+        assert known == [self._latest_born], (known, self._latest_born)
+        assert self.fleet.accepts_requests(f"{NAME}@{self._latest_born}")
 
 
 def play_orders(number: int) -> None:
-    """Draw orders; the same seed draws the same."""
+    """Generate orders of updates and check them; a seed always generates the same."""
     back = st.integers(0, 5)
     steps = st.one_of(
         st.tuples(st.just("start")),
-        st.tuples(st.just("beat"), st.booleans()),
+        st.tuples(st.just("heartbeat"), st.booleans()),
         st.tuples(st.just("watch")),
         st.tuples(st.just("list")),
-        st.tuples(st.just("news"), back, st.booleans()),
-        st.tuples(st.just("offer"), back),
-        st.tuples(st.just("doubt"), back),
+        st.tuples(st.just("peer_change"), back, st.booleans()),
+        st.tuples(st.just("peer_list"), back),
+        st.tuples(st.just("suspect"), back),
     )
 
     @seed(number)
@@ -136,7 +136,7 @@
 
 @then("no drawn order of true words about starts lets an older start return, from seed {number:d}")
 def drawn_starts(context: Any, number: int) -> None:
-    """Draw them."""
+    """Check the generated orders."""
     play_orders(number)
 
 
@@ -145,18 +145,18 @@
     " from seed {number:d}"
 )
 def mutant(context: Any, number: int) -> None:
-    """Let the fleet know of no later start, and draw the same orders."""
+    """Disable the comparison of starts, and check that some of the same orders fails."""
     with patch.object(FleetController, "_latest_start", lambda self, name: 0):
         try:
             play_orders(number)
         except AssertionError:
             return
-    raise AssertionError("the drawn orders do not tell the difference")
+    raise AssertionError("the generated orders do not detect the missing comparison")
 
 
 @given('a fleet that knows of the start at 1000 of "u1", whose entry then lapses')
 def lapsed(context: Any) -> None:
-    """List it, then remove it; the removal tells only the name."""
+    """List it, then remove it; the removal contains only the name."""
     context.fleet = FleetController()
     first = replace(upstream_of(NAME, 1), born=FIRST_START)
     context.fleet.handle(Listed((first,), StoreVersion(1)), 0.0)
@@ -166,19 +166,23 @@
 
 @when('"u1" is listed with the start at 2000')
 def listed_later(context: Any) -> None:
-    """List it."""
+    """List the later start and keep the resulting actions."""
     later = replace(upstream_of(NAME, 3), born=LATER_START)
-    context.told = context.fleet.handle(Listed((later,), StoreVersion(3)), 1.5)
+    context.actions = context.fleet.handle(Listed((later,), StoreVersion(3)), 1.5)
 
 
 @then("the start at 1000 is replaced, and may be sent nothing even within the time to drain")
 def replaced(context: Any) -> None:
-    """Ask, and look at what follows."""
+    """Check the fleet's state and the resulting actions."""
     old_id = f"{NAME}@{FIRST_START}"
     assert context.fleet.is_replaced(old_id)
     assert not context.fleet.can_still_serve(old_id, 1.6, DRAIN_S)
-    told = [one.upstream.upstream_id for one in context.told if isinstance(one, UpstreamReplaced)]
-    assert told == [old_id], context.told
+    replaced_ids = [
+        action.upstream.upstream_id
+        for action in context.actions
+        if isinstance(action, UpstreamReplaced)
+    ]
+    assert replaced_ids == [old_id], context.actions
     assert context.fleet.accepts_requests(f"{NAME}@{LATER_START}")
 
 
@@ -186,11 +190,11 @@
 
 
 def relist(context: Any, born: dict[str, int]) -> None:
-    """List all upstreams, some with the time of their start, and do what follows."""
+    """List all upstreams with their start times, and execute the resulting actions."""
     world = world_of(context)
     entries = tuple(
-        replace(world.entry(one), born=born.get(one.upstream_id, FIRST_START))
-        for one in (*world.plain, *world.engines)
+        replace(world.entry(upstream), born=born.get(upstream.upstream_id, FIRST_START))
+        for upstream in (*world.plain, *world.engines)
     )
     event = Listed(entries, StoreVersion(world.revision))
     for action in world.state.fleet.handle(event, world.state.now()):
@@ -200,7 +204,7 @@
 
 @given("a gateway with an engine that was started at 1000, and a stream of 8 events there")
 def stream_at_start(context: Any) -> None:
-    """Let all have told their start, and begin a stream that pauses after three events."""
+    """List all upstreams with their start times, and start a stream that pauses after 3 events."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     relist(context, {})
@@ -215,7 +219,7 @@
 
 @given("the copy of the stream is kept up at another engine")
 def copy_kept_up(context: Any) -> None:
-    """Let the copy count, which takes a further event after a while."""
+    """Let the backup become ready, which takes some time and one more event."""
     assert context.run.backup is not None
     context.holder = holder_of(context, context.run.backup)
     script_upstreams(world_of(context), "s1", [Script(events=8)])
@@ -226,13 +230,13 @@
 
 def holder_of(context: Any, upstream: Upstream) -> RoutedUpstream:
     """Return the stand-in of an upstream."""
-    (found,) = [one for one in world_of(context).engines if one.upstream_id == upstream.name]
+    (found,) = [each for each in world_of(context).engines if each.upstream_id == upstream.name]
     return found
 
 
 @given("a copy of the stream that its engine has named")
 def copy_named(context: Any) -> None:
-    """Have one made, and none kept up."""
+    """Copy the run once, without a backup."""
     world = world_of(context)
     context.run.backup = None
     target = world.mover.choose_target(context.run, frozenset(), max_memory_share=1.0)
@@ -244,7 +248,7 @@
 
 @when("the engine is known to have started again at 2000")
 def started_again(context: Any) -> None:
-    """List it anew."""
+    """Record outcomes and loads of the old start, then list the later start."""
     world = world_of(context)
     old_id = f"{context.engine.upstream_id}@{FIRST_START}"
     world.state.record_outcome(old_id, "engines", Outcome.UNREACHABLE, 0.0)
@@ -255,11 +259,11 @@
 
 @then("nothing runs on the later start, it does not rest, and sums of the older one do not count")
 def nothing_known(context: Any) -> None:
-    """Look at its option."""
+    """Check the later start's load, ejection and penalty."""
     world = world_of(context)
     later_id = f"{context.engine.upstream_id}@{LATER_START}"
     (option,) = [
-        one for one in world.state.options("engines") if one.upstream.upstream_id == later_id
+        each for each in world.state.options("engines") if each.upstream.upstream_id == later_id
     ]
     assert option.use == Use(later_id), option
     assert not option.is_ejected and option.penalty == 0.0, option
@@ -268,16 +272,16 @@
 
 @then("the caller gets all 8 events from two engines, and the later start got nothing")
 def got_all(context: Any) -> None:
-    """Look at the answer and where it ran."""
+    """Check the complete stream and the engines that ran it."""
     answer = context.asked.get(timeout=5.0)
     assert answer.whole and answer.body.count(b"piece") == 8, answer
     assert len(context.engine.seen) == 1
-    assert [one.is_resumed for one in context.holder.seen] == [True]
+    assert [request.is_resumed for request in context.holder.seen] == [True]
 
 
 @when("the engine of the copy is known to have started again, and that of the stream breaks off")
 def copy_died(context: Any) -> None:
-    """List it anew, then break the stream off."""
+    """List the later start of the replica's engine, then break the stream off."""
     relist(context, {context.holder.upstream_id: LATER_START})
     context.script.break_after = 6
     context.script.gate.set()
@@ -285,7 +289,7 @@
 
 @then("the stream is broken off, and nothing was sent to the engine of the copy")
 def broken_off(context: Any) -> None:
-    """Look at the answer and at what was seen there."""
+    """Check the broken stream and that the replica's engine received nothing."""
     answer = context.asked.get(timeout=5.0)
     assert not answer.whole and answer.body.count(b"piece") < 8, answer
     assert context.holder.seen == []
@@ -293,7 +297,7 @@
 
 @given("a gateway whose plain upstream that gets a call is silent")
 def silent_upstream(context: Any) -> None:
-    """Ask one call that may run only once, and wait until it runs."""
+    """Send a call that may run only once, and wait until it runs."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
     relist(context, {})
@@ -305,13 +309,13 @@
 
 @when("that upstream is known to have started again")
 def plain_started_again(context: Any) -> None:
-    """List it anew."""
+    """List the upstream's later start."""
     relist(context, {context.engine.upstream_id: LATER_START})
 
 
 @then("the call is answered 502 at once, and no other upstream has run it")
 def not_repeated(context: Any) -> None:
-    """Look at the answer and where it ran."""
+    """Check the response and the number of upstreams that ran the call."""
     answer = context.asked.get(timeout=1.0)
     assert answer.status == 502, answer
     assert len(runs(world_of(context), "c1")) == 1
@@ -319,7 +323,7 @@
 
 @given("an engine that was started at 1000 and reports that it was started at 2000")
 def reports_later(context: Any) -> None:
-    """Script its report."""
+    """Script the engine's report of its start time."""
     engine = RoutedUpstream("e1")
     context.add_cleanup(engine.stop)
     engine.report = {"state": "ready", "born": LATER_START}
@@ -329,7 +333,7 @@
 
 
 @then("its word is that the start that was asked for is gone")
-def word_gone(context: Any) -> None:
-    """Ask of both starts."""
+def probed_start_terminated(context: Any) -> None:
+    """Probe the engine as each of both starts."""
     assert engine_calls.probe_state(context.asked_of) is ReportedState.TERMINATED
     assert engine_calls.probe_state(context.same) is ReportedState.SERVING
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Check on real processes what holds after the store has come back from an older copy."""
+"""Test on real processes how instances recover when the store is restored from an older backup."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 WORK_S: Final = 0.05
 ASK_PAUSE_S: Final = 0.03
 SETTLED_S: Final = 1.0
-"""Time in which instances have read what the store tells on a calm day."""
+"""Time within which instances have read the store's changes if nothing fails."""
 KEPT: Final = ("p-1", "p-2")
-"""Upstreams that stay throughout."""
+"""Upstreams that stay listed throughout."""
 NUMBERS: Final = itertools.count(1)
 POLICY: Final = (
     'policy "later" {\n  rule all {\n    rank 1;\n    wait at most 5s;\n    may refuse;\n  }\n}\n'
@@ -45,7 +45,7 @@
 
 @given("a store that can come back from a copy, with {count:d} upstreams and 4 gateway processes")
 def start_all(context: Any, count: int) -> None:
-    """Start everything; two of the upstreams are not listed yet."""
+    """Start the store, the upstreams and the instances; some upstreams are not listed yet."""
     bench = context.store_bench = Bench()
     context.add_cleanup(bench.close)
     context.store_address = bench.start_platform().address
@@ -54,35 +54,37 @@
     context.store.create(KIND_CONFIG, NAME_CONFIG, document(context.version))
     names = [f"p-{n}" for n in range(1, count + 1)]
     context.upstreams = {name: RoutedUpstream(name, usual) for name in names}
-    for one in context.upstreams.values():
-        context.add_cleanup(one.stop)
+    for upstream in context.upstreams.values():
+        context.add_cleanup(upstream.stop)
     for name in (*KEPT, "p-3"):
         put(context, name)
     context.nodes = []
     for _ in range(4):
-        seeds = [one.listen["control"] for one in context.nodes]
+        seeds = [node.listen["control"] for node in context.nodes]
         bounds = {"contactMs": CONTACT_S * 1000, "drainMs": 2000, "graceS": 2, "ttl_max_s": 1}
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
-    fronts = {one.listen["front"] for one in context.nodes}
+    fronts = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
         wait_for_processes(f"{node.name} is ready", node.is_ready)
-        wait_for_processes(f"{node.name} locates all", lambda one=node: one.located(HOST) == fronts)
+        wait_for_processes(
+            f"{node.name} locates all", lambda node=node: node.located(HOST) == fronts
+        )
     control(context, {"copy": True})
 
 
 def control(context: Any, script: dict[str, Any]) -> None:
-    """Script the store."""
+    """Send a script to the store's stand-in."""
     context.store_bench.platform.control(script)
 
 
 def put(context: Any, name: str) -> None:
     """List a portal."""
     spec = entry_spec(context.upstreams[name].address, "portal", slots=6)
-    until_taken(lambda: context.store.create(KIND_UPSTREAMS, name, spec))
+    write_with_retries(lambda: context.store.create(KIND_UPSTREAMS, name, spec))
 
 
-def until_taken(write: Callable[[], Any]) -> None:
-    """Write again and again until the store answers."""
+def write_with_retries(write: Callable[[], Any]) -> None:
+    """Repeat a write until the store answers, for 5 s at most."""
     until = time.monotonic() + 5.0
     while True:
         try:
@@ -94,31 +96,31 @@
 
 
 def configure(context: Any) -> None:
-    """Write the configuration once more, with a newer version."""
+    """Write a newer version of the configuration with one more route."""
     context.version += 1
     wanted = document(context.version)
     wanted["routes"].append(route("added", f"/added{context.version}/", "safe", "portal"))
-    until_taken(lambda: context.store.replace(KIND_CONFIG, NAME_CONFIG, wanted))
+    write_with_retries(lambda: context.store.replace(KIND_CONFIG, NAME_CONFIG, wanted))
 
 
 def usual() -> Script:
-    """Return what upstreams do with a request."""
+    """Return the script of an upstream's call."""
     return Script(work_s=WORK_S)
 
 
 def ask_together(node: Any) -> None:
-    """Ask one instance so much at once that it uses all upstreams it knows."""
+    """Send so many concurrent calls to an instance that it uses all upstreams it knows."""
     asking = [gevent.spawn(node.ask, "/safe/a", f"era-{next(NUMBERS)}") for _ in range(AT_ONCE)]
     gevent.joinall(asking, raise_error=True)
 
 
 def arrivals(context: Any, name: str) -> int:
-    """Return how many requests an upstream has got."""
+    """Return the number of requests that an upstream received."""
     return len(context.upstreams[name].arrivals)
 
 
 def probe_all(context: Any, path: str = "/safe/a", times: int = 1) -> list[int]:
-    """Ask each instance; return the statuses."""
+    """Send calls to each instance and return the statuses."""
     return [
         node.ask(path, f"era-{next(NUMBERS)}").status
         for node in context.nodes
@@ -128,7 +130,7 @@
 
 @given("{count:d} changes were made after the copy, a policy and an upstream's among them")
 def changes_made(context: Any, count: int) -> None:
-    """Change objects of another kind, a policy and an entry, and let the instances read on."""
+    """Change other objects, an entry, the policy and the configuration, and wait for them."""
     for number in range(count):
         context.store.create("other", f"o-{number}", {})
     change_entry(context)
@@ -139,26 +141,26 @@
 
 
 def change_entry(context: Any) -> None:
-    """Let an upstream change what it says of itself."""
+    """Change an upstream's entry."""
     spec = entry_spec(context.upstreams["p-3"].address, "portal", slots=5)
-    until_taken(lambda: context.store.replace(KIND_UPSTREAMS, "p-3", spec))
+    write_with_retries(lambda: context.store.replace(KIND_UPSTREAMS, "p-3", spec))
 
 
 def in_force(context: Any) -> bool:
-    """Tell whether all instances serve the newest route."""
-    return all(one == 200 for one in probe_all(context, f"/added{context.version}/x"))
+    """Return True if all instances serve the newest route."""
+    return all(status == 200 for status in probe_all(context, f"/added{context.version}/x"))
 
 
 @when("the store comes back from the copy after {away:g} s away")
 def come_back(context: Any, away: float) -> None:
-    """Let it; the configuration is written again as operators do."""
+    """Restore the store, and write the configuration and an entry again as their writers do."""
     control(context, {"come_back": True, "down_s": away})
     gevent.sleep(away)
     context.back_at = time.monotonic()
     context.writes = context.store_bench.platform.stats()["writes"]
     wanted = document(context.version)
     wanted["routes"].append(route("added", f"/added{context.version}/", "safe", "portal"))
-    until_taken(lambda: context.store.replace(KIND_CONFIG, NAME_CONFIG, wanted))
+    write_with_retries(lambda: context.store.replace(KIND_CONFIG, NAME_CONFIG, wanted))
     change_entry(context)
 
 
@@ -167,7 +169,7 @@
     " once"
 )
 def come_back_and_change(context: Any, away: float, count: int) -> None:
-    """Let all revisions that were seen be given out again before anyone can notice."""
+    """Restore the store, and reuse all revisions that were seen before instances can notice."""
     address = context.upstreams["p-4"].address
     spec = entry_spec(address, "portal", slots=6)
     written = [{"kind": KIND_UPSTREAMS, "name": "p-4", "spec": spec}]
@@ -180,7 +182,7 @@
 
 @then("a policy that is submitted then is in force at all instances within {seconds:g} s")
 def policy_then(context: Any, seconds: float) -> None:
-    """Submit one."""
+    """Submit a policy and wait for it."""
     gevent.sleep(SETTLED_S)
     submit(context, POLICY)
     has_policy_in(context, seconds, "later")
@@ -192,13 +194,13 @@
 
 
 def policy_of(node: Any) -> str:
-    """Return the policy that came into force last at an instance."""
+    """Return the name of the policy that an instance applied last, from its log."""
     found = re.findall(r"configuration: Policy '(\w+)' is in force", node.log.read_text())
     return found[-1] if found else ""
 
 
 def has_policy_in(context: Any, seconds: float, name: str) -> None:
-    """Wait until all have it in force."""
+    """Wait until all instances have applied the policy."""
     until = time.monotonic() + seconds
     while any(policy_of(node) != name for node in context.nodes):
         assert time.monotonic() < until, [policy_of(node) for node in context.nodes]
@@ -207,7 +209,7 @@
 
 @then("a configuration that is written then is in force at all instances within {seconds:g} s")
 def configuration_then(context: Any, seconds: float) -> None:
-    """Write one."""
+    """Write a configuration and wait for it."""
     configure(context)
     until = time.monotonic() + seconds
     while not in_force(context):
@@ -217,19 +219,19 @@
 
 @then("an upstream that is listed then takes requests at all instances within {seconds:g} s")
 def upstream_then(context: Any, seconds: float) -> None:
-    """List one."""
+    """List an upstream and wait until all instances use it."""
     put(context, "p-4")
     used_by_all(context, "p-4", time.monotonic() + seconds)
 
 
 @then("an upstream that was listed at once takes requests at all instances within {seconds:g} s")
 def upstream_at_once(context: Any, seconds: float) -> None:
-    """Use it."""
+    """Wait until all instances use the upstream."""
     used_by_all(context, "p-4", context.back_at + seconds)
 
 
 def used_by_all(context: Any, name: str, until: float) -> None:
-    """Wait until each instance has sent it something."""
+    """Wait until each instance has sent a request to the upstream."""
     for node in context.nodes:
         before = arrivals(context, name)
         while arrivals(context, name) == before:
@@ -239,14 +241,14 @@
 
 @then("an upstream that is removed then gets nothing from {seconds:g} s after that")
 def removal_then(context: Any, seconds: float) -> None:
-    """Remove one, and ask on for some seconds."""
-    until_taken(lambda: context.store.delete(KIND_UPSTREAMS, "p-3"))
+    """Remove an upstream, and check that it receives nothing after that time."""
+    write_with_retries(lambda: context.store.delete(KIND_UPSTREAMS, "p-3"))
     ask_until(context, time.monotonic() + seconds)
     gets_nothing(context, "p-3")
 
 
 def ask_until(context: Any, until: float) -> None:
-    """Ask all instances again and again."""
+    """Send calls to all instances until that time."""
     while time.monotonic() < until:
         asking = [gevent.spawn(ask_together, node) for node in context.nodes]
         gevent.joinall(asking, raise_error=True)
@@ -254,7 +256,7 @@
 
 
 def gets_nothing(context: Any, name: str) -> None:
-    """Ask for two seconds more, in which an upstream gets nothing."""
+    """Send calls for two seconds, and check that the upstream receives none."""
     before = arrivals(context, name)
     ask_until(context, time.monotonic() + 2.0)
     assert arrivals(context, name) == before, arrivals(context, name) - before
@@ -262,7 +264,7 @@
 
 @given("an upstream was removed after the copy")
 def removed_after(context: Any) -> None:
-    """Remove it, and wait until nobody uses it."""
+    """Remove it, and wait until no instance uses it."""
     context.name = "p-3"
     context.store.delete(KIND_UPSTREAMS, "p-3")
     ask_until(context, time.monotonic() + 2.5)
@@ -271,28 +273,28 @@
 
 @when("it is removed again {seconds:g} s later")
 def removed_again(context: Any, seconds: float) -> None:
-    """Ask on meanwhile."""
+    """Send calls until that time, then remove the upstream again."""
     ask_until(context, time.monotonic() + seconds)
-    until_taken(lambda: context.store.delete(KIND_UPSTREAMS, context.name))
+    write_with_retries(lambda: context.store.delete(KIND_UPSTREAMS, context.name))
 
 
 @then("it gets nothing from now on")
 def nothing_since(context: Any) -> None:
-    """Nor has it got anything since it was removed first."""
+    """Check that it has received nothing since its first removal."""
     gets_nothing(context, context.name)
     assert arrivals(context, context.name) == context.before
 
 
 @given("an upstream was listed after the copy")
 def listed_after(context: Any) -> None:
-    """List it, and wait until all use it."""
+    """List it, and wait until all instances use it."""
     put(context, "p-4")
     used_by_all(context, "p-4", time.monotonic() + 3.0)
 
 
 @when("it is listed again {seconds:g} s later")
 def listed_again(context: Any, seconds: float) -> None:
-    """Look whether all use it until then."""
+    """Record which instances do not use it until then, and list it again."""
     context.unused = []
     until = time.monotonic() + seconds
     while time.monotonic() < until:
@@ -305,8 +307,8 @@
 
 
 @then("all instances went on to use it")
-def went_on(context: Any) -> None:
-    """Look at what was found, and ask once more."""
+def kept_using(context: Any) -> None:
+    """Check that all instances have used it throughout and still do."""
     assert not context.unused, context.unused
     ask_until(context, time.monotonic() + 2.0)
     used_by_all(context, "p-4", time.monotonic() + 1.0)
@@ -314,11 +316,11 @@
 
 @given("all 4 instances were listed, and a policy submitted, after the copy")
 def copy_before(context: Any) -> None:
-    """Take their entries away from the copy, which is taken anew without them."""
+    """Take a backup of the store without the instances' entries and without the policy."""
     names = [node.name for node in context.nodes]
     for name in names:
         wait_for_processes(
-            f"{name} is listed", lambda one=name: context.store.get(KIND_INSTANCES, one)
+            f"{name} is listed", lambda name=name: context.store.get(KIND_INSTANCES, name)
         )
     specs = {name: context.store.get(KIND_INSTANCES, name).spec for name in names}
     for name in names:
@@ -332,7 +334,7 @@
 
 @then("the store lists {count:d} instances within {seconds:g} s")
 def lists_instances(context: Any, count: int, seconds: float) -> None:
-    """Wait for them."""
+    """Wait for the instances' entries."""
     until = context.back_at + seconds
     while len(context.store.list(KIND_INSTANCES).objects) < count:
         assert time.monotonic() < until, context.store.list(KIND_INSTANCES).objects
@@ -341,10 +343,10 @@
 
 @then("it holds that policy within {seconds:g} s")
 def holds_policy(context: Any, seconds: float) -> None:
-    """Wait for it."""
+    """Wait for the policy."""
     until = context.back_at + seconds
     while context.store.get(KIND_POLICY, NAME_POLICY) is None:
-        assert time.monotonic() < until, "the policy is not there"
+        assert time.monotonic() < until, "the policy is not stored"
         gevent.sleep(0.1)
     spec = context.store.get(KIND_POLICY, NAME_POLICY).spec
     assert spec == {"text": POLICY}
@@ -352,12 +354,12 @@
 
 @then("that policy is in force at all instances")
 def still_policy(context: Any) -> None:
-    """Look which one came into force last."""
+    """Check the policy that each instance applied last."""
     assert all(policy_of(node) == "later" for node in context.nodes)
 
 
 @then("at most {most:d} writes were made meanwhile")
 def few_writes(context: Any, most: int) -> None:
-    """Count."""
+    """Check the number of writes since the restore."""
     writes = context.store_bench.platform.stats()["writes"] - context.writes
     assert writes <= most, writes
