--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Check a large fleet as real processes before the store's stand-in."""
+"""Test a large fleet of real processes with the store's stand-in."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from features.worlds.gateway_world import HOST, document, route
 
 START_WAIT_S = 60.0
-"""Many processes start on few cores."""
+"""Time limit for the start of many processes on few cores."""
 SLACK_S = 1.0
-"""They also share these cores while they are asked one after another."""
+"""Tolerance, as the processes share few cores while requests are sent to them."""
 NUMBERS = itertools.count(1)
 
 
 def wait_start(what: str, check: Any) -> None:
-    """Wait for what many starting processes do."""
+    """Wait for a condition while many processes start."""
     with gevent.Timeout(START_WAIT_S, AssertionError(f"not reached: {what}")):
         while not check():
             gevent.sleep(0.1)
@@ -36,7 +36,7 @@
     """Start the processes; the first three are the seeds of all."""
     folder = Path(tempfile.mkdtemp(prefix="driftstall-"))
     for number in range(1, count + 1):
-        seeds = [one.listen["control"] for one in context.nodes[:3]]
+        seeds = [node.listen["control"] for node in context.nodes[:3]]
         more = {"zone": "ab"[number % 2], "seeds": seeds, "limits": {"linkMbps": 100}}
         node = Node(number, context.store_address, folder, more)
         context.nodes.append(node)
@@ -46,15 +46,15 @@
 
 @then("all become ready and each is located with the others of its zone")
 def all_ready(context: Any) -> None:
-    """Wait until each names all ready instances of the asked zone."""
-    wait_start("all are ready", lambda: all(one.ready() for one in context.nodes))
-    of_b = {one.listen["front"] for one in context.nodes if one.settings["zone"] == "b"}
+    """Wait until each instance locates all ready instances of a zone."""
+    wait_start("all are ready", lambda: all(node.ready() for node in context.nodes))
+    of_b = {node.listen["front"] for node in context.nodes if node.settings["zone"] == "b"}
     for node in context.nodes:
-        wait_start(f"{node.name} locates zone b", lambda one=node: one.located(HOST) == of_b)
+        wait_start(f"{node.name} locates zone b", lambda node=node: node.located(HOST) == of_b)
 
 
-def collects(node: Node) -> bool:
-    """Tell whether a process says that it collects."""
+def is_collector(node: Node) -> bool:
+    """Return True if a process's metrics state that it is a collector."""
     try:
         return b"driftstall_gateway_collects 1" in node.get("metrics", "/metrics")[1]
     except UpstreamError:
@@ -63,13 +63,15 @@
 
 @then("{count:d} of them collect")
 def some_collect(context: Any, count: int) -> None:
-    """Count the collectors."""
-    wait_start(f"{count} collect", lambda: sum(collects(one) for one in context.nodes) == count)
+    """Wait until that many processes are collectors."""
+    wait_start(
+        f"{count} collect", lambda: sum(is_collector(node) for node in context.nodes) == count
+    )
 
 
 @then("in {seconds:d} s without changes the store gets fewer than {most:d} calls")
 def few_calls(context: Any, seconds: int, most: int) -> None:
-    """Count the store's calls over a while; without collectors each instance has watches open."""
+    """Count the store's calls; without collectors each instance would keep watches open."""
     before = context.store_bench.platform.stats()
     gevent.sleep(seconds)
     after = context.store_bench.platform.stats()
@@ -86,7 +88,7 @@
 
 
 def assert_serve(context: Any, nodes: list[Node], path: str, seconds: float) -> None:
-    """Ask all at once until each serves a path; each must do so in time."""
+    """Send calls to all instances until each serves the path, and check the time of each."""
 
     def first_served(node: Node) -> float:
         while node.ask(path, f"large-{next(NUMBERS)}").status != 200:
@@ -95,20 +97,20 @@
 
     jobs = [gevent.spawn(first_served, node) for node in nodes]
     gevent.joinall(jobs, timeout=START_WAIT_S, raise_error=True)
-    took = {node.name: job.value for node, job in zip(nodes, jobs, strict=True)}
-    assert all(one is not None and one <= seconds + SLACK_S for one in took.values()), took
+    took_s = {node.name: job.value for node, job in zip(nodes, jobs, strict=True)}
+    assert all(each is not None and each <= seconds + SLACK_S for each in took_s.values()), took_s
 
 
 @then("all serve its new route within {seconds:d} s")
 def all_serve(context: Any, seconds: int) -> None:
-    """Ask all for the route that was added."""
+    """Check the added route at all instances."""
     context.stored_at = time.monotonic()
     assert_serve(context, context.nodes, "/added/a", seconds)
 
 
 @when("the collectors are killed and a further routing configuration is stored at once")
 def kill_collectors(context: Any) -> None:
-    """Kill all collectors within milliseconds, then store."""
+    """Kill all collectors within milliseconds, then store a configuration."""
     kill_collecting(context)
     store_route(context, 12, "/further/")
 
@@ -116,16 +118,16 @@
 @when("the collectors are killed at once")
 def kill_collecting(context: Any) -> None:
     """Kill all collectors within milliseconds."""
-    collecting = [one for one in context.nodes if collects(one)]
-    for one in collecting:
-        one.process.send_signal(signal.SIGKILL)
-    context.nodes = [one for one in context.nodes if one not in collecting]
+    collectors = [node for node in context.nodes if is_collector(node)]
+    for node in collectors:
+        node.process.send_signal(signal.SIGKILL)
+    context.nodes = [node for node in context.nodes if node not in collectors]
 
 
 @then("the others serve its new route within {seconds:d} s")
 def others_serve(context: Any, seconds: int) -> None:
-    """Ask the others."""
+    """Check the route at the remaining instances, and that new collectors exist."""
     assert_serve(context, context.nodes, "/further/a", seconds)
     wait_for_processes(
-        "there are collectors again", lambda: any(collects(one) for one in context.nodes)
+        "there are collectors again", lambda: any(is_collector(node) for node in context.nodes)
     )
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -1,4 +1,4 @@
-"""Steps for starts.feature: what the platform's program loads, and what it waits by."""
+"""Test what the gateway's program imports at its start, and that it waits by gevent only."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 WAITING_MODULES: Final = frozenset(
     {"asyncio", "http.client", "queue", "selectors", "socket", "ssl", "subprocess", "threading"}
 )
-"""Modules of the standard library by which a wait would hold up all greenlets."""
+"""Modules of the standard library whose waits would block all greenlets."""
 PROBE: Final = """
 import importlib.metadata, json, socket, sys, time
 looks = [0]
@@ -37,29 +37,29 @@
 
 @when("the platform's program is loaded in a fresh process")
 def load(context: Any) -> None:
-    """Load it, and have the process tell what it has done."""
+    """Import the program in a new process, and read what that process reports."""
     done = subprocess.run([sys.executable, "-c", PROBE], capture_output=True, check=True)
-    context.told = json.loads(done.stdout)
+    context.report = json.loads(done.stdout)
 
 
 @then("it has not once looked through the installed packages")
 def no_looks(context: Any) -> None:
-    """Look at the count."""
-    assert context.told["looks"] == 0, context.told["looks"]
+    """Check the count of entry point look-ups."""
+    assert context.report["looks"] == 0, context.report["looks"]
 
 
 @then("the standard library's sockets and pauses are its own")
 def unpatched(context: Any) -> None:
-    """Look whether they were replaced."""
-    assert context.told["is_own"]
+    """Check that they were not monkey-patched."""
+    assert context.report["is_own"]
 
 
 def waits_in(path: Path) -> list[str]:
-    """Return by what a module would wait in the standard library."""
+    """Return the blocking modules and functions of the standard library that a module uses."""
     found: list[str] = []
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            found += [one.name for one in node.names if one.name in WAITING_MODULES]
+            found += [alias.name for alias in node.names if alias.name in WAITING_MODULES]
         elif isinstance(node, ast.ImportFrom) and node.module in WAITING_MODULES:
             found.append(str(node.module))
         elif isinstance(node, ast.Attribute) and ast.unparse(node) == "time.sleep":
@@ -69,8 +69,8 @@
 
 @then("no module of ours that it has loaded waits by them")
 def no_waits(context: Any) -> None:
-    """Read the modules."""
-    loaded = [Path(one) for one in context.told["loaded"]]
+    """Search the sources of the loaded modules."""
+    loaded = [Path(name) for name in context.report["loaded"]]
     assert len(loaded) > 100, len(loaded)
     found = {str(path): waits for path in loaded if (waits := waits_in(path))}
     assert not found, found
