--- a/features/steps/process_call_steps.py
+++ b/features/steps/process_call_steps.py
@@ -1,4 +1,4 @@
-"""Check calls that may not be repeated, on real processes."""
+"""Test on real processes that calls which may not be repeated run at most once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @when('the platform is told "{fault}"')
 def script_platform(context: Any, fault: str) -> None:
-    """Script the platform's faults."""
+    """Inject a fault of the platform."""
     scripts: dict[str, dict[str, Any]] = {
         "down": {"down_s": 6.0},
         "up": {"down_s": 0.0, "slow_s": 0.0, "lose_answers": 0},
@@ -31,46 +31,46 @@
 
 @when('a call with key "{key}" is made while the answer is lost')
 def call_lost(context: Any, key: str) -> None:
-    """Let the service run the call and lose its answer."""
-    for one in context.bench.services:
-        one.control({"drop_answers": 1})
+    """Let the service run the call and drop its response."""
+    for service in context.bench.services:
+        service.control({"drop_answers": 1})
     context.reply = service_call(context, "POST", key)
-    for one in context.bench.services:
-        one.control({"drop_answers": 0})
+    for service in context.bench.services:
+        service.control({"drop_answers": 0})
 
 
 @when('a call with key "{key}" is made')
 def call_with_key(context: Any, key: str) -> None:
-    """Make one claimed call."""
+    """Send one call with a claim."""
     context.reply = service_call(context, "POST", key)
 
 
 @when('a {method} marked as not repeatable is made as "{call}" while the answer is lost')
 def call_unkeyed(context: Any, method: str, call: str) -> None:
-    """Make a call without a key, whose answer is lost."""
-    for one in context.bench.services:
-        one.control({"drop_answers": 1})
+    """Send a call without a key, and let the service drop its response."""
+    for service in context.bench.services:
+        service.control({"drop_answers": 1})
     context.reply = service_call(context, method, "", call=call, Driftstall_Repeatable="false")
-    for one in context.bench.services:
-        one.control({"drop_answers": 0})
+    for service in context.bench.services:
+        service.control({"drop_answers": 0})
 
 
 @then('the answer is {status:d} and says "{text}"')
 def answer_is(context: Any, status: int, text: str) -> None:
-    """Compare the answer."""
+    """Check the status and the body of the response."""
     assert context.reply[0] == status, context.reply
     assert text.encode() in context.reply[1], context.reply
 
 
 @then('call "{call}" has run {count:d} times')
 def has_run(context: Any, call: str, count: int) -> None:
-    """Ask the upstreams."""
+    """Check the number of runs that the upstreams report."""
     assert runs(context.bench, call) == count, runs(context.bench, call)
 
 
 @when('the outcome of "{key}" is stored')
 def outcome_stored(context: Any, key: str) -> None:
-    """Wait until the platform holds the outcome."""
+    """Wait until the platform has stored the outcome of the claim."""
     client = PlatformClient(context.bench.platform.address)
 
     def stored() -> bool:
@@ -89,11 +89,13 @@
     """Kill every instance at once and start new ones."""
     bench = context.bench
     killed = live(bench)
-    for one in killed:
-        one.popen.kill()
-    for one in killed:
-        one.popen.wait()
-        bench.list_member(one.name, {"role": "entry", "address": one.address, "state": "gone"})
+    for instance in killed:
+        instance.popen.kill()
+    for instance in killed:
+        instance.popen.wait()
+        bench.list_member(
+            instance.name, {"role": "entry", "address": instance.address, "state": "gone"}
+        )
     for _ in range(3):
         bench.wait_listening(bench.start_instance())
     bench.wait_ready(3)
--- a/features/steps/process_configuration_steps.py
+++ b/features/steps/process_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Check configurations and operators that race, on real processes."""
+"""Test configuration changes during outages and by concurrent operators, on real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @when('policy "{text}" is submitted and the platform fails right after')
 def submit_and_fail(context: Any, text: str) -> None:
-    """Submit a change, then take the platform away."""
+    """Submit a change, then stop the platform's service."""
     bench = context.bench
     policy = Path("examples/both.policy").read_text().replace('"both"', f'"{text}"')
     at = bench.instances.index(live(bench)[0])
@@ -28,7 +28,7 @@
 
 @when("an instance joins during the outage")
 def join(context: Any) -> None:
-    """Start an instance that can only ask its peers; they know it by a seed message."""
+    """Start an instance that can read the configuration from its peers only."""
     context.bench.platform.control({"down_s": 0.0})
     row = context.bench.start_instance()
     context.bench.wait_listening(row)
@@ -37,47 +37,50 @@
 
 @then('policy "{text}" is in force everywhere within 5 s')
 def in_force(context: Any, text: str) -> None:
-    """Wait until every instance shows it."""
+    """Wait until the status of every instance names the policy."""
     bench = context.bench
 
     def everywhere() -> bool:
-        names = {bench.status(bench.instances.index(one))["policy"] for one in live(bench)}
+        names = {
+            bench.status(bench.instances.index(instance))["policy"] for instance in live(bench)
+        }
         return names == {text}
 
-    took = wait_until("in force", everywhere)
-    assert took <= 5.0, f"it took {took:.1f} s"
+    took_s = wait_until("in force", everywhere)
+    assert took_s <= 5.0, f"it took {took_s:.1f} s"
 
 
 @when("two operators submit at once on the same base")
 def race(context: Any) -> None:
-    """Let two operators race."""
+    """Submit two changes concurrently on the same generation."""
     bench = context.bench
-    ats = [bench.instances.index(one) for one in live(bench)[:2]]
-    base = bench.status(ats[0])["generation"]
+    indexes = [bench.instances.index(instance) for instance in live(bench)[:2]]
+    base = bench.status(indexes[0])["generation"]
     policy = Path("examples/both.policy").read_text()
     changes = [
-        {"policy": policy.replace('"both"', f'"race-{at}"'), "base_generation": base} for at in ats
+        {"policy": policy.replace('"both"', f'"race-{index}"'), "base_generation": base}
+        for index in indexes
     ]
     jobs = [
-        gevent.spawn(bench.operator, at, "PUT", "/operator/config", change)
-        for at, change in zip(ats, changes, strict=True)
+        gevent.spawn(bench.operator, index, "PUT", "/operator/config", change)
+        for index, change in zip(indexes, changes, strict=True)
     ]
-    context.race = [one.get() for one in jobs]
+    context.race = [job.get() for job in jobs]
 
 
 @then("one is accepted and the other gets a conflict that shows the current one")
 def raced(context: Any) -> None:
-    """Compare the two answers."""
-    statuses = sorted(one.status for one in context.race)
+    """Check that the conflict contains the accepted generation."""
+    statuses = sorted(answer.status for answer in context.race)
     assert statuses == [200, 409], statuses
-    loser = next(one for one in context.race if one.status == 409)
-    winner = next(one for one in context.race if one.status == 200)
-    assert loser.value["current"]["generation"] == winner.value["generation"]
+    rejected = next(answer for answer in context.race if answer.status == 409)
+    accepted = next(answer for answer in context.race if answer.status == 200)
+    assert rejected.value["current"]["generation"] == accepted.value["generation"]
 
 
 @then("the submission is accepted all the same")
 def settled(context: Any) -> None:
-    """Submit while one answer is lost: reading back settles it."""
+    """Submit while one of the platform's answers is lost, so that the outcome is read back."""
     bench = context.bench
     at = bench.instances.index(live(bench)[0])
     policy = Path("examples/both.policy").read_text().replace('"both"', '"settled"')
@@ -88,7 +91,7 @@
 
 @then('asking for its id says "{known}", and for another "{other}"')
 def ask_for_ids(context: Any, known: str, other: str) -> None:
-    """Ask how submissions ended; one that is not stored may still arrive."""
+    """Check the reported states of a stored submission and of an unknown one."""
     bench = context.bench
     at = bench.instances.index(live(bench)[0])
     for name, state in (("settled-1", known), ("never-sent", other)):
--- a/features/steps/process_crash_steps.py
+++ b/features/steps/process_crash_steps.py
@@ -1,4 +1,4 @@
-"""Check the own interface with requests that end the runners that run them."""
+"""Test on real processes that requests which crash runners are quarantined."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @given("3 instances with {engines:d} engines and {portals:d} portals of their own")
 def own_bench(context: Any, engines: int, portals: int) -> None:
-    """Start a system that the scenario may spoil."""
+    """Start a separate system, since the scenario crashes its runners."""
     bench = context.own = Bench()
     context.add_cleanup(bench.close)
     bench.start_platform()
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold one answer."""
+    """A response to a caller."""
 
     status: int
     retry_after: str
@@ -48,7 +48,7 @@
 
 
 def post(process: Process, path: str, body: Any) -> Reply:
-    """Make one call of a caller."""
+    """Send one request as a caller."""
     headers = {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
     exchange = Exchange.open(process.address, "POST", path, headers, orjson.dumps(body), CALL_S)
     return Reply(exchange.status, exchange.header("retry-after"), exchange.read())
@@ -56,7 +56,7 @@
 
 @when("the same fatal prompt is asked {count:d} times, at the instances by turns")
 def ask_fatal(context: Any, count: int) -> None:
-    """Ask one after the other."""
+    """Send the prompts one after the other."""
     instances = context.own.instances
     context.replies = [
         post(instances[index % len(instances)], "/v1/chat/completions", PROMPT)
@@ -66,32 +66,32 @@
 
 @when("the same fatal call is made {count:d} times, at the instances by turns")
 def call_fatal(context: Any, count: int) -> None:
-    """Call one after the other."""
+    """Send the calls one after the other."""
     context.replies = []
     for index in range(count):
         instance = context.own.instances[index % 3]
         context.replies.append(post(instance, "/services/portal/crash", {}))
-        # Word from one instance to the others takes longer than a call: callers pause, too.
+        # Reports between instances take longer than a call; real callers pause, too.
         gevent.sleep(CALL_PAUSE_S)
 
 
 @then("at most {most:d} engines have ended")
 def engines_ended(context: Any, most: int) -> None:
-    """Count."""
-    ended = sum(not one.running for one in context.own.engines)
+    """Check the number of engines that have ended."""
+    ended = sum(not engine.running for engine in context.own.engines)
     assert 0 < ended <= most, ended
 
 
 @then("at most {most:d} portals have ended")
 def portals_ended(context: Any, most: int) -> None:
-    """Count."""
-    ended = sum(not one.running for one in context.own.services)
+    """Check the number of portals that have ended."""
+    ended = sum(not service.running for service in context.own.services)
     assert 0 < ended <= most, ended
 
 
 @then('the last of its answers says "not run" and when to come back')
 def last_refused(context: Any) -> None:
-    """Check it."""
+    """Check the last response."""
     last = context.replies[-1]
     assert last.status == 503 and b"crashes_runners" in last.body, context.replies
     assert b'"ran":"not run"' in last.body and float(last.retry_after) > 0, last
@@ -99,12 +99,12 @@
 
 @then("another prompt is answered whole")
 def another_whole(context: Any) -> None:
-    """Ask for something else."""
+    """Check that another generation completes."""
     Answer(context.own, 20).check()
 
 
 def refused_at(context: Any, index: int) -> list[dict[str, Any]]:
-    """Return what one instance refuses."""
+    """Return the quarantined requests that one instance lists."""
     answer = context.own.operator(index, "GET", "/operator/crashes")
     assert answer.status == 200, answer
     found: list[dict[str, Any]] = answer.value["crashes"]
@@ -113,23 +113,23 @@
 
 @then("the first instance names one request that is refused, with the engines that have ended")
 def names_one(context: Any) -> None:
-    """Ask the operators' listener."""
-    (one,) = refused_at(context, 0)
+    """Check the quarantined request that the operators' listener reports."""
+    (refused,) = refused_at(context, 0)
     ended = {engine.name for engine in context.own.engines if not engine.running}
-    assert set(one["upstreams"]) == ended, (one, ended)
-    context.fingerprint = one["fingerprint"]
+    assert set(refused["upstreams"]) == ended, (refused, ended)
+    context.fingerprint = refused["fingerprint"]
 
 
 @when("the operator clears it there")
 def clear(context: Any) -> None:
-    """Clear it at the first instance."""
+    """Clear the quarantine at the first instance."""
     path = f"/operator/crashes/{context.fingerprint}"
     assert context.own.operator(0, "DELETE", path).status == 200
 
 
 @then("no instance names one")
 def none_names(context: Any) -> None:
-    """Ask all."""
+    """Wait until no instance lists a quarantined request."""
 
     def is_cleared() -> bool:
         return not any(refused_at(context, index) for index in range(3))
--- a/features/steps/process_input_steps.py
+++ b/features/steps/process_input_steps.py
@@ -1,4 +1,4 @@
-"""Check malformed input and foreign tokens, on real processes."""
+"""Test malformed input and resume tokens of other workspaces, on real processes."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @when("malformed input is sent to every listener")
 def malformed(context: Any) -> None:
-    """Send garbage to callers', operators' and peers' listeners, and hang up."""
+    """Send garbage to the listeners for callers, operators and peers, and close."""
     process = live(context.bench)[0]
-    config = process.popen.args
-    peer = next(one.split("=")[1] for one in config if one.startswith("--peer-listen"))
+    flags = process.popen.args
+    peer = next(flag.split("=")[1] for flag in flags if flag.startswith("--peer-listen"))
     for address in (process.address, process.operator, peer):
         host, port = address.split(":")
         for data in GARBAGE:
@@ -50,7 +50,7 @@
 
 @then("bad requests get a clear 4xx")
 def bad_requests(context: Any) -> None:
-    """Send well-formed HTTP with wrong content."""
+    """Send well-formed HTTP requests with invalid content."""
     address = live(context.bench)[0].address
     cases: list[tuple[Any, int]] = [
         ({}, 400),
@@ -72,20 +72,20 @@
         exchange = Exchange.open(address, "POST", "/v1/chat/completions", headers, big, 10.0)
         assert exchange.status == 413, exchange.status
     except UpstreamError:
-        # The server answered and hung up while the body was still on its way.
+        # The server responded and closed the connection before the body was complete.
         return
 
 
 @then("all instances still run and serve")
 def still_serve(context: Any) -> None:
-    """Check that nothing was lost for others."""
+    """Check that all instances run and that a generation completes."""
     assert len(live(context.bench)) >= 3
     Answer(context.bench, 10).check()
 
 
 @then("a resume token of one workspace opens nothing for another")
 def foreign_token(context: Any) -> None:
-    """Try another workspace's token."""
+    """Send a resume token with the key of another workspace."""
     answer = Answer(context.bench, 5)
     address = live(context.bench)[0].address
     body = b'{"model":"base","stream":true,"messages":[{"role":"user","content":"[length=3]"}]}'
--- a/features/steps/process_rate_limit_steps.py
+++ b/features/steps/process_rate_limit_steps.py
@@ -1,4 +1,4 @@
-"""Check the own interface with runners that name how many requests they take."""
+"""Test on real processes that instances respect the rate limits that runners signal."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Timed:
-    """Hold a reply and how long it took."""
+    """A response and its duration."""
 
     reply: Reply
     took_s: float
 
 
 def prompt() -> dict[str, Any]:
-    """Return a short generation that no other request asks for."""
+    """Return the body of a short generation with a unique prompt."""
     content = f"please number {next(NUMBERS)} [length=12]"
     messages = [{"role": "user", "content": content}]
     return {"model": "base", "max_tokens": 50, "stream": True, "messages": messages}
 
 
 def ask_on(context: Any, path: str, until: float) -> None:
-    """Ask again and again as one caller, at instances by turns."""
+    """Send requests as one caller until that time, to the instances in turn."""
     instances = itertools.cycle(context.own.instances)
     for _ in range(next(NUMBERS) % 3):
         next(instances)
     while time.monotonic() < until:
-        began = time.monotonic()
+        started_at = time.monotonic()
         body = prompt() if path.startswith("/v1/") else {}
         reply = post(next(instances), path, body)
-        context.timed.append(Timed(reply, time.monotonic() - began))
+        context.timed.append(Timed(reply, time.monotonic() - started_at))
         gevent.sleep(PAUSE_S if reply.status == 200 else REFUSED_PAUSE_S)
 
 
-def play(context: Any, callers: int, path: str, seconds: float) -> None:
+def start_callers(context: Any, callers: int, path: str, seconds: float) -> None:
     """Start the callers."""
     context.timed = []
     context.ends_at = time.monotonic() + seconds
@@ -55,11 +55,11 @@
 
 
 def name_limit(context: Any, runners: list[Process], after: float, per_s: float) -> None:
-    """Have some runners name a limit."""
+    """Let some runners signal a limit, and wait for the callers."""
     gevent.sleep(after)
     context.per_s, context.limited, context.since = per_s, runners, time.monotonic()
-    for one in runners:
-        one.control({"rate_limit": per_s})
+    for runner in runners:
+        runner.control({"rate_limit": per_s})
     gevent.joinall(context.asking, raise_error=True)
 
 
@@ -70,8 +70,8 @@
 def make_calls(
     context: Any, callers: int, seconds: float, after: float, which: str, per_s: float
 ) -> None:
-    """Call one service."""
-    play(context, callers, "/services/portal/x", seconds)
+    """Send calls to one service, some of whose runners signal a limit."""
+    start_callers(context, callers, "/services/portal/x", seconds)
     portals = context.own.services
     name_limit(context, portals if which == "each" else portals[:1], after, per_s)
 
@@ -81,8 +81,8 @@
     " takes {per_s:g} a second"
 )
 def ask_generations(context: Any, callers: int, seconds: float, after: float, per_s: float) -> None:
-    """Ask for one model."""
-    play(context, callers, "/v1/chat/completions", seconds)
+    """Request generations of one model, one of whose runners signals a limit."""
+    start_callers(context, callers, "/v1/chat/completions", seconds)
     name_limit(context, context.own.engines[:1], after, per_s)
 
 
@@ -91,28 +91,28 @@
     " limit"
 )
 def got(context: Any, contact: float, most: int, share: float) -> None:
-    """Count its arrivals; the steady clock is the machine's."""
+    """Check the arrivals, whose times are on the machine's monotonic clock, too."""
     since = context.since + contact
     assert contact == CONTACT_S
     for runner in context.limited:
         times = [at for at in runner.stats()["arrivals"] if since <= at < context.ends_at]
         assert most_in_window(times) <= most, (runner.name, most_in_window(times), most)
-        least = share * context.per_s * (context.ends_at - since)
-        assert len(times) >= least, (runner.name, len(times), least)
+        min_count = share * context.per_s * (context.ends_at - since)
+        assert len(times) >= min_count, (runner.name, len(times), min_count)
 
 
 @then("at least {share:d} in 100 of the answers are whole")
 def whole(context: Any, share: int) -> None:
-    """Look at the statuses."""
-    bad = [one for one in context.timed if one.reply.status != 200]
+    """Check the share of successful responses."""
+    bad = [timed for timed in context.timed if timed.reply.status != 200]
     assert len(bad) <= (1 - share / 100) * len(context.timed), (len(bad), bad[:3])
 
 
 @then("who is refused is told so within {seconds:g} s, with a time to come back, and nothing ran")
 def refused(context: Any, seconds: float) -> None:
-    """Look at the refusals."""
-    found = [one for one in context.timed if one.reply.status != 200]
+    """Check that there are refusals, their time and their content."""
+    found = [timed for timed in context.timed if timed.reply.status != 200]
     assert found
-    for one in found:
-        assert one.reply.status == 503 and one.took_s <= seconds, one
-        assert float(one.reply.retry_after) > 0 and b'"ran":"not run"' in one.reply.body, one
+    for timed in found:
+        assert timed.reply.status == 503 and timed.took_s <= seconds, timed
+        assert float(timed.reply.retry_after) > 0 and b'"ran":"not run"' in timed.reply.body, timed
--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -1,4 +1,4 @@
-"""Check streams on real processes."""
+"""Test streams on real processes."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 @given("{count:d} long answers are being streamed")
 @when("{count:d} long answers are being streamed")
 def stream_answers(context: Any, count: int) -> None:
-    """Start answers and wait until all have begun."""
+    """Start streams and wait until all have begun."""
     context.answers = [Answer(context.bench, 400) for _ in range(count)]
-    for one in context.answers:
-        one.wait_begun()
+    for answer in context.answers:
+        answer.wait_begun()
 
 
 @when("the instance that streams is killed")
 def kill_entry(context: Any) -> None:
-    """Kill the instance that the callers were located to."""
+    """Kill the instance to which the callers are connected."""
     address = context.answers[0].caller.locate()[0]
-    entry = next(one for one in context.bench.instances if one.address == address)
+    entry = next(each for each in context.bench.instances if each.address == address)
     entry.popen.kill()
     entry.popen.wait()
 
 
 @when("the owner of the engines is {what} for a while")
 def freeze_owner(context: Any, what: str) -> None:
-    """Stop the owner's process, and let it go on later."""
+    """Stop the owner's process, and continue it 4 s later."""
     process = owner(context.bench)
     process.signal(signal.SIGSTOP)
     gevent.spawn_later(4.0, process.signal, signal.SIGCONT)
@@ -48,7 +48,7 @@
 
 @when("every instance in turn is stopped as planned and replaced")
 def rolling_stop(context: Any) -> None:
-    """Stop and replace each instance while answers are streamed."""
+    """Stop and replace each instance while generations are streamed."""
     bench = context.bench
     for process in live(bench):
         context.answers.append(Answer(bench, 400))
@@ -63,25 +63,25 @@
 
 
 def _is_ready(bench: Bench, at: int) -> bool:
-    """Tell whether an instance is ready."""
+    """Return True if an instance is ready."""
     return bool(bench.status(at)["ready"])
 
 
 def _has_ended(process: Any) -> bool:
-    """Tell whether a process has ended."""
+    """Return True if a process has ended."""
     return not process.running
 
 
 @then("all answers arrive whole, once, in order, each from one generation")
 def answers_whole(context: Any) -> None:
-    """Check every answer."""
-    for one in context.answers:
-        one.check()
+    """Check every stream."""
+    for answer in context.answers:
+        answer.check()
 
 
 @when('an engine is told to "{fault}"')
 def script_engine(context: Any, fault: str) -> None:
-    """Script a fault at both engines."""
+    """Inject a fault at both engines."""
     scripts: dict[str, dict[str, Any]] = {
         "cut streams": {"cut_after": 20},
         "send twice": {"duplicate": True},
@@ -96,14 +96,14 @@
 
 @when("the first engine freezes but still answers, and {count:d} callers ask")
 def freeze_engine(context: Any, count: int) -> None:
-    """Freeze one engine for long, then ask; some are sent there."""
+    """Freeze one engine, then start streams, some of which are sent there."""
     context.bench.engines[0].control({"freeze_s": 45.0})
     context.answers = [Answer(context.bench, 20) for _ in range(count)]
 
 
 @then("the frozen engine was asked, and is let go on")
 def thaw(context: Any) -> None:
-    """Check that the fault struck, and end it."""
+    """Check that the frozen engine received work, and end the fault."""
     engine = context.bench.engines[0]
     assert engine.stats()["running"] + engine.stats().get("cancelled", 0) > 0
     engine.control({"freeze_s": 0.0})
@@ -111,17 +111,17 @@
 
 @then("every recorded trace replays without a difference")
 def traces_replay(context: Any) -> None:
-    """Replay what real instances recorded through a fresh core."""
+    """Replay the traces of real instances through new controllers."""
     paths = sorted(context.bench.folder.glob("*.trace"))
     lines = {path.name: path.read_text().splitlines() for path in paths}
-    assert sum('"Granted"' in line for one in lines.values() for line in one) >= 10
-    for name, one in lines.items():
-        assert replay(one) == [], name
+    assert sum('"Granted"' in line for trace in lines.values() for line in trace) >= 10
+    for name, trace in lines.items():
+        assert replay(trace) == [], name
 
 
 @when("a caller asks and vanishes")
 def vanish(context: Any) -> None:
-    """Open a stream by hand and close the connection."""
+    """Open a stream and close the connection after its first event."""
     address = live(context.bench)[0].address
     body = (
         b'{"model":"base","stream":true,"max_tokens":4000,'
@@ -136,6 +136,6 @@
 
 @then("the engines are soon free again")
 def engines_free(context: Any) -> None:
-    """Wait until no generation is left."""
+    """Wait until no generation is running."""
     engines = context.bench.engines
-    wait_until("free", lambda: sum(one.stats()["running"] for one in engines) == 0)
+    wait_until("free", lambda: sum(engine.stats()["running"] for engine in engines) == 0)
--- a/features/steps/process_upstream_signal_steps.py
+++ b/features/steps/process_upstream_signal_steps.py
@@ -1,4 +1,4 @@
-"""Check that the own interface heeds what runners signal with responses."""
+"""Test on real processes that instances act on the signals in runners' responses."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def ask_on(context: Any, path: str, until: float) -> None:
-    """Ask one instance again and again as one caller."""
+    """Send requests to one instance as one caller until that time."""
     while time.monotonic() < until:
-        began = time.monotonic()
+        started_at = time.monotonic()
         body = prompt() if path.startswith("/v1/") else {}
         reply = post(context.own.instances[0], path, body)
-        context.timed.append(Timed(reply, time.monotonic() - began))
+        context.timed.append(Timed(reply, time.monotonic() - started_at))
         gevent.sleep(PAUSE_S if reply.status == 200 else REFUSED_PAUSE_S)
 
 
@@ -43,8 +43,8 @@
 def runner_leaves(
     context: Any, callers: int, what: str, seconds: float, after: float, which: str, kind: str
 ) -> None:
-    """Have some runners signal that they leave."""
-    play(context, callers, what, seconds, after, which, {"leaves": True})
+    """Let some runners signal that they leave."""
+    run_callers(context, callers, what, seconds, after, which, {"leaves": True})
 
 
 @when(
@@ -61,12 +61,12 @@
     kind: str,
     for_s: float,
 ) -> None:
-    """Have some runners reject what they get."""
+    """Let some runners reject their requests."""
     context.backoff_s = for_s
-    play(context, callers, what, seconds, after, which, {"backoff_s": for_s})
+    run_callers(context, callers, what, seconds, after, which, {"backoff_s": for_s})
 
 
-def play(
+def run_callers(
     context: Any,
     callers: int,
     what: str,
@@ -75,21 +75,21 @@
     which: str,
     script: dict[str, Any],
 ) -> None:
-    """Have callers ask one instance, and some runners signal something meanwhile."""
+    """Run callers against one instance, and script some runners meanwhile."""
     path, context.timed = PATHS[what], []
     until = time.monotonic() + seconds
     asking = [gevent.spawn(ask_on, context, path, until) for _ in range(callers)]
     runners = context.own.engines if path.startswith("/v1/") else context.own.services
     context.signalling = runners if which == "each" else runners[:1]
     gevent.sleep(after)
-    for one in context.signalling:
-        one.control(script)
+    for runner in context.signalling:
+        runner.control(script)
     gevent.joinall(asking, raise_error=True)
 
 
 @then("from {seconds:g} s after its first such response it gets nothing")
 def nothing_after(context: Any, seconds: float) -> None:
-    """Compare its arrivals with its first response that signalled leaving."""
+    """Compare arrivals with the runner's first response that signalled leaving."""
     for runner in context.signalling:
         stats = runner.stats()
         since = stats["signalled_at"][0] + seconds
@@ -99,7 +99,7 @@
 
 @then("it gets nothing between {seconds:g} s after a rejection and the end of its back-off")
 def backoff_kept(context: Any, seconds: float) -> None:
-    """Compare its arrivals with its rejections."""
+    """Compare arrivals with the runner's rejections."""
     for runner in context.signalling:
         stats = runner.stats()
         rejected = stats["signalled_at"]
@@ -117,11 +117,11 @@
     "who is refused is told so within {seconds:g} s, with a time to come back of at most {most:g} s"
 )
 def refused(context: Any, seconds: float, most: float) -> None:
-    """Look at the refusals."""
-    found = [one for one in context.timed if one.reply.status != 200]
+    """Check that there are refusals, their time and their content."""
+    found = [timed for timed in context.timed if timed.reply.status != 200]
     assert found
-    for one in found:
-        assert one.reply.status == 503 and one.took_s <= seconds + SLACK_S, one
-        assert 0 < float(one.reply.retry_after) <= most, one
-        assert b'"ran":"not run"' in one.reply.body, one
-    assert max(float(one.reply.retry_after) for one in found) > most / 2
+    for timed in found:
+        assert timed.reply.status == 503 and timed.took_s <= seconds + SLACK_S, timed
+        assert 0 < float(timed.reply.retry_after) <= most, timed
+        assert b'"ran":"not run"' in timed.reply.body, timed
+    assert max(float(timed.reply.retry_after) for timed in found) > most / 2
