--- a/features/steps/command_steps.py
+++ b/features/steps/command_steps.py
@@ -1,4 +1,4 @@
-"""Check the settings of the daemon and the command."""
+"""Test the settings of the daemon and the command line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @when('the daemon is started with "{flags}"')
 def start_daemon(context: Any, flags: str) -> None:
-    """Start the daemon with wrong settings."""
+    """Start the daemon with invalid settings."""
     context.done = _run("driftstall", flags)
 
 
@@ -30,7 +30,7 @@
 
 @then('it ends with {code:d} and names "{words}"')
 def ended(context: Any, code: int, words: str) -> None:
-    """Compare the exit code and the output; there is never a traceback."""
+    """Check the exit code and the output, which never contains a traceback."""
     text = context.done.stdout + context.done.stderr
     assert context.done.returncode == code, (context.done.returncode, text)
     assert "Traceback" not in text, text
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -1,4 +1,4 @@
-"""Check that the parts of an instance which run for its life go on."""
+"""Test that the daemon's long-running tasks continue after unexpected errors."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class StoredConfigs:
-    """Answer the watches of a configuration: an unreadable one, a whole one, then nothing more."""
+    """Answer configuration watches with a malformed value, a valid value, then block."""
 
     def __init__(self) -> None:
-        """Start before the first watch."""
+        """Set the values in order."""
         self._values: list[Any] = [{"generation": 1}, config_to_json(WHOLE)]
 
     def watch(self, key: str, after: int) -> tuple[int, tuple[VersionedValue, ...]]:
-        """Return the next one."""
+        """Return the next value."""
         if not self._values:
             gevent.sleep(WAIT_S)
         return 1, (VersionedValue(key, 1, self._values.pop(0)),)
@@ -42,7 +42,7 @@
 
 @given("an instance whose platform stores a configuration that cannot be read, then a whole one")
 def unreadable_config(context: Any) -> None:
-    """Put together what follows the configuration."""
+    """Create the configuration service with stand-ins."""
     hub = SimpleNamespace(
         platform=StoredConfigs(),
         on_message=lambda kind, handler: None,
@@ -54,19 +54,21 @@
 
 @when("it follows the platform")
 def follow_config(context: Any) -> None:
-    """Start it."""
+    """Start the configuration service."""
     context.config_service.start()
 
 
 @then("the whole one is in force")
 def whole_in_force(context: Any) -> None:
-    """Wait for it."""
-    wait_for("the whole one is in force", lambda: context.config_service.document == WHOLE)
+    """Wait until the valid configuration is in force."""
+    wait_for(
+        "the valid configuration is in force", lambda: context.config_service.document == WHOLE
+    )
 
 
 @given("a platform that takes a question and never answers")
 def silent_platform(context: Any) -> None:
-    """Read and say nothing."""
+    """Start a server that reads requests and never responds."""
 
     def read(connection: socket.socket, _address: tuple[str, int]) -> None:
         while connection.recv(65_536):
@@ -80,20 +82,20 @@
 
 @then("a watch of it fails within {seconds:g} s")
 def watch_fails(context: Any, seconds: float) -> None:
-    """Watch it."""
-    began = time.monotonic()
+    """Check that a watch raises PlatformUnavailable in time."""
+    started_at = time.monotonic()
     with gevent.Timeout(seconds, AssertionError(f"it still waits after {seconds:g} s")):
         try:
             context.client.watch(KEY_CONFIG, 1)
         except PlatformUnavailable:
-            assert time.monotonic() - began <= seconds
+            assert time.monotonic() - started_at <= seconds
             return
-    raise AssertionError("a silent platform was taken for one that answers")
+    raise AssertionError("a watch of a silent platform returned an answer")
 
 
 @given("work that fails at first in a way that nobody expects")
 def failing_work(context: Any) -> None:
-    """Count the runs, and collect what the log tells."""
+    """Create work that raises at its first run, and record the log lines."""
     context.runs = 0
     context.lines = []
     add_destinations(context.lines.append)
@@ -109,13 +111,13 @@
 
 @when("it is kept running")
 def kept_running(context: Any) -> None:
-    """Start it."""
-    context.kept = keep_running(PREFIX_MEMBERSHIP, context.work)
+    """Start the work under supervision."""
+    context.running = keep_running(PREFIX_MEMBERSHIP, context.work)
 
 
 @then("it runs again, and the log tells why")
 def runs_again(context: Any) -> None:
-    """Wait for its end, and read the log."""
-    context.kept.join(WAIT_S)
+    """Wait for its end, and check the number of runs and the log line."""
+    context.running.join(WAIT_S)
     assert context.runs == 2, context.runs
     assert any("nobody expects this" in str(line) for line in context.lines), context.lines
--- a/features/steps/known_red_steps.py
+++ b/features/steps/known_red_steps.py
@@ -1,4 +1,4 @@
-"""Check how the outcome of a test run is counted."""
+"""Test the summary of a test run with known failures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @given("a test run in which {failed} failed")
 def test_run(context: Any, failed: str) -> None:
-    """Write the output of a run as behave prints it."""
+    """Write the output of a run in behave's format."""
     context.folder = Path(tempfile.mkdtemp())
     names = re.findall(r'"([^"]+)"', failed)
     lines = [f"  {name}  ...{'F' * (name in names)}" for name in ALL]
@@ -32,13 +32,13 @@
 
 @given('scenario "{name}" is listed as a known fault')
 def listed(context: Any, name: str) -> None:
-    """Write the list."""
+    """Write the list of known failures."""
     (context.folder / "known").write_text(f"{name}, a cause, an issue\n")
 
 
 @then('its last line is "{line}" and it ends with {code:d}')
 def counted(context: Any, line: str, code: int) -> None:
-    """Count."""
+    """Run the summary, and check its last line and its exit code."""
     printed = io.StringIO()
     output, known = str(context.folder / "output"), str(context.folder / "known")
     with contextlib.redirect_stdout(printed):
--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -15,19 +15,19 @@
 from features.worlds.paths import PATHS
 
 SOME_PAIRS = 150
-"""Pairs of faults that are drawn where all pairs would take too long."""
+"""Number of random pairs of faults where all pairs would take too long."""
 
 
 @given("the {name} path")
-def take_path(context: Any, name: str) -> None:
-    """Choose a path."""
+def select_path(context: Any, name: str) -> None:
+    """Select a path of the fault matrix."""
     context.path = PATHS[name]
     context.path_name = name
 
 
 @when('"{fault}" strikes at every step, alone, twice and beside other faults')
 def strike_everywhere(context: Any, fault: str) -> None:
-    """Walk the matrix for one fault; a broken promise raises with its plan."""
+    """Run all plans of one fault; a violated invariant raises with its plan."""
     path = context.path
     assert fault in path.faults, f"{fault} is not in the list"
     runs, injected = run_plans(
@@ -51,7 +51,7 @@
 
 @then("every promise of the path has held")
 def held(context: Any) -> None:
-    """Check that the fault did strike; the promises were checked after each run."""
+    """Check that the fault was injected; the invariants were checked after each run."""
     assert context.runs >= len(context.path.steps), context.runs
     assert context.injected >= context.runs // 2, (
         f"{context.injected} strikes in {context.runs} runs"
@@ -74,7 +74,7 @@
 
 @then("random sequences of {count:d} faults break no promise, from seed {number:d}")
 def random_faults(context: Any, count: int, number: int) -> None:
-    """Draw sequences of faults; the same seed draws the same ones."""
+    """Run generated sequences of faults; a seed always generates the same."""
     path = context.path
     strike = st.builds(
         PlannedFault, st.sampled_from(path.steps), st.sampled_from(path.faults), st.integers(1, 4)
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -1,4 +1,4 @@
-"""Compare the pages with the code and the recorded runs."""
+"""Test that the documentation matches the code and the recorded runs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @then("the pages' figures are those of the recorded runs")
 def figures_hold(context: Any) -> None:
-    """Make the figures anew and compare."""
+    """Regenerate the figures and compare."""
     for path in sorted(Path("docs").rglob("*.md")):
         text = path.read_text()
         assert renewed(text) == text, f"{path} is old: run script/measure pages"
@@ -26,9 +26,9 @@
 
 @then("every setting, metric, log prefix, problem code and exit code is in the operators' page")
 def names_hold(context: Any) -> None:
-    """Look every name up."""
+    """Search the page for every name."""
     page = Path("docs/OPERATIONS.md").read_text()
-    names = [f"--{one.name.replace('_', '-')}" for one in dataclasses.fields(Settings)]
+    names = [f"--{field.name.replace('_', '-')}" for field in dataclasses.fields(Settings)]
     names += [f"{name}_total" for name in COUNTERS] + list(GAUGES)
     for name, value in vars(const).items():
         if name.startswith(("PREFIX_", "CODE_")):
@@ -41,7 +41,7 @@
 
 @then("every fault and path of the matrix is in the proofs' page")
 def proofs_hold(context: Any) -> None:
-    """Look every path and fault up."""
+    """Search the page for every path and fault."""
     page = Path("docs/PROOFS.md").read_text()
     names = list(PATHS) + [fault for path in PATHS.values() for fault in path.faults]
     missing = [name for name in names if name not in page]
