--- a/measures/driver.py
+++ b/measures/driver.py
@@ -218,7 +218,7 @@
     def _step(self, name: str) -> None:
         """Run one step of an engine; its tokens come at its end."""
         engine = self._engines[name]
-        if engine.idle:
+        if engine.is_idle:
             self._busy.discard(name)
             return
         step = engine.step()
