--- a/measures/driver.py
+++ b/measures/driver.py
@@ -223,7 +223,7 @@
             return
         step = engine.step()
         ends = self.now + step.seconds
-        self._cache_events(name, engine.take_stored(), step.evicted)
+        self._cache_events(name, engine.drain_stored_prefixes(), step.evicted)
         for generation in step.tokens:
             self._token(generation, ends)
         for generation in step.finished:
