--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -176,7 +176,7 @@
     """Wait until both are ready and each locates both."""
     addresses = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
-        wait_for_processes(f"{node.name} is ready", node.is_ready)
+        wait_for_processes(f"{node.name} is ready", node.ready)
         wait_for_processes(
             f"{node.name} locates both", lambda process=node: process.located(HOST) == addresses
         )
