--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -150,13 +150,13 @@
     Raises DocumentFault if the document is invalid.
     """
     try:
-        found = _ROUTING(spec)
+        validated = _ROUTING(spec)
         return RoutingDocument(
-            version=found["version"],
-            routes=tuple(_routes(found["routes"], pause)),
-            services=tuple(_service(service) for service in found.get("services") or ()),
-            workspaces=tuple(_workspace(workspace) for workspace in found.get("tenants") or ()),
-            limits=_limits(found.get("limits") or {}),
+            version=validated["version"],
+            routes=tuple(_routes(validated["routes"], pause)),
+            services=tuple(_service(service) for service in validated.get("services") or ()),
+            workspaces=tuple(_workspace(workspace) for workspace in validated.get("tenants") or ()),
+            limits=_limits(validated.get("limits") or {}),
         )
     except (vol.Invalid, KeyError) as fault:
         raise DocumentFault(f"invalid routing configuration: {fault}") from fault
@@ -242,17 +242,19 @@
 def read_upstream(upstream_name: str, revision: StoreVersion, spec: Any) -> Upstream:
     """Decode an upstream's entry; raise DocumentFault if it is invalid."""
     try:
-        found = _UPSTREAM(spec)
+        validated = _UPSTREAM(spec)
         return Upstream(
             name=checks.name(upstream_name),
-            service=found["service"],
-            address=found["address"],
-            zone=found["zone"],
-            slots=found["slots"],
-            state=UpstreamState.READY if found["state"] == STATE_READY else UpstreamState.LEAVING,
+            service=validated["service"],
+            address=validated["address"],
+            zone=validated["zone"],
+            slots=validated["slots"],
+            state=UpstreamState.READY
+            if validated["state"] == STATE_READY
+            else UpstreamState.LEAVING,
             revision=revision,
-            born=found.get("born", 0),
-            cold_s=found["coldRemainingMs"] / MS_PER_S,
+            born=validated.get("born", 0),
+            cold_s=validated["coldRemainingMs"] / MS_PER_S,
         )
     except vol.Invalid as fault:
         raise DocumentFault(f"invalid upstream entry: {fault}") from fault
