--- a/driftstall/platform/dialect.py
+++ b/driftstall/platform/dialect.py
@@ -27,17 +27,17 @@
         """Initialize without an observer: signals are ignored until one is set."""
         self.on_signals: SignalObserver = ignore_signals
 
-    def read_request(self, found: Headers) -> CallerMetadata:
+    def read_request(self, raw_headers: Headers) -> CallerMetadata:
         """Decode a caller's headers; raise BadHeaders if they are contradictory."""
-        return headers.read_request(found)
+        return headers.read_request(raw_headers)
 
     def write_request(self, forwarded: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
         return headers.write_request(forwarded, send)
 
-    def read_response(self, status: int, found: Headers) -> ResponseMetadata:
+    def read_response(self, status: int, raw_headers: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's response."""
-        return headers.read_response(status, found)
+        return headers.read_response(status, raw_headers)
 
     def read_routing(self, text: str) -> RoutingDocument:
         """Decode a routing document in the form in which instances send it to each other."""
