--- a/driftstall/platform/checks.py
+++ b/driftstall/platform/checks.py
@@ -28,10 +28,10 @@
 
 def name(value: Any) -> str:
     """Return the value if it is a string that is valid in a header."""
-    found = text(value)
-    if len(found) > MAX_NAME_LENGTH or not all("!" <= character <= "~" for character in found):
+    string = text(value)
+    if len(string) > MAX_NAME_LENGTH or not all("!" <= character <= "~" for character in string):
         raise vol.Invalid("expected a name of printable ASCII characters without spaces")
-    return found
+    return string
 
 
 def flag(value: Any) -> bool:
@@ -65,12 +65,12 @@
 
 def address(value: Any) -> str:
     """Return the value if it is an address of the form IP:port."""
-    found = text(value)
+    string = text(value)
     try:
-        split_address(found)
+        split_address(string)
     except ValueError as fault:
         raise vol.Invalid("expected an address of the form IP:port") from fault
-    return found
+    return string
 
 
 def or_none(check: Any) -> Any:
