--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -111,23 +111,23 @@
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return ()
     limit = parse_seconds(_text(first.get(names.HEADER_RATE_LIMIT, b"")))
-    found: list[Signal] = [RateLimitSignal(limit)]
+    signals: list[Signal] = [RateLimitSignal(limit)]
     leaving = first.get(names.HEADER_LEAVING)
     if leaving == SET:
-        found.append(LeavingSignal())
+        signals.append(LeavingSignal())
     elif leaving not in (None, NOT_SET):
-        found.append(_unreadable(names.HEADER_LEAVING, leaving))
+        signals.append(_unreadable(names.HEADER_LEAVING, leaving))
     backoff = first.get(names.HEADER_RETRY_AFTER)
     if backoff is not None and status in BACKOFF_STATUSES:
         for_s = parse_seconds(_text(backoff))
         unreadable = _unreadable(names.HEADER_RETRY_AFTER, backoff)
-        found.append(unreadable if for_s is None else BackoffSignal(for_s))
-    found += [
+        signals.append(unreadable if for_s is None else BackoffSignal(for_s))
+    signals += [
         UnknownSignal(_text(name))
         for name in first
         if name.startswith(names.SIGNAL_PREFIXES) and name not in names.KNOWN_UPSTREAM_HEADERS
     ]
-    return tuple(found)
+    return tuple(signals)
 
 
 def _unreadable(name: bytes, value: bytes) -> UnreadableSignal:
