--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -63,7 +63,7 @@
     def read_request(self, found: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
 
-    def write_request(self, passed: Headers, send: SendMetadata) -> Headers:
+    def write_request(self, forwarded: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
 
     def read_response(self, status: int, found: Headers) -> ResponseMetadata:
