--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -60,13 +60,13 @@
     on_signals: SignalObserver
     """Called with the signals in the engines' responses to the calls below."""
 
-    def read_request(self, found: Headers) -> CallerMetadata:
+    def read_request(self, raw_headers: Headers) -> CallerMetadata:
         """Decode a caller's headers, or raise BadHeaders."""
 
     def write_request(self, forwarded: Headers, send: SendMetadata) -> Headers:
         """Return the headers of a request to an upstream."""
 
-    def read_response(self, status: int, found: Headers) -> ResponseMetadata:
+    def read_response(self, status: int, raw_headers: Headers) -> ResponseMetadata:
         """Decode the status and headers of an upstream's response."""
 
     def read_routing(self, text: str) -> RoutingDocument:
