--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -1,4 +1,4 @@
-"""Run the configuration controller: watch the platform, peers and submissions."""
+"""Keep the configuration up to date from the platform, from peers and by operators' submissions."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
 GOSSIP_PERIOD_S: Final = 1.0
 MAX_PUBLISH_PEERS: Final = 16
 RESTORING_INSTANCES: Final = 3
-"""Instances that write again what the store has lost; one is enough."""
+"""Instances that restore a configuration lost by the store; one would be enough."""
 MAX_RESTORE_DELAY_S: Final = 0.5
-"""The longest pause before that: who comes later finds it written."""
+"""Maximum random delay before restoring, so that later instances find it already written."""
 MAX_SETTLE_ATTEMPTS: Final = 4
 SETTLE_RETRY_DELAY_S: Final = 0.25
 
 
 class ConfigService:
-    """Keep the configuration in force on this instance."""
+    """Hold the configuration in force on this instance, and exchange it with peers."""
 
     def __init__(self, hub: Hub, members: MembershipService) -> None:
-        """Start with no configuration."""
+        """Initialize without a configuration and register the message handlers."""
         self._hub = hub
         self._members = members
         self._controller = ConfigurationController()
@@ -68,37 +68,37 @@
 
     @property
     def policy(self) -> Policy | None:
-        """Return the policy in force, once there is one."""
+        """Return the policy in force, or None before the first configuration."""
         return self._policy
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether a configuration is in force."""
+        """Return whether a policy is in force."""
         return self._policy is not None
 
     def start(self) -> None:
-        """Start to watch the platform and to compare with peers."""
+        """Start the watch of the platform and the periodic comparison with peers."""
         keep_running(PREFIX_CONFIGURATION, self._watch)
         self._hub.run_periodically(GOSSIP_PERIOD_S, self._compare_with_peer, PREFIX_CONFIGURATION)
 
     def submit(self, change: ConfigChange) -> Submission:
-        """Carry an operator's change to the platform, and tell all peers at once."""
+        """Write an operator's change to the platform, and publish it if accepted."""
         submission = Submission(change, self.document)
         actions = submission.start()
-        tries = 0
+        attempts = 0
         while actions:
             event = self._carry_out(actions[0])
             unsettled = isinstance(event, ConfigReadFailed) and (
                 submission.state is SubmitState.SETTLING
             )
-            if unsettled and tries < MAX_SETTLE_ATTEMPTS:
-                tries += 1
+            if unsettled and attempts < MAX_SETTLE_ATTEMPTS:
+                attempts += 1
                 gevent.sleep(SETTLE_RETRY_DELAY_S)
                 continue
             actions = submission.handle(event)
         log_event(
             PREFIX_CONFIGURATION,
-            f"Submission {change.submission} is {submission.state.value}",
+            f"Submission {change.submission}: {submission.state.value}",
             generation=submission.current.generation,
         )
         if submission.accepted is not None:
@@ -107,9 +107,10 @@
         return submission
 
     def find_submission(self, submission_id: str) -> SubmitState:
-        """Tell whether an earlier submission was accepted, as far as it can be known.
+        """Return ACCEPTED if an earlier submission is known to be accepted, else UNKNOWN.
 
-        One that is not among the newest may be older, or may still arrive: unknown.
+        Only the newest submissions are stored: one that is not among them may be older, or may
+        still arrive.
         """
         if submission_id in self.document.submissions:
             return SubmitState.ACCEPTED
@@ -136,29 +137,31 @@
         return ConfigWriteUnknown()
 
     def _watch(self) -> None:
-        """Follow the platform's changes for ever."""
+        """Watch the platform's configuration forever, and apply its changes."""
         while True:
             try:
                 lists = not self._revision
                 at, changes = self._hub.platform.watch(KEY_CONFIG, self._revision)
-                # After an outage, or an error below, the platform may have lost its place, or a
-                # change may be half taken in: begin anew.
+                # If an error below ends this watch, a change may be partly applied. The next
+                # watch then starts with a full list, as it does after an outage, in which the
+                # platform may have lost its revision.
                 self._revision = 0
-                for one in changes:
-                    self._apply_if_newer(config_from_json(one.value))
+                for change in changes:
+                    self._apply_if_newer(config_from_json(change.value))
                 self._revision = at
                 self._has_read_platform = True
                 if lists:
                     self._restore_if_lost(changes)
             except PlatformUnavailable as fault:
                 self._revision = 0
-                log_event(PREFIX_CONFIGURATION, f"A question to the platform failed: {fault}")
+                log_event(PREFIX_CONFIGURATION, f"Watch of the platform failed: {fault}")
                 gevent.sleep(WATCH_RETRY_DELAY_S)
 
     def _restore_if_lost(self, stored: tuple[VersionedValue, ...]) -> None:
-        """Store the configuration in force where the store holds an older one, or none.
+        """Write the configuration in force to the store if the store has an older one or none.
 
-        It has come back from an older copy then. A few instances look, and the first one writes.
+        This happens after the store was restored from a backup. A few instances check, and the
+        first to write wins.
         """
         found = config_from_json(stored[0].value) if stored else EMPTY
         if found.generation >= self.document.generation or not self._should_restore():
@@ -169,30 +172,33 @@
         result = self._hub.platform.put(KEY_CONFIG, value, expected)
         log_event(
             PREFIX_CONFIGURATION,
-            f"The configuration in force is written again: {result.state.value}",
+            f"Restored the configuration in the store: {result.state.value}",
             generation=self.document.generation,
             stored=found.generation,
         )
         if result.state is not WriteState.DONE:
-            # Another one has written, or it is not known: look again.
+            # Another instance has written, or the outcome is unknown: list again.
             self._revision = 0
 
     def _should_restore(self) -> bool:
-        """Tell whether this instance is one of those that write again what the store has lost."""
+        """Return whether this instance is one of those that restore a lost configuration."""
         own = weight(KEY_CONFIG, self._hub.own.instance_id)
         live = self._members.live
-        return sum(weight(KEY_CONFIG, one.instance_id) > own for one in live) < RESTORING_INSTANCES
+        return (
+            sum(weight(KEY_CONFIG, member.instance_id) > own for member in live)
+            < RESTORING_INSTANCES
+        )
 
     def _compare_with_peer(self) -> None:
-        """Ask a random peer whether it has something newer."""
+        """Send the own generation to a random peer, which replies if the two differ."""
         own = self._hub.own.instance_id
-        peers = [one.instance_id for one in self._members.live if one.instance_id != own]
+        peers = [member.instance_id for member in self._members.live if member.instance_id != own]
         if peers:
             peer = self._hub.rng.choice(peers)
             self._hub.send(peer, ConfigAsked(own, self.document.generation))
 
     def _handle_request(self, _: str, message: ConfigAsked) -> None:
-        """Answer a peer that may have something older or newer."""
+        """Offer the configuration to a peer with an older one, or request a newer one from it."""
         own = self._hub.own.instance_id
         if message.generation < self.document.generation:
             self._hub.send(message.sender, ConfigOffer(own, self.document))
@@ -200,25 +206,25 @@
             self._hub.send(message.sender, ConfigAsked(own, self.document.generation))
 
     def _handle_offer(self, _: str, message: ConfigOffer) -> None:
-        """Take a peer's configuration if it is newer."""
+        """Apply a peer's configuration if it is newer."""
         self._apply_if_newer(message.document)
 
     def _publish(self, document: ConfigDocument) -> None:
-        """Send an accepted configuration to every peer, or to some of a large fleet."""
+        """Publish an accepted configuration to every peer, or to a sample of a large fleet."""
         own = self._hub.own.instance_id
-        peers = [one.instance_id for one in self._members.live if one.instance_id != own]
+        peers = [member.instance_id for member in self._members.live if member.instance_id != own]
         if len(peers) > MAX_PUBLISH_PEERS:
-            # The others take it from the platform, or from peers as they compare.
+            # The others get it from the platform, or from peers by periodic comparison.
             peers = self._hub.rng.sample(peers, MAX_PUBLISH_PEERS)
         for peer in peers:
             self._hub.send(peer, ConfigOffer(own, document))
 
     def _apply_if_newer(self, document: ConfigDocument) -> None:
-        """Put a newer configuration in force."""
-        before = self.document.policy
+        """Put a configuration in force if it is newer than the current one."""
+        old_policy = self.document.policy
         if not self._controller.apply_if_newer(document):
             return
-        if document.policy and (document.policy != before or self._policy is None):
+        if document.policy and (document.policy != old_policy or self._policy is None):
             self._policy = parse_policy(document.policy)
-        log_event(PREFIX_CONFIGURATION, f"Generation {document.generation} is in force")
+        log_event(PREFIX_CONFIGURATION, f"Configuration generation {document.generation} in force")
         self._hub.notify_config(document)
--- a/driftstall/daemon/limit_service.py
+++ b/driftstall/daemon/limit_service.py
@@ -1,4 +1,4 @@
-"""Send runners that name a limit no more than it allows."""
+"""Enforce the rate limits that runners announce, shared by all instances through permits."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 OWNERSHIP_PERIOD_S: Final = 0.15
 PUBLISH_PERIOD_S: Final = 1.0
-"""How often what is known of limits is told again: who was cut off, and who has just started, is
-to know within three seconds."""
+"""Interval at which the known limits are published, so that an instance that was partitioned or has
+just started knows them within three seconds."""
 
 
 class LimitService:
-    """Know the limits that runners name, here and at peers, and share what they take."""
+    """Track the rate limits of runners, and coordinate permits and reports with peers."""
 
     def __init__(self, hub: Hub, members: MembershipService, fleet: FleetService) -> None:
-        """Start with no limit known."""
+        """Initialize without known limits and register the message handlers."""
         self._hub = hub
         self._members = members
         self._instance_count = InstanceCount()
@@ -55,31 +55,31 @@
         hub.on_message(RateLimitsTold, self._handle_peer_limits)
 
     def start(self) -> None:
-        """Start to look after what falls to this instance, and to tell peers."""
+        """Start the periodic ownership updates and reports to peers."""
         self._hub.run_periodically(OWNERSHIP_PERIOD_S, self._update_ownership, PREFIX_ROUTING)
         self._hub.run_periodically(PUBLISH_PERIOD_S, self._publish, PREFIX_ROUTING)
 
     def per_s(self, runner_id: str) -> float | None:
-        """Return what the owner of a runner's group may have it begin in a second."""
+        """Return how many requests per second a group's owner can start on a runner, if limited."""
         per_s = self.limits.per_s(runner_id)
         if per_s is None:
             return None
         return scaled_limit(per_s, len(self._members.live), self._instance_count.value)
 
     def _update_ownership(self) -> None:
-        """Look at who lives, and for which runners this instance is asked."""
+        """Record the number of live instances, and update the runners whose permits it owns."""
         self._instance_count.record(len(self._members.live), self._hub.now())
         self._permits.update_ownership()
 
     def _publish(self) -> None:
-        """Tell all peers what is known, if anything is."""
-        told = RateLimitsTold(self._hub.own.instance_id, self.limits.reports)
-        if not told.rate_limits:
+        """Publish the known limits, if any, to all peers."""
+        report = RateLimitsTold(self._hub.own.instance_id, self.limits.reports)
+        if not report.rate_limits:
             return
-        for one in self._members.live:
-            if one.instance_id != self._hub.own.instance_id:
-                self._hub.send(one.instance_id, told)
+        for instance in self._members.live:
+            if instance.instance_id != self._hub.own.instance_id:
+                self._hub.send(instance.instance_id, report)
 
     def _handle_peer_limits(self, _: str, message: RateLimitsTold) -> None:
-        """Take in what a peer knows."""
+        """Record the limits that a peer reports."""
         self.limits.record_peer_limits(message.rate_limits, message.sender)
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -1,4 +1,4 @@
-"""Run the membership controller: probes, the platform's list and its own row."""
+"""Run the membership controller with its SWIM-style probes, and read the platform's member list."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 PROTOCOL_PERIOD_S: Final = 0.1
 LIST_PERIOD_S: Final = 1.0
 MAX_ALL_READERS: Final = 16
-"""Up to so many instances all read the platform's list; then only the readers."""
+"""Fleet size up to which all instances read the platform's list; above, LIST_READERS of them do."""
 LIST_READERS: Final = 3
 LIST_KEY: Final = "list"
 ROLE_ENTRY: Final = "entry"
@@ -36,18 +36,18 @@
 
 
 class MembershipService:
-    """Keep the member list of this instance."""
+    """Maintain this instance's view of live members and of runners listed as leaving."""
 
     def __init__(self, hub: Hub) -> None:
-        """Build the controller; its incarnation grows with each start."""
+        """Initialize the controller, with an incarnation that grows with each start."""
         self._hub = hub
         incarnation = int(hub.wall_time() * 1000)
         self._controller = MembershipController(hub.own, incarnation, hub.rng)
         self._listed_runners: dict[str, bool] = {}
         self._has_read_list = False
         hub.set_address_lookup(self._controller.address_of)
-        for kind in (Ping, Ack, PingRequest):
-            hub.on_message(kind, self._handle_message)
+        for message_type in (Ping, Ack, PingRequest):
+            hub.on_message(message_type, self._handle_message)
 
     @property
     def live(self) -> tuple[Instance, ...]:
@@ -55,28 +55,28 @@
         return self._controller.live
 
     def start(self) -> None:
-        """Start to probe and to read the platform's list."""
+        """Start the probes and the reads of the platform's list."""
         self._hub.run_periodically(PROTOCOL_PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
         self._hub.run_periodically(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
 
     def leave(self) -> None:
-        """Tell peers that this instance is leaving."""
+        """Announce to peers that this instance is leaving."""
         self._apply(Leave())
 
     def is_listed_leaving(self, runner_id: str) -> bool:
-        """Tell whether the platform's list shows a runner as leaving."""
+        """Return whether the platform's list shows a runner as leaving."""
         return self._listed_runners.get(runner_id, False)
 
     def _run_period(self) -> None:
-        """Let time pass in the controller."""
+        """Run one protocol period of the controller."""
         self._apply(Period())
 
     def _handle_message(self, _: str, message: Ping | Ack | PingRequest) -> None:
-        """Take a peer's message."""
+        """Pass a peer's message to the controller."""
         self._apply(message)
 
     def _read_list(self) -> None:
-        """Take over what the platform's list shows; in a large fleet a few do so for all."""
+        """Read the platform's list and apply it; in a large fleet only a few instances do so."""
         if self._has_read_list and not self._is_reader():
             return
         try:
@@ -84,43 +84,45 @@
         except PlatformUnavailable:
             return
         self._has_read_list = True
-        seeds = tuple(_instance(one) for one in listed if one.role == ROLE_ENTRY)
-        self._apply(Seeds(tuple(one for one in seeds if not one.leaving)))
-        runners = {one.member_id: one.leaving for one in listed if one.role == ROLE_RUNNER}
+        seeds = tuple(_instance(member) for member in listed if member.role == ROLE_ENTRY)
+        self._apply(Seeds(tuple(seed for seed in seeds if not seed.leaving)))
+        runners = {
+            member.member_id: member.leaving for member in listed if member.role == ROLE_RUNNER
+        }
         if runners != self._listed_runners:
             self._publish_changes(runners)
             self._listed_runners = runners
             self._hub.notify_members()
 
     def _is_reader(self) -> bool:
-        """Tell whether this instance reads the list for the fleet."""
+        """Return whether this instance reads the list for the fleet."""
         live = self._controller.live
         if len(live) <= MAX_ALL_READERS:
             return True
         own = weight(LIST_KEY, self._hub.own.instance_id)
-        return sum(weight(LIST_KEY, one.instance_id) > own for one in live) < LIST_READERS
+        return sum(weight(LIST_KEY, member.instance_id) > own for member in live) < LIST_READERS
 
     def _publish_changes(self, runners: dict[str, bool]) -> None:
-        """Tell those that do not read the list which runners leave or are back."""
+        """Publish which runners are leaving or back to instances that do not read the list."""
         live = self._controller.live
         if len(live) <= MAX_ALL_READERS:
             return
         for runner_id, leaving in runners.items():
             if leaving == self._listed_runners.get(runner_id, False):
                 continue
-            for one in live:
-                if one.instance_id != self._hub.own.instance_id:
-                    self._hub.send(one.instance_id, RunnerLeaving(runner_id, leaving))
+            for instance in live:
+                if instance.instance_id != self._hub.own.instance_id:
+                    self._hub.send(instance.instance_id, RunnerLeaving(runner_id, leaving))
 
     def _apply(self, event: MembershipEvent) -> None:
-        """Hand an event to the controller and carry out its actions."""
+        """Pass an event to the controller and carry out the resulting actions."""
         actions = self._controller.handle(event, self._hub.now())
-        changed = [one for one in actions if not self._carry_out(one)]
+        changed = [action for action in actions if not self._carry_out(action)]
         if changed:
             self._hub.notify_members()
 
     def _carry_out(self, action: MembershipAction) -> bool:
-        """Carry out one action; return whether it was a message."""
+        """Send a message or log a change of membership; return whether it was a message."""
         if isinstance(action, SendTo):
             self._hub.send(action.recipient, action.message)
             return True
@@ -130,7 +132,7 @@
 
 
 def _instance(listed: ListedMember) -> Instance:
-    """Return an instance from a row of the platform's list."""
+    """Build an instance from a row of the platform's list."""
     return Instance(
         listed.member_id, listed.address, listed.peer_address, listed.zone, listed.leaving
     )
--- a/driftstall/daemon/poison_service.py
+++ b/driftstall/daemon/poison_service.py
@@ -1,4 +1,4 @@
-"""Hold crashes of runners against the requests that ran there, and refuse what crashes them."""
+"""Attribute runner crashes to the requests that ran there, and quarantine poison requests."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from driftstall.util.fingerprint import fingerprint
 
 RECHECK_DELAY_S: Final = 0.15
-"""Pause after which a runner that still listened is asked once more."""
+"""Delay before the second probe of a runner that still accepted connections at the first."""
 
 
 class PoisonService:
-    """Know which requests have crashed runners, here and at peers."""
+    """Track the requests that have crashed runners, and share the evidence with peers."""
 
     def __init__(self, hub: Hub, members: MembershipService) -> None:
-        """Start with nothing."""
+        """Initialize without evidence."""
         self._hub = hub
         self._members = members
         self.tracker = PoisonTracker()
-        others = PeerTransport(
+        transport = PeerTransport(
             live=lambda: members.live,
             recipients=lambda: members.live,
             forwards=lambda: False,
@@ -40,21 +40,21 @@
             broadcast=self._broadcast,
         )
         own_id = hub.own.instance_id
-        self._sharing = PoisonSharing(self.tracker, own_id, others, now=hub.now, source=hub.rng)
+        self._sharing = PoisonSharing(self.tracker, own_id, transport, now=hub.now, source=hub.rng)
         hub.on_message(BlamesTold, self._handle_peer_reports)
 
     def start(self) -> None:
-        """Start to exchange with peers."""
+        """Start the exchange of evidence with peers."""
         self._sharing.start()
 
     def build_refusal(self, fingerprint: str, ran: Ran) -> Problem | None:
-        """Return the problem to answer with, where a request is to be sent to no runner now."""
+        """Return the refusal of a quarantined request, or None if it can be sent."""
         verdict = self.tracker.verdict(fingerprint, self._hub.now())
         if not verdict.wait_s:
             return None
         log_event(
             PREFIX_ROUTING,
-            "A request is not sent on: runners have crashed under it",
+            "Request refused: runners have crashed while running it",
             fingerprint=fingerprint,
             upstreams=list(verdict.upstream_ids),
             wait_s=round(verdict.wait_s, 1),
@@ -64,10 +64,10 @@
         return Problem(CODE_CRASHES_RUNNERS, 503, detail, ran, verdict.wait_s)
 
     def handle_broken_run(self, runner: Runner, fingerprint: str, *, under_way: bool) -> None:
-        """Find out whether a run broke off because its runner has crashed.
+        """Probe the runner of a broken run, and record a crash if its process has terminated.
 
-        The first look is waited for: a further send is to know of it. It takes a millisecond where
-        nobody listens any more.
+        The first probe is synchronous so that its result is known before the request is sent to
+        another runner. It takes a millisecond if nothing listens at the address any more.
         """
         at = self._hub.now()
         if _is_terminated(runner):
@@ -76,20 +76,20 @@
             gevent.spawn_later(RECHECK_DELAY_S, self._recheck, runner, fingerprint, at, under_way)
 
     def record_success(self, fingerprint: str) -> None:
-        """Take in that a request has ended well, or that an operator clears it."""
+        """Record that a request has succeeded, or that an operator has cleared it."""
         if self.tracker.record_success(fingerprint, self._hub.now()):
             self._sharing.publish_soon()
 
     def _recheck(self, runner: Runner, fingerprint: str, at: float, under_way: bool) -> None:
-        """Ask a runner once more that still listened."""
+        """Probe a runner again that still accepted connections at the first probe."""
         if _is_terminated(runner):
             self._record_crash(runner, fingerprint, Crash(runner.runner_id, at, under_way))
 
     def _record_crash(self, runner: Runner, fingerprint: str, crash: Crash) -> None:
-        """Hold a crash against a request, and tell peers."""
+        """Record a crash as evidence against a request, and publish it to peers."""
         log_event(
             PREFIX_ROUTING,
-            f"Runner {runner.runner_id} has crashed with a run of this instance",
+            f"Runner {runner.runner_id} has crashed during a run of this instance",
             fingerprint=fingerprint,
         )
         if self.tracker.record_crash(fingerprint, crash):
@@ -100,28 +100,28 @@
             self._sharing.publish_soon()
 
     def _handle_peer_reports(self, _: str, message: BlamesTold) -> None:
-        """Take in what a peer knows."""
+        """Merge a peer's evidence."""
         self._sharing.handle_message(message)
 
     def _send(self, recipient: str, message: BlamesTold) -> None:
-        """Send to one instance."""
+        """Send a message to one instance."""
         self._hub.send(recipient, message)
 
     def _broadcast(self, recipients: Iterable[Instance], message: BlamesTold) -> None:
-        """Send to all but this instance."""
-        for one in recipients:
-            if one.instance_id != self._hub.own.instance_id:
-                self._hub.send(one.instance_id, message)
+        """Send a message to all recipients except this instance."""
+        for instance in recipients:
+            if instance.instance_id != self._hub.own.instance_id:
+                self._hub.send(instance.instance_id, message)
 
 
 def request_fingerprint(context: RequestContext) -> str:
-    """Return what stands for a request's path, caller and body, as hexadecimal digits."""
+    """Return a hash of a request's method, path, workspace and body, in hexadecimal."""
     head = (context.method, context.path, context.workspace)
-    return fingerprint(*(one.encode() for one in head), context.body)
+    return fingerprint(*(part.encode() for part in head), context.body)
 
 
 def _is_terminated(runner: Runner) -> bool:
-    """Tell whether nobody listens at a runner's address any more."""
+    """Return whether connections to a runner's address are refused."""
     try:
         fetch_report(runner)
     except UpstreamError as fault:
--- a/driftstall/daemon/signal_service.py
+++ b/driftstall/daemon/signal_service.py
@@ -1,4 +1,4 @@
-"""Handle what runners signal about themselves: one place for all of their responses."""
+"""Handle the signals in runners' responses: rate limits, leaving and back-off."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class SignalService:
-    """Dispatch signals to the parts that decide by them, and hold back-offs."""
+    """Dispatch signals to the services that use them, and track back-offs."""
 
     def __init__(self, hub: Hub, fleet: FleetService, limits: RateLimiter) -> None:
-        """Start with no back-off."""
+        """Initialize without back-offs."""
         self._hub = hub
         self._fleet = fleet
         self._limits = limits
@@ -37,43 +37,43 @@
         self._staggered_retries = StaggeredRetries()
 
     def backoff_s(self, runner_id: str) -> float:
-        """Return for how long a runner wants no requests of this instance; zero for none."""
+        """Return the remaining back-off of a runner in seconds, zero if there is none."""
         return self._backoff.remaining_s(runner_id, self._hub.now())
 
     @property
     def backing_off(self) -> frozenset[str]:
-        """Return the runners that want no requests of this instance now."""
+        """Return the ids of the runners in back-off."""
         return self._backoff.active(self._hub.now())
 
     def handle_response(self, runner_id: str, signals: Iterable[Signal], sent_at: float) -> None:
-        """Handle the signals of one response to a request that was sent then."""
+        """Handle the signals of the response to a request sent at sent_at."""
         for signal in signals:
             self._handle(signal, runner_id, sent_at)
 
     def build_model_refusal(self, model: str, request_id: str) -> Problem | None:
-        """Return what to answer where all engines of a model back off; None where one does not."""
+        """Return a refusal with a Retry-After if all engines of a model are in back-off."""
         engines = [
-            one
-            for one in self._fleet.runners.values()
-            if one.model == model and self._fleet.can_get_work(one.runner_id)
+            runner
+            for runner in self._fleet.runners.values()
+            if runner.model == model and self._fleet.can_get_work(runner.runner_id)
         ]
         return self.build_refusal(model, engines, request_id)
 
     def build_refusal(
         self, name: str, runners: Iterable[Runner], request_id: str
     ) -> Problem | None:
-        """Return what to answer where all runners back off; None where one does not."""
-        left = [self.backoff_s(one.runner_id) for one in runners]
-        if not left or not min(left):
+        """Return a refusal with a Retry-After if all runners are in back-off, else None."""
+        remaining = [self.backoff_s(runner.runner_id) for runner in runners]
+        if not remaining or not min(remaining):
             return None
         now = self._hub.now()
-        retry_s = self._staggered_retries.next_s(name, min(left), CALLS_PER_SLOT_S, now)
+        retry_s = self._staggered_retries.next_s(name, min(remaining), CALLS_PER_SLOT_S, now)
         self._hub.stats.backoff_refused += 1
         log_event(
             PREFIX_ROUTING,
-            f"Request {request_id} is refused: all runners back off",
+            f"Request {request_id} refused: all runners are in back-off",
             service=name,
-            first_s=round(min(left), 2),
+            first_s=round(min(remaining), 2),
             retry_s=round(retry_s, 2),
         )
         detail = "all runners have requested a back-off"
@@ -94,19 +94,19 @@
 
     @_handle.register
     def _(self, signal: BackoffSignal, runner_id: str, sent_at: float) -> None:
-        left_s = self._backoff.request(runner_id, signal.for_s, self._hub.now())
+        remaining_s = self._backoff.request(runner_id, signal.for_s, self._hub.now())
         log_event(
             PREFIX_ROUTING,
-            f"Runner {runner_id} requests a back-off",
+            f"Runner {runner_id} requested a back-off",
             for_s=signal.for_s,
-            left_s=round(left_s, 3),
+            left_s=round(remaining_s, 3),
         )
 
     @_handle.register
     def _(self, signal: UnreadableSignal, runner_id: str, sent_at: float) -> None:
         log_event(
             PREFIX_ROUTING,
-            f"Runner {runner_id} sends a signal that can't be decoded",
+            f"Runner {runner_id} sent a signal that cannot be decoded",
             header=signal.name,
             value=signal.value,
         )
