--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers: locate, generations and plain services."""
+"""Serve callers over HTTP: locate, generations and calls to plain services."""
 
 from __future__ import annotations
 
@@ -60,17 +60,17 @@
 
 
 class CallersApp:
-    """Answer callers over WSGI."""
+    """WSGI application of the callers' listener."""
 
     def __init__(self, node: Node) -> None:
-        """Take the instance that serves."""
+        """Initialize the application of an instance."""
         self._node = node
         self._hub = node.hub
         self._filters: tuple[Filter, ...] = ()
         self._filters_generation: int = -1
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one call; an unforeseen fault is answered, not fatal."""
+        """Serve one request, or refuse it if the instance is at its limit of open requests."""
         path = environ["PATH_INFO"]
         if path == PATH_LIVE:
             return send_body(start, 200, b"live\n", "text/plain")
@@ -84,7 +84,7 @@
         return self._serve_counted(environ, start)
 
     def _serve_counted(self, environ: dict[str, Any], start: StartResponse) -> Iterator[bytes]:
-        """Serve one call and count it as open while it lasts."""
+        """Serve one request, counted as open meanwhile; turn an exception into a problem."""
         try:
             yield from self._serve(environ, start)
         except (GeneratorExit, OSError):
@@ -99,13 +99,13 @@
             self._hub.stats.open_requests -= 1
 
     def _serve_readiness(self, start: StartResponse) -> Iterable[bytes]:
-        """Tell whether this instance may be used."""
+        """Serve the readiness check."""
         if self._node.is_ready:
             return send_body(start, 200, b"ready\n", "text/plain")
         return send_body(start, 503, b"not ready\n", "text/plain")
 
     def _serve(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Run the filter chain, then what the path asks for."""
+        """Run the filter chain and dispatch the request by its path."""
         if not self._node.is_ready:
             detail = "this instance has no configuration yet"
             return send_problem(start, Problem(CODE_LEAVING, 503, detail, Ran.NOT_RUN, 1.0))
@@ -127,7 +127,7 @@
         return self._call_service(result, start)
 
     def _read_context(self, environ: dict[str, Any]) -> RequestContext | Problem:
-        """Read the request within the limits."""
+        """Read the request; return a problem if its body is malformed or too large."""
         limit = self._hub.settings.max_body
         length = environ.get("CONTENT_LENGTH") or "0"
         if not length.isdigit():
@@ -152,10 +152,10 @@
         )
 
     def _filter_chain(self) -> tuple[Filter, ...]:
-        """Return the filters for the configuration in force."""
+        """Return the filters for the configuration in force, rebuilt when it changes."""
         document, policy = self._node.config.document, self._node.config.policy
         if document.generation != self._filters_generation and policy is not None:
-            keys = {one.key_sha256: one.name for one in document.workspaces}
+            keys = {workspace.key_sha256: workspace.name for workspace in document.workspaces}
             self._filters = (
                 Authenticate(keys),
                 Classify(self._hub.settings.default_deadline),
@@ -165,7 +165,7 @@
         return self._filters
 
     def _respond_problem(self, start: StartResponse, problem: Problem) -> Iterable[bytes]:
-        """Answer with a problem and count it."""
+        """Send a problem and count it as refused or failed."""
         if problem.status == 429:
             self._hub.stats.refused += 1
         else:
@@ -175,7 +175,7 @@
     def _locate(
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
-        """Tell a caller which instances to use, best first."""
+        """Respond with the instances for a caller to connect to, best first."""
         checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._respond_problem(start, checked)
@@ -184,35 +184,35 @@
         owners = self._node.ownership.owners_for(workspace)
         ranked = locate(workspace, owners, self._node.locatable_instances(), zone)
         chosen = ranked[0].instance_id if ranked else "none"
-        sentence = f"Workspace {workspace} is sent to {chosen} of {len(ranked)} instances"
-        log_event(PREFIX_LOCATE, sentence, zone=zone)
-        instances = [{"address": one.address, "zone": one.zone} for one in ranked]
+        message = f"Workspace {workspace} directed to {chosen} of {len(ranked)} instances"
+        log_event(PREFIX_LOCATE, message, zone=zone)
+        instances = [{"address": instance.address, "zone": instance.zone} for instance in ranked]
         keep_s = self._hub.settings.locate_keep
         return send_json(start, 200, {"instances": instances, "keep_s": keep_s})
 
     def _resume_generation(
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
-        """Go on with a generation from a resume token."""
+        """Resume a generation from a resume token."""
         checked = run_chain(self._filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._respond_problem(start, checked)
         token = checked.headers[HEADER_LAST_EVENT_ID.lower()]
-        place = read_resume_token(self._hub.key, token, checked.workspace)
-        if place is None:
+        resume_point = read_resume_token(self._hub.key, token, checked.workspace)
+        if resume_point is None:
             detail = f"{HEADER_LAST_EVENT_ID} is not a token given to this workspace"
             return self._respond_problem(start, Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN))
         deadline = checked.now + self._hub.settings.default_deadline
         request = resumed_request(checked.workspace, checked.request_id, checked.now, deadline)
         relay = self._node.relay.resume_relay(
-            request, DEFAULT_VERDICT, place, _disconnect_check(environ[ENVIRON_SOCKET])
+            request, DEFAULT_VERDICT, resume_point, _disconnect_check(environ[ENVIRON_SOCKET])
         )
         return self._respond_stream(relay, request, start)
 
     def _generate(
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
-        """Serve a generation, streamed or whole."""
+        """Serve a generation, as a stream or as a whole response."""
         assert context.request is not None and context.verdict is not None
         request = context.request
         ticket, asked_at = read_ticket(
@@ -232,7 +232,7 @@
     def _respond_stream(
         self, relay: Relay, request: Request, start: StartResponse
     ) -> Iterator[bytes]:
-        """Answer with server-sent events; headers wait for the first token."""
+        """Respond with server-sent events; the headers are sent with the first token."""
         items = iter(relay)
         first = next(items, None)
         self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
@@ -247,22 +247,20 @@
     def _events(
         self, first: RelayItem, items: Iterator[RelayItem], workspace: str
     ) -> Iterator[bytes]:
-        """Turn tokens into events; each event's id is a resume token."""
+        """Yield the events of a stream; each token's event id is its resume token."""
         item: RelayItem | None = first
         prefix, prefix_for = b"", ""
         try:
             while item is not None:
                 if isinstance(item, Tokens):
-                    token = item.tokens[0]
-                    if token.generation != prefix_for:
-                        prefix_for = token.generation
-                        prefix = resume_prefix(
-                            self._hub.key, workspace, token.runner_id, prefix_for
-                        )
+                    head = item.tokens[0]
+                    if head.generation != prefix_for:
+                        prefix_for = head.generation
+                        prefix = resume_prefix(self._hub.key, workspace, head.runner_id, prefix_for)
                     yield b"".join(
                         [
-                            b"id: %b~%d\ndata: %b\n\n" % (prefix, one.position, one.data)
-                            for one in item.tokens
+                            b"id: %b~%d\ndata: %b\n\n" % (prefix, token.position, token.data)
+                            for token in item.tokens
                         ]
                     )
                 elif isinstance(item, Completed):
@@ -279,13 +277,13 @@
     def _respond_whole(
         self, relay: Relay, request: Request, start: StartResponse
     ) -> Iterable[bytes]:
-        """Collect the whole answer and give it at once."""
+        """Collect all tokens and respond with one JSON body."""
         parts: list[str] = []
         for item in relay:
             if isinstance(item, Tokens):
                 if not parts:
                     self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
-                parts += [_content(one.data) for one in item.tokens]
+                parts += [_content(token.data) for token in item.tokens]
             elif isinstance(item, Failed):
                 return self._respond_problem(start, item.problem)
             else:
@@ -303,12 +301,12 @@
 
 
 def resume_prefix(key: bytes, workspace: str, runner_id: str, generation: str) -> bytes:
-    """Return the signed part of a stream's resume tokens."""
+    """Return the signed prefix of a stream's resume tokens."""
     return sign(key, f"{workspace}|{runner_id}|{generation}").encode()
 
 
 def read_resume_token(key: bytes, token: str, workspace: str) -> ResumeRequested | None:
-    """Return where a resume token goes on, if it is genuine and of this workspace."""
+    """Return the resume point of a token, or None if it is invalid or of another workspace."""
     signed, _, index = token.rpartition("~")
     text = verify(key, signed)
     parts = text.split("|") if text else []
@@ -318,7 +316,7 @@
 
 
 def read_ticket(key: bytes, ticket: str, workspace: str) -> tuple[str, float]:
-    """Return a ticket's place and when it was first asked; empty if not genuine."""
+    """Return a ticket's reservation and the time of the first request, or ("", 0.0) if invalid."""
     text = verify(key, ticket) if ticket else None
     parts = text.split("|") if text else []
     if len(parts) != 3 or parts[1] != workspace:
@@ -327,12 +325,12 @@
 
 
 def _too_large_problem(limit: int) -> Problem:
-    """Answer 413."""
+    """Return the problem for a body over the limit."""
     return Problem(CODE_TOO_LARGE, 413, f"the body is over {limit} bytes", Ran.NOT_RUN)
 
 
 def _headers(environ: dict[str, Any]) -> dict[str, str]:
-    """Return the request's headers, with names in lower case."""
+    """Return the request's headers with lowercase names."""
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
@@ -344,26 +342,26 @@
 
 
 def _disconnect_check(connection: Any) -> Any:
-    """Return a check whether the caller still waits; it looks a few times a second."""
+    """Return a function that checks, at most every DISCONNECT_CHECK_S, for a connected caller."""
     state = [0.0, True]
 
-    def waits() -> bool:
+    def is_waiting() -> bool:
         now = clock.now()
         if now - state[0] >= DISCONNECT_CHECK_S:
             state[0], state[1] = now, is_peer_connected(connection)
         return bool(state[1])
 
-    return waits
+    return is_waiting
 
 
 def _content(data: bytes) -> str:
-    """Return the text of one chunk."""
+    """Return the text of one chunk of a chat completion."""
     choice = orjson.loads(data)["choices"][0]
     return str(choice["delta"].get("content", ""))
 
 
 def _completion(data: bytes, text: str) -> dict[str, Any]:
-    """Return the whole answer in the chat-completions shape."""
+    """Return a chat-completion response body with the whole text."""
     last = orjson.loads(data)
     return {
         "id": last["id"],
--- a/driftstall/daemon/http_responses.py
+++ b/driftstall/daemon/http_responses.py
@@ -1,4 +1,4 @@
-"""Shape answers: JSON, problem details and server-sent events."""
+"""HTTP responses: whole bodies, JSON and problem details (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -33,24 +33,24 @@
 
 
 def status_line(status: int) -> str:
-    """Return the status with its reason."""
+    """Return the status with its reason phrase."""
     return f"{status} {REASONS.get(status, 'Status')}"
 
 
-def send_body(start: StartResponse, status: int, body: bytes, kind: str) -> Iterable[bytes]:
-    """Answer with a whole body."""
-    headers = [("Content-Type", kind), ("Content-Length", str(len(body)))]
+def send_body(start: StartResponse, status: int, body: bytes, content_type: str) -> Iterable[bytes]:
+    """Send a response with a whole body."""
+    headers = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
     start(status_line(status), headers)
     return [body]
 
 
 def send_json(start: StartResponse, status: int, value: Any) -> Iterable[bytes]:
-    """Answer with JSON."""
+    """Send a JSON response."""
     return send_body(start, status, orjson.dumps(value), JSON_TYPE)
 
 
 def problem_fields(problem: Problem) -> dict[str, Any]:
-    """Return the problem details of RFC 9457, with our own members."""
+    """Return the problem details of RFC 9457 with this system's extension members."""
     fields: dict[str, Any] = {
         "type": f"urn:driftstall:{problem.code}",
         "title": problem.code.replace("_", " "),
@@ -67,7 +67,7 @@
 
 
 def send_problem(start: StartResponse, problem: Problem) -> Iterable[bytes]:
-    """Answer with a problem; it says whether the request ran and when to come back."""
+    """Send a problem, with a Retry-After and a ticket if it has them."""
     body = orjson.dumps(problem_fields(problem))
     headers = [("Content-Type", PROBLEM_TYPE), ("Content-Length", str(len(body)))]
     if problem.retry_after_s is not None:
--- a/driftstall/daemon/http_server.py
+++ b/driftstall/daemon/http_server.py
@@ -1,4 +1,4 @@
-"""Serve WSGI with limits on connections, headers, bodies and silence."""
+"""WSGI server with limits on connections and on idle time."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LimitedHandler(WSGIHandler):
-    """Bound how long a connection may be silent, and show its socket to the app."""
+    """Request handler with an idle timeout, which passes its socket to the app."""
 
     idle_timeout_s = 60.0
 
     def __init__(self, sock: Any, address: Any, server: Any, rfile: Any = None) -> None:
-        """Set the time a read or write may take."""
+        """Set the socket's read and write timeout, and disable Nagle's algorithm."""
         sock.settimeout(self.idle_timeout_s)
         sock_option = getattr(sock, "setsockopt", None)
         if sock_option is not None:
@@ -27,24 +27,24 @@
         super().__init__(sock, address, server, rfile)
 
     def get_environ(self) -> dict[str, Any]:
-        """Add the socket to the environment."""
+        """Add the socket to the WSGI environment."""
         environ: dict[str, Any] = super().get_environ()
         environ[ENVIRON_SOCKET] = self.socket
         return environ
 
     def log_request(self) -> None:
-        """Log nothing here; decisions have their own lines."""
+        """Log no access lines, as the services log their decisions."""
 
 
 class _QuietLog:
-    """Drop the server's own error lines about broken connections."""
+    """Error log that discards the server's lines about broken connections."""
 
     def write(self, message: str) -> None:
-        """Drop a line."""
+        """Discard a line."""
 
 
 def build_server(settings: Settings, address: str, app: Any) -> WSGIServer:
-    """Return a server for one listener; TLS if a certificate is set."""
+    """Return a server for one listener, with TLS if a certificate is set."""
     handler = type("Handler", (LimitedHandler,), {"idle_timeout_s": settings.idle_timeout})
     tls = {}
     if settings.tls_cert:
@@ -61,12 +61,12 @@
 
 
 def is_peer_connected(connection: Any) -> bool:
-    """Tell whether the other end of a connection has not closed it."""
+    """Return whether the peer of a connection has not closed it."""
     try:
         raw = getattr(connection, "_sock", connection)
         return bool(raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b"")
     except (BlockingIOError, ValueError):
-        # Nothing to read, or a TLS socket, which cannot be peeked at.
+        # There is nothing to read, or it is a TLS socket, which does not support MSG_PEEK.
         return True
     except OSError:
         return False
--- a/driftstall/daemon/hub.py
+++ b/driftstall/daemon/hub.py
@@ -1,4 +1,4 @@
-"""Connect the services of one instance: clocks, listeners and peers."""
+"""Shared facilities of one instance: clocks, timers, event listeners and links to peers."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Hub:
-    """Hold what all services of one instance share."""
+    """Shared state of an instance's services, with dispatch of messages and events."""
 
     def __init__(self, settings: Settings) -> None:
-        """Build the links to peers and to the platform."""
+        """Create the links to peers and the platform's client."""
         self.settings = settings
         self.own = Instance(
             settings.instance_id, settings.listen, settings.peer_listen, settings.zone
@@ -35,9 +35,9 @@
         self.rng = random.Random()
         self.platform = PlatformClient(settings.platform, settings.platform_token)
         self.key = settings.peer_key.encode()
-        kinds = message_types_of(DaemonMessage)
+        message_types = message_types_of(DaemonMessage)
         self.links = PeerLinks(
-            settings.instance_id, settings.peer_listen, self.key, kinds, self._receive
+            settings.instance_id, settings.peer_listen, self.key, message_types, self._receive
         )
         self.stats = Stats()
         self._handlers: dict[type, Handler] = {}
@@ -47,42 +47,42 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock, in seconds; suspensions count."""
+        """Return the monotonic clock in seconds, which includes time spent in suspension."""
         return clock.now()
 
     @staticmethod
     def wall_time() -> float:
-        """Return the wall clock, in seconds."""
+        """Return the wall clock in seconds."""
         return time.time()
 
-    def on_message(self, kind: type, handler: Handler) -> None:
-        """Register who handles a kind of peer message."""
-        self._handlers[kind] = handler
+    def on_message(self, message_type: type, handler: Handler) -> None:
+        """Register the handler of a type of peer message."""
+        self._handlers[message_type] = handler
 
     def on_config(self, listener: Callable[[ConfigDocument], None]) -> None:
-        """Register who wants to know of a new configuration."""
+        """Register a listener for new configurations."""
         self._config_listeners.append(listener)
 
     def on_members(self, listener: Callable[[], None]) -> None:
-        """Register who wants to know of changes among instances."""
+        """Register a listener for changes of instances or usable runners."""
         self._member_listeners.append(listener)
 
     def set_address_lookup(self, address_of: Callable[[str], str | None]) -> None:
-        """Take over how a peer's address is found."""
+        """Set the function that returns a peer's address by its instance id."""
         self._address_of = address_of
 
     def notify_config(self, document: ConfigDocument) -> None:
-        """Tell listeners of a new configuration."""
+        """Notify the listeners of a new configuration."""
         for listener in self._config_listeners:
             listener(document)
 
     def notify_members(self) -> None:
-        """Tell listeners of a change among instances."""
+        """Notify the listeners of a change of instances or usable runners."""
         for listener in self._member_listeners:
             listener()
 
     def send(self, recipient: str, message: DaemonMessage) -> bool:
-        """Send to an instance by its id; return whether its address is known."""
+        """Send a message to an instance; return whether its address is known."""
         address = self._address_of(recipient)
         if address is None:
             return False
@@ -91,16 +91,16 @@
         return True
 
     def _receive(self, sender: str, message: DaemonMessage) -> None:
-        """Hand a peer's message to its handler."""
+        """Dispatch a peer's message to its handler."""
         self.stats.messages_received += 1
         self._handlers[type(message)](sender, message)
 
     def run_periodically(self, period_s: float, work: Callable[[], None], prefix: str) -> None:
-        """Do something again and again in a greenlet; a fault is logged, not fatal."""
+        """Run work periodically in a greenlet; exceptions are logged and counted, not fatal."""
         gevent.spawn(self._loop, period_s, work, prefix)
 
     def _loop(self, period_s: float, work: Callable[[], None], prefix: str) -> None:
-        """Run work periodically, with a little jitter."""
+        """Run work periodically, with a jitter of 10 percent."""
         while True:
             try:
                 work()
--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -1,4 +1,4 @@
-"""Put the services of one instance together."""
+"""Create and connect the services of one instance."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class Node:
-    """Hold the services of one instance."""
+    """One instance of the daemon, with its services."""
 
     def __init__(self, settings: Settings) -> None:
-        """Build the services; nothing runs yet."""
+        """Create the services without starting them."""
         self.hub = Hub(settings)
         self.members = MembershipService(self.hub)
         self.config = ConfigService(self.hub, self.members)
@@ -62,17 +62,17 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether requests can be served."""
         return self.config.is_ready
 
     @property
     def drain_phase(self) -> DrainPhase:
-        """Return the phase of a planned stop."""
+        """Return the phase of a graceful shutdown."""
         return self._drain.phase
 
     @property
     def is_stopped(self) -> bool:
-        """Tell whether a planned stop has come to its end."""
+        """Return whether a graceful shutdown has completed."""
         return self._drain.phase is DrainPhase.STOPPED
 
     def start(self) -> None:
@@ -90,25 +90,27 @@
         self.hub.run_periodically(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
 
     def locatable_instances(self) -> tuple[Instance, ...]:
-        """Return the instances that callers may be sent to."""
+        """Return the instances that callers can be directed to; not this one once it drains."""
         own = self.hub.own.instance_id
         return tuple(
-            one for one in self.members.live if one.instance_id != own or self._drain.is_located
+            instance
+            for instance in self.members.live
+            if instance.instance_id != own or self._drain.is_located
         )
 
     def request_stop(self) -> None:
-        """Begin a planned stop."""
+        """Begin a graceful shutdown."""
         self._run_drain(StopAsked())
 
     def _drain_period(self) -> None:
-        """Let time pass in a planned stop."""
+        """Run the timer of the drain controller."""
         self._run_drain(DrainPeriod(self.hub.stats.open_requests))
 
     def _run_drain(self, event: DrainEvent) -> None:
-        """Hand an event to the drain controller and carry out its actions."""
+        """Pass an event to the drain controller and carry out the resulting actions."""
         for action in self._drain.handle(event, self.hub.now()):
             if isinstance(action, AnnounceLeaving):
                 log_event(PREFIX_DRAIN, "This instance is leaving")
                 self.members.leave()
             else:
-                log_event(PREFIX_DRAIN, "Nothing is open any more, this instance stops")
+                log_event(PREFIX_DRAIN, "All requests have ended, stopping this instance")
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -1,4 +1,4 @@
-"""Serve operators on a listener of their own, with a token."""
+"""Serve the operators' API on its own listener, authenticated by a token."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     SubmitState.UNREACHABLE: 503,
 }
 _TEXT: Final = vol.All(str, vol.Length(max=256))
-WORKSPACE: Final = vol.Schema(
+WORKSPACE_SCHEMA: Final = vol.Schema(
     {
         vol.Required("name"): vol.All(_TEXT, vol.Match(r"^[\w.-]+$")),
         vol.Required("key_sha256"): _TEXT,
     }
 )
-RUNNER: Final = vol.Schema(
+RUNNER_SCHEMA: Final = vol.Schema(
     {
         vol.Required("runner_id"): vol.All(_TEXT, vol.Match(r"^[\w.-]+$")),
         vol.Required("address"): _TEXT,
@@ -57,8 +57,8 @@
         vol.Optional("submission"): vol.All(_TEXT, vol.Match(r"^[\w.-]+$")),
         vol.Optional("base_generation", default=None): vol.Any(None, int),
         vol.Optional("policy"): str,
-        vol.Optional("workspaces"): [WORKSPACE],
-        vol.Optional("runners"): [RUNNER],
+        vol.Optional("workspaces"): [WORKSPACE_SCHEMA],
+        vol.Optional("runners"): [RUNNER_SCHEMA],
     }
 )
 FACTS_SCHEMA: Final = vol.Schema(
@@ -75,15 +75,15 @@
 
 
 class OperatorsApp:
-    """Answer operators over WSGI."""
+    """WSGI application of the operators' listener."""
 
     def __init__(self, node: Node) -> None:
-        """Take the instance that is operated."""
+        """Initialize the application of an instance."""
         self._node = node
         self._token = node.hub.settings.operator_token
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one call."""
+        """Serve one request; /metrics needs no token."""
         route = f"{environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         if route == "GET /metrics":
             return send_body(start, 200, render(self._node.hub.stats, self._gauges()), "text/plain")
@@ -101,7 +101,7 @@
             return send_problem(start, _bad_request("the body is not JSON"))
 
     def _route(self, route: str, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Serve one authenticated call."""
+        """Serve one authenticated request by its method and path."""
         if route == "GET /operator/config":
             return send_json(start, 200, config_to_json(self._node.config.document))
         if route == "PUT /operator/config":
@@ -124,7 +124,7 @@
         return send_problem(start, Problem(CODE_NOT_FOUND, 404, f"no {route}", Ran.NOT_RUN))
 
     def _crashes(self) -> list[dict[str, Any]]:
-        """Return the requests that are sent to no runner, as runners have crashed under them."""
+        """Return the quarantined requests, which have crashed runners."""
         found = self._node.poison.tracker.quarantined(self._node.hub.now())
         return [
             {
@@ -136,7 +136,7 @@
         ]
 
     def _submit(self, raw: Any, start: StartResponse) -> Iterable[bytes]:
-        """Check a change, then carry it to the platform."""
+        """Validate a change and submit it to the platform."""
         checked = CHANGE_SCHEMA(raw)
         if "policy" in checked:
             parse_policy(checked["policy"])
@@ -160,17 +160,17 @@
         return send_json(start, SUBMIT_STATUS[submission.state], answer)
 
     def _explain(self, raw: Any, start: StartResponse) -> Iterable[bytes]:
-        """Tell which rule would decide about a request."""
+        """Respond with the policy rules that would decide a request with the given facts."""
         policy = self._node.config.policy
         if policy is None:
             return send_problem(start, _bad_request("no policy is in force yet"))
         return send_json(start, 200, explain(policy, Facts(**FACTS_SCHEMA(raw))))
 
     def _gauges(self) -> dict[str, float]:
-        """Return what is read when metrics are asked for."""
+        """Return the gauges that are read at each scrape."""
         node = self._node
         return {
-            "waiting_requests": sum(one.waiting for one in node.grants.owned.values()),
+            "waiting_requests": sum(owned.waiting for owned in node.grants.owned.values()),
             "memory_share": node.grants.load(),
             "live_instances": len(node.members.live),
             "config_generation": node.config.document.generation,
@@ -180,7 +180,7 @@
         }
 
     def _status(self) -> dict[str, Any]:
-        """Describe this instance and what it knows of the others."""
+        """Return this instance's state and its view of other instances, runners and groups."""
         node = self._node
         return {
             "instance": node.hub.own.instance_id,
@@ -193,40 +193,40 @@
             "gauges": self._gauges(),
             "instances": [
                 {
-                    "instance": one.instance_id,
-                    "zone": one.zone,
-                    "address": one.address,
-                    "state": "leaving" if one.leaving else "live",
+                    "instance": member.instance_id,
+                    "zone": member.zone,
+                    "address": member.address,
+                    "state": "leaving" if member.leaving else "live",
                 }
-                for one in node.members.live
+                for member in node.members.live
             ],
             "runners": self._runners(),
             "groups": {
                 name: {
                     "owner": node.ownership.owner_for(name),
-                    "runners": [one.runner_id for one in runners],
+                    "runners": [runner.runner_id for runner in runners],
                 }
                 for name, runners in node.fleet.groups.items()
             },
         }
 
     def _runners(self) -> list[dict[str, Any]]:
-        """Describe the runners; the forecast is known only to their owner."""
+        """Return the state of all runners; grants and forecast only for those of owned groups."""
         node = self._node
         states = {}
         for controller in node.grants.owned.values():
             states.update(controller.runners)
         rows = []
-        for one in node.fleet.runners.values():
-            state = states.get(one.runner_id)
+        for runner in node.fleet.runners.values():
+            state = states.get(runner.runner_id)
             rows.append(
                 {
-                    "runner": one.runner_id,
-                    "zone": one.zone,
-                    "serves": one.model or one.service,
-                    "state": "live" if node.fleet.can_get_work(one.runner_id) else "leaving",
+                    "runner": runner.runner_id,
+                    "zone": runner.zone,
+                    "serves": runner.model or runner.service,
+                    "state": "live" if node.fleet.can_get_work(runner.runner_id) else "leaving",
                     "open": len(state.grants) if state else None,
-                    "memory": one.memory_tokens,
+                    "memory": runner.memory_tokens,
                     "forecast": round(state.forecast.peak(0.0)) if state else None,
                 }
             )
@@ -234,7 +234,7 @@
 
 
 def _body(environ: dict[str, Any]) -> Any:
-    """Read a JSON body within the limit."""
+    """Read a JSON body; raise vol.Invalid if it is over MAX_BODY_BYTES."""
     raw = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
     if len(raw) > MAX_BODY_BYTES:
         raise vol.Invalid(f"the body is over {MAX_BODY_BYTES} bytes")
@@ -242,10 +242,10 @@
 
 
 def _bad_request(detail: str) -> Problem:
-    """Answer 400."""
+    """Return the problem for a malformed request."""
     return Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN)
 
 
-def _items(kind: Any, raw: list[dict[str, Any]] | None) -> Any:
-    """Build data classes from checked rows; none leaves the part as it is."""
-    return None if raw is None else tuple(kind(**one) for one in raw)
+def _items(item_class: Any, raw: list[dict[str, Any]] | None) -> Any:
+    """Build data class items from validated rows; None means no change."""
+    return None if raw is None else tuple(item_class(**row) for row in raw)
--- a/driftstall/daemon/settings.py
+++ b/driftstall/daemon/settings.py
@@ -45,7 +45,7 @@
 
 
 def _address(value: Any) -> str:
-    """Check an address of IP and port."""
+    """Validate an address of the form IP:port."""
     try:
         split_address(str(value))
     except ValueError as fault:
@@ -54,14 +54,14 @@
 
 
 def _secret(value: Any) -> str:
-    """Check the length of a secret."""
+    """Validate the length of a secret."""
     if not isinstance(value, str) or len(value) < MIN_SECRET_CHARS:
         raise vol.Invalid(f"give at least {MIN_SECRET_CHARS} characters")
     return value
 
 
 def _name(value: Any) -> str:
-    """Check a name used in ids and logs."""
+    """Validate a name used in ids and logs."""
     text = str(value or "")
     if not text or not text.replace("-", "").replace("_", "").isalnum() or len(text) > 64:
         raise vol.Invalid("give up to 64 letters, digits, - or _")
@@ -69,7 +69,7 @@
 
 
 def _bounded_number(low: float, high: float) -> Any:
-    """Return a check for a number within bounds."""
+    """Return a validator for a number within bounds."""
     message = f"choose a number from {low:g} to {high:g}"
 
     def check(value: Any) -> float:
@@ -85,20 +85,20 @@
 
 
 def _integer(low: int, high: int) -> Any:
-    """Return a check for a whole number within bounds."""
+    """Return a validator for an integer within bounds."""
     check = _bounded_number(low, high)
 
-    def whole(value: Any) -> int:
+    def check_integer(value: Any) -> int:
         number = check(value)
         if number != int(number):
             raise vol.Invalid("choose a whole number")
         return int(number)
 
-    return whole
+    return check_integer
 
 
 def _text(value: Any) -> str:
-    """Take an optional text."""
+    """Return an optional text as a string, empty if missing."""
     return str(value or "")
 
 
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Hold the checked settings of one instance."""
+    """Validated settings of one instance."""
 
     instance_id: str
     zone: str
@@ -151,7 +151,7 @@
 
     @classmethod
     def from_args(cls, argv: Sequence[str], environ: Mapping[str, str]) -> Settings:
-        """Read flags and variables; raise SettingsError naming every fault."""
+        """Read flags and environment variables; raise SettingsError listing all errors."""
         try:
             flags = docopt(__doc__ or "", argv=list(argv))
         except DocoptExit as fault:
@@ -159,16 +159,16 @@
             raise SettingsError((f"{message}; see driftstalld --help",)) from fault
         given = {name.split("=")[0].lstrip("-") for name in argv if name.startswith("--")}
         raw = {}
-        for one in fields(cls):
-            flag = one.name.replace("_", "-")
-            variable = environ.get(ENV_PREFIX + one.name.upper())
+        for setting in fields(cls):
+            flag = setting.name.replace("_", "-")
+            variable = environ.get(ENV_PREFIX + setting.name.upper())
             use_flag = flag in given or variable is None
-            raw[one.name] = flags[f"--{flag}"] if use_flag else variable
+            raw[setting.name] = flags[f"--{flag}"] if use_flag else variable
         return cls._checked(raw)
 
     @classmethod
     def _checked(cls, raw: dict[str, Any]) -> Settings:
-        """Check all settings together."""
+        """Validate all settings together; raise SettingsError listing all errors."""
         faults = []
         checked: dict[str, Any] = {}
         try:
--- a/driftstall/daemon/stats.py
+++ b/driftstall/daemon/stats.py
@@ -1,4 +1,4 @@
-"""Count what one instance does, for metrics and the status page."""
+"""Counters and gauges of one instance, for the metrics and status pages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Stats:
-    """Count in plain numbers, which are cheap; metrics are made when asked for."""
+    """Counters as plain integers, which are cheap; metrics are built at each scrape."""
 
     requests: int = 0
     completed: int = 0
@@ -38,7 +38,7 @@
     stall: Histogram = field(init=False)
 
     def __post_init__(self) -> None:
-        """Register the histogram, which is observed as requests come."""
+        """Register the histogram, which is observed directly at each request."""
         doc = "Seconds from a request to its first token."
         self.stall = Histogram(
             "driftstall_stall_seconds", doc, registry=self.registry, buckets=STALL_BUCKETS_S
--- a/driftstall/daemon/wire.py
+++ b/driftstall/daemon/wire.py
@@ -1,4 +1,4 @@
-"""Turn stored objects into data classes and back."""
+"""Convert between the platform's stored JSON objects and data classes."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 
 def config_to_json(document: ConfigDocument) -> dict[str, Any]:
-    """Return a configuration as stored."""
+    """Return a configuration in its stored form."""
     return asdict(document)
 
 
 def config_from_json(raw: Any) -> ConfigDocument:
-    """Return a stored configuration; none is the empty one."""
+    """Return the configuration of a stored object, EMPTY if there is none."""
     if raw is None:
         return EMPTY
     return ConfigDocument(
         raw["generation"],
         raw["policy"],
-        tuple(WorkspaceConfig(**one) for one in raw["workspaces"]),
-        tuple(RunnerConfig(**one) for one in raw["runners"]),
+        tuple(WorkspaceConfig(**workspace) for workspace in raw["workspaces"]),
+        tuple(RunnerConfig(**runner) for runner in raw["runners"]),
         tuple(raw["submissions"]),
     )
 
 
 def shard_to_json(shard: ShardObject) -> dict[str, Any]:
-    """Return a shard of claims as stored."""
+    """Return a shard of claims in its stored form."""
     claims = [
         [
-            one.key,
-            one.fingerprint,
-            one.nonce,
-            round(one.at, 1),
-            None if one.outcome is None else list(asdict(one.outcome).values()),
+            claim.key,
+            claim.fingerprint,
+            claim.nonce,
+            round(claim.at, 1),
+            None if claim.outcome is None else list(asdict(claim.outcome).values()),
         ]
-        for one in shard.claims
+        for claim in shard.claims
     ]
     return {
         "epoch": shard.epoch,
@@ -54,7 +54,7 @@
 
 
 def shard_from_json(raw: Any) -> ShardObject | None:
-    """Return a stored shard, or none."""
+    """Return the shard of a stored object, or None if there is none."""
     if raw is None:
         return None
     claims = tuple(
@@ -65,10 +65,10 @@
 
 
 def lease_to_json(lease: LeaseObject) -> dict[str, Any]:
-    """Return a lease as stored."""
+    """Return a lease in its stored form."""
     return asdict(lease)
 
 
 def lease_from_json(raw: Any) -> LeaseObject | None:
-    """Return a stored lease, or none."""
+    """Return the lease of a stored object, or None if there is none."""
     return None if raw is None else LeaseObject(**raw)
