--- a/features/steps/day_limit_steps.py
+++ b/features/steps/day_limit_steps.py
@@ -1,4 +1,4 @@
-"""Check the reckoning of what a day could have reached."""
+"""Test the computation of the best result that a recorded day allowed."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 @given("a day that ends at {seconds:g} s, with engines that make a token in 10 ms")
 def ending_day(context: Any, seconds: float) -> None:
-    """Start with no stream."""
+    """Start a day without streams that ends at that time."""
     context.ends_s, context.streams = seconds, []
 
 
 @given("a day on which instances live on, with engines that make a token in 10 ms")
 def quiet_day(context: Any) -> None:
-    """Start with no stream."""
+    """Start a day without streams and without an end of all instances."""
     context.ends_s, context.streams = None, []
 
 
 @given("a long stream of {tokens} tokens placed at {seconds:g} s that broke off")
 def broken_stream(context: Any, tokens: str, seconds: float) -> None:
-    """Add it."""
+    """Add the broken stream."""
     count = int(tokens.replace(",", ""))
     context.streams.append(PlacedStream(seconds, count, is_long=True, is_whole=False))
 
@@ -39,9 +39,9 @@
     "{count:d} long streams that ended whole, and {calls:d} calls of which 2 could not be served"
 )
 def whole_streams(context: Any, count: int, calls: int) -> None:
-    """Add them, and make the day."""
+    """Add the complete streams, and build the day."""
     context.streams += [PlacedStream(1.0, 300, is_long=True, is_whole=True)] * count
-    broken = sum(not one.is_whole for one in context.streams)
+    broken = sum(not stream.is_whole for stream in context.streams)
     context.day = PlayedDay(
         name="day",
         worth=0.5,
@@ -59,14 +59,14 @@
 
 @then("{lost:d} long streams were lost, and {unavoidable:d} of them could not be saved")
 def lost(context: Any, lost: int, unavoidable: int) -> None:
-    """Reckon both."""
+    """Check the lost streams, and those that any system would have lost."""
     assert reached(context.day).lost_long == lost
     assert limit(context.day, PACE).lost_long == unavoidable
 
 
 @then("the limit counts {failures:d} failures of 100")
 def failures(context: Any, failures: int) -> None:
-    """Compare with a day of just so many failures."""
+    """Compare with a day of exactly that many failures."""
     same = PlayedDay(
         name="same",
         worth=0.5,
@@ -85,7 +85,7 @@
 
 @then("the limit and what was reached differ by prices alone")
 def differ_by_prices(context: Any) -> None:
-    """Compare both worths."""
+    """Check that the scores differ by the avoidable prices."""
     most = limit(context.day, PACE).worth(WEIGHTS)
     was = reached(context.day).worth(WEIGHTS)
     assert abs(most - was - 0.03) < 1e-9, (most, was)
@@ -93,7 +93,7 @@
 
 @given("the log and the report of a short day")
 def short_day(context: Any) -> None:
-    """Write both as a play leaves them."""
+    """Write a log and a report in the format of a replayed day."""
     placed = "routing: A stream is placed on e1"
     lines = [
         (1.0, {"message": placed, "request": "r1", "expected": 400}),
@@ -102,7 +102,7 @@
     ]
     folder = Path(tempfile.mkdtemp())
     log, report = folder / "day.log", folder / "day.json"
-    text = "".join(f"  {at:.4f} front-1 {json.dumps(told)}\n" for at, told in lines)
+    text = "".join(f"  {at:.4f} front-1 {json.dumps(fields)}\n" for at, fields in lines)
     log.write_text("started {not a line of ours}\n" + text)
     kinds = [{"n": 1}, {"n": 1}, {"n": 5}, {"n": 5}]
     report.write_text(
@@ -123,12 +123,12 @@
 
 @then("it has 2 long streams, one of them open at the end")
 def two_long(context: Any) -> None:
-    """Look at them."""
-    assert [one.is_whole for one in context.day.streams if one.is_long] == [True, False]
+    """Check the long streams and the counts of the day."""
+    assert [stream.is_whole for stream in context.day.streams if stream.is_long] == [True, False]
     assert (context.day.ends_s, context.day.lost_calls, context.day.calls) == (8.0, 2, 10)
 
 
 @then("the open one has made at least what the other made in that time")
 def made_as_much(context: Any) -> None:
-    """Compare with 100 tokens a second, as the other made."""
+    """Check the token count at the other stream's rate of 100 tokens per second."""
     assert context.day.streams[1].tokens == 600
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Check that the soak's checks find what they are meant to find."""
+"""Test that the soak's checks detect the violations that they are written for."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 EVENTS = 3
 START = 1000.0
 LATER = START + 50.0
-"""Well before the last seconds, in which nearly all must be served."""
+"""A time well before the last seconds, in which nearly all requests must be served."""
 
 
 def stream_body(*numbers: int) -> bytes:
@@ -63,7 +63,7 @@
 
 
 def good(ledger: Ledger, name: str, sort: RequestKind, at: float, path: str = "") -> SentRequest:
-    """Add a request that was served well."""
+    """Record a request that was served successfully, and its arrival."""
     body = stream_body(1, 2, 3) if sort is RequestKind.STREAM else b"whole"
     target = path or f"/{sort}/x"
     asked = SentRequest(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
@@ -73,15 +73,15 @@
 
 
 class SlowlyEnding:
-    """Stand in for a process that takes a moment to end."""
+    """A stand-in of a process that takes a moment to end."""
 
     def wait(self) -> None:
-        """Let others go on meanwhile."""
+        """Let other greenlets run meanwhile."""
         gevent.sleep(0)
 
 
 class CountingProcess(GatewayProcess):
-    """Count the starts instead of starting."""
+    """A gateway process that counts its starts instead of starting."""
 
     def __init__(self) -> None:
         """Begin with a process that is about to end."""
@@ -97,7 +97,7 @@
 
 @given("an instance that ends slowly")
 def slowly_ending(context: Any) -> None:
-    """Stand in for an instance."""
+    """Create the stand-in of the instance."""
     context.instance = CountingProcess()
 
 
@@ -109,13 +109,13 @@
 
 @then("it was started once")
 def started_once(context: Any) -> None:
-    """Compare."""
+    """Check the number of starts."""
     assert context.instance.starts == 1, context.instance.starts
 
 
 @given("the record of a run in which all was well")
 def all_well(context: Any) -> None:
-    """Record some requests of each sort."""
+    """Record successful requests of each kind and one refusal."""
     ledger = context.ledger = Ledger(EVENTS)
     for index in range(100):
         sort = (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)[index % 3]
@@ -130,12 +130,12 @@
 
 
 def arrive(context: Any, name: str, upstream: str, target: str, at: float) -> None:
-    """Record one more arrival."""
+    """Record an arrival at an upstream."""
     context.ledger.arrivals.append(Arrival(name, upstream, target, at, False))
 
 
 def late_arrival(context: Any) -> None:
-    """Let an upstream get a call long after its notice."""
+    """Record an arrival at an upstream long after its notice."""
     context.ledger.notices["u9"] = Notice("u9", LATER - 3.0)
     arrive(context, "late", "u9", "/safe/x", LATER)
     context.ledger.requests["late"] = replace(
@@ -145,7 +145,7 @@
 
 
 def in_cordon(context: Any) -> None:
-    """Let an upstream get a call long after its zone was cordoned."""
+    """Record an arrival at an upstream long after its zone was cordoned."""
     window = Window(LATER - CORDON_S - 1.0, LATER + 1.0)
     context.ledger.cordoned.append(UpstreamPeriod("u9", window))
     arrive(context, "late", "u9", "/safe/x", LATER)
@@ -156,7 +156,7 @@
 
 
 def cold_burst(context: Any) -> None:
-    """Let a cold upstream get more than it bears within a second."""
+    """Record more arrivals at a cold upstream than its rate allows."""
     window = Window(LATER - COLD_KNOWN_S, LATER + 2.0)
     context.ledger.cold.append(UpstreamPeriod("u9", window))
     for index in range(int(COLD_RATE * COLD_RATE_FACTOR + COLD_SLACK) + 1):
@@ -167,7 +167,7 @@
 
 
 def over_limit(context: Any) -> None:
-    """Let an upstream that names a limit get more than is allowed within four seconds."""
+    """Record more arrivals at an upstream with a limit than are allowed within four seconds."""
     window = Window(LATER - CONTACT_S - 1.0, LATER + LIMIT_WINDOW_S)
     context.ledger.limited.append(LimitPeriod("u9", 2.0, window, is_first=True))
     for index in range(int(2.0 * LIMIT_RATE_FACTOR * LIMIT_WINDOW_S) + LIMIT_SLACK + 1):
@@ -178,7 +178,7 @@
 
 
 def sent_on(context: Any) -> None:
-    """Let a request be sent on four times after three upstreams have ended under it."""
+    """Record more sends of a request than are allowed after three crashes under it."""
     target = "/stream/fatal-0"
     context.ledger.fatal_crashes += [FatalCrash(f"u{n}", target, LATER - 9.0 + n) for n in range(3)]
     for index in range(MAX_FATAL_SENDS + 1):
@@ -188,7 +188,7 @@
 
 
 def refused_wrongly(context: Any) -> None:
-    """Let ordinary calls be refused as if they ended upstreams."""
+    """Record more false refusals of ordinary calls as poison than are allowed."""
     for index in range(MAX_FALSE_REFUSALS + 1):
         asked = good(context.ledger, f"wrongly-{index}", RequestKind.SAFE, LATER)
         asked.status, asked.body = 503, b'{"code":"crashes_runners","retry_after_s":30}'
@@ -205,17 +205,17 @@
 
 
 def unanswered(context: Any) -> None:
-    """Let a call wait too long."""
+    """Delay the response to a call by 4 s."""
     context.once.ended_at = context.once.sent_at + 4.0
 
 
 def break_off(context: Any, body: bytes) -> None:
-    """Let the stream break off after a body."""
+    """Replace the stream's body and mark it as broken off."""
     context.stream.body, context.stream.complete = body, False
 
 
 def last_unserved(context: Any) -> None:
-    """Let the last calls break off."""
+    """Mark the last calls as broken off."""
     for index in range(97, 100):
         context.ledger.requests[f"r{index}"].status = 0
 
@@ -252,7 +252,7 @@
 
 @when("in the record {what}")
 def change(context: Any, what: str) -> None:
-    """Change the record."""
+    """Apply the change that the step names to the record."""
     CHANGES[what](context)
 
 
@@ -264,40 +264,40 @@
 
 @when("its instance was disturbed 4 s before that")
 def disturbed_before(context: Any) -> None:
-    """Record a disturbance before the notice was due, and before the call's calm stretch."""
+    """Record a disturbance before the notice must be known and before the call's calm period."""
     context.ledger.disturb("instance-1", LATER - 5.0, LATER - 4.0)
 
 
 @then("no promise is broken")
 def none_broken(context: Any) -> None:
-    """Check the record."""
+    """Check that no violation is found."""
     assert find_violations(context.ledger) == []
 
 
 @then('a promise is broken: "{line}"')
 def one_broken(context: Any, line: str) -> None:
-    """Check the record."""
+    """Check that only the named violation is found."""
     found = find_violations(context.ledger)
-    assert found and all(line in one for one in found), found
+    assert found and all(line in violation for violation in found), found
 
 
 @then(
     "seed {first:d} gives one plan of overlapping faults, seed {second:d} another, both end early"
 )
 def plans(context: Any, first: int, second: int) -> None:
-    """Draw plans."""
-    one, again, other = (
+    """Check that plans depend on the seed alone, overlap, and end before the calm period."""
+    plan, same, other = (
         draw_steps(seed, instances=4, upstreams=5, seconds=60.0) for seed in (first, first, second)
     )
-    assert one == again and one != other
-    assert all(step.at_s + step.for_s <= 60.0 - CALM_LAST_S + 0.5 for step in (*one, *other))
-    pairs = zip(one, one[1:], strict=False)
+    assert plan == same and plan != other
+    assert all(step.at_s + step.for_s <= 60.0 - CALM_LAST_S + 0.5 for step in (*plan, *other))
+    pairs = zip(plan, plan[1:], strict=False)
     assert any(after.at_s < before.at_s + before.for_s for before, after in pairs)
 
 
 @then("seed 7 gives that plan notices, removals and connections that fall silent")
 def leaving_plan(context: Any) -> None:
-    """Draw a plan of a minute."""
+    """Check the kinds of steps in a plan of one minute."""
     steps = draw_steps(7, instances=4, upstreams=5, seconds=60.0, plan=Plan.LEAVING)
     kinds = {step.kind for step in steps}
     assert {Kind.LEAVE, Kind.REMOVE, Kind.SILENCE} <= kinds, kinds
@@ -305,7 +305,7 @@
 
 
 class RacedStore(Store):
-    """Hold entries; another step makes the one that is replaced first, just afterwards."""
+    """A store where a concurrent step creates an entry right after its replacement has failed."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -316,7 +316,7 @@
     def replace(
         self, kind: str, name: str, spec: Any, revision: int | None = None
     ) -> StoredObject | None:
-        """Replace an entry, or find none and have it made."""
+        """Replace an entry; a missing one is created concurrently."""
         if name not in self.entries:
             if self.races:
                 self.entries[name] = {"state": "ready"}
@@ -325,7 +325,7 @@
         return StoredObject(name, StoreVersion(1), spec)
 
     def create(self, kind: str, name: str, spec: Any) -> StoredObject | None:
-        """Make an entry unless it is there."""
+        """Create an entry unless it exists."""
         if name in self.entries:
             return None
         self.entries[name] = spec
@@ -334,7 +334,7 @@
 
 @given("an upstream of the soak whose entry another step makes just before its notice is written")
 def raced_upstream(context: Any) -> None:
-    """Start an upstream, and forget its entry."""
+    """Start an upstream, and remove its entry."""
     context.raced = RacedStore()
     context.listed = UpstreamSlot(1, "portal", context.raced, Ledger(EVENTS), random.Random(1))
     context.name = context.listed.upstream.upstream_id
@@ -356,19 +356,19 @@
 
 @then("the store holds its notice")
 def holds_notice(context: Any) -> None:
-    """Look at the entry."""
+    """Check the state in the upstream's entry."""
     assert context.raced.entries[context.name]["state"] == "draining", context.raced.entries
 
 
 def echo(connection: socket.socket, _: tuple[str, int]) -> None:
-    """Send back what comes, until the proxy ends with a reset."""
+    """Echo received data until the connection ends, which the proxy may do by a reset."""
     with suppress(ConnectionResetError):
         while data := connection.recv(100):
             connection.sendall(data)
 
 
 def passes(connection: socket.socket) -> bool:
-    """Tell whether a byte comes back within a moment."""
+    """Return True if a byte is echoed within 0.3 s."""
     connection.settimeout(0.3)
     connection.sendall(b"x")
     try:
@@ -379,7 +379,7 @@
 
 @given("a proxy with an open connection")
 def open_proxy(context: Any) -> None:
-    """Open a connection through a proxy, and see that it works."""
+    """Open a connection through a proxy, and check that it works."""
     server = StreamServer(("127.0.0.1", 0), echo)
     server.start()
     context.add_cleanup(server.stop, timeout=0)
@@ -391,20 +391,20 @@
 
 @when("its open connections fall silent")
 def silence(context: Any) -> None:
-    """Silence what is open."""
+    """Silence the open connections."""
     context.proxy.silence_open()
 
 
 @then("nothing passes on the open connection, which is not closed either")
 def nothing_passes(context: Any) -> None:
-    """Send a byte."""
+    """Check that a byte is not echoed and that the connection stays open."""
     assert not passes(context.open)
     stays_open(context, 0.05)
 
 
 @then("the open connection is not closed within {seconds:g} s")
 def stays_open(context: Any, seconds: float) -> None:
-    """Wait for its end; a closed connection would read as empty, which is no time-out."""
+    """Read from the connection; a closed one would return no data instead of timing out."""
     context.open.settimeout(seconds)
     try:
         closed = context.open.recv(1) == b""
@@ -415,13 +415,13 @@
 
 @then("a new connection passes everything")
 def new_passes(context: Any) -> None:
-    """Open another one."""
+    """Check a connection that is opened after the silence."""
     assert passes(socket.create_connection(split_address(context.proxy.address)))
 
 
 @given("another run that has taken a port")
 def another_run(context: Any) -> None:
-    """Start a process that takes a port and holds on to it."""
+    """Start a process that reserves a port and keeps running."""
     program = "from measures.bench import free_port; print(free_port(), flush=True); input()"
     command = [sys.executable, "-c", program]
     other = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -432,7 +432,7 @@
 
 @then("none of {count:d} ports taken here is of its slice")
 def disjoint(context: Any, count: int) -> None:
-    """Compare the slices."""
+    """Check that both runs use different slices of ports."""
     other = (context.other_port - FIRST_PORT) // SLICE_PORTS
     own = {(free_port() - FIRST_PORT) // SLICE_PORTS for _ in range(count)}
     assert len(own) == 1 and other not in own, (own, other)
@@ -440,7 +440,7 @@
 
 @given("a soak of seed {seed:d} with {instances:d} instances for {seconds:d} s")
 def short_soak(context: Any, seed: int, instances: int, seconds: int) -> None:
-    """Play one seed."""
+    """Create the soak."""
     context.soak = Soak(seed, Size(instances=instances, callers=6, seconds=float(seconds)))
     context.add_cleanup(context.soak.close)
 
@@ -452,15 +452,15 @@
 def planned_soak(
     context: Any, plan: str, seed: int, instances: int, callers: int, seconds: int
 ) -> None:
-    """Play one seed of a plan."""
+    """Create the soak."""
     context.soak = Soak(seed, Size(instances, callers, float(seconds), Plan(plan)))
     context.add_cleanup(context.soak.close)
 
 
 @then("it breaks no promise")
 def breaks_none(context: Any) -> None:
-    """Play it, and look for lines; some requests must have been served under the faults."""
+    """Run the soak; it must find no violation and have served some requests under the faults."""
     broken = context.soak.play()
     assert not broken, (broken, context.soak.folder)
-    served = [one for one in context.soak.ledger.requests.values() if one.status == 200]
+    served = [each for each in context.soak.ledger.requests.values() if each.status == 200]
     assert len(served) > 50, len(served)
