--- a/features/gateway/calls.feature
+++ b/features/gateway/calls.feature
@@ -1,5 +1,5 @@
 Feature: The gateway's plain calls
-  One gateway before stand-ins of its upstreams, inside the test process.
+  One gateway with stand-ins of its upstreams, inside the test process.
 
   Background:
     Given a gateway before two plain upstreams and three engines
--- a/features/gateway/cold_upstreams.feature
+++ b/features/gateway/cold_upstreams.feature
@@ -1,6 +1,6 @@
 Feature: A cold upstream is sent no more than it bears
-  An upstream that has just started, or whose zone was empty for a while, bears only a given rate of
-  requests for some seconds. It is the emptiest one, so all instances choose it at once.
+  An upstream that has just started, or whose zone was empty for a while, can serve only a limited
+  rate of requests for some seconds. It has the lowest load, so all instances would choose it at once.
 
   Scenario Outline: all instances together keep to what a cold upstream bears
     Given <instances> instances, each with its even part of 25 requests a second
--- a/features/gateway/cordons.feature
+++ b/features/gateway/cordons.feature
@@ -1,6 +1,6 @@
 Feature: Nothing new goes to the upstreams of a cordoned zone
-  Operators cordon an availability zone in the platform before it is emptied. Its upstreams stay in
-  the list and say that they are ready.
+  Operators cordon an availability zone in the platform before they empty it. Its upstreams stay
+  listed and report that they are ready.
 
   Scenario: what is known of cordons is what the newest word says, in whatever order words come
     Then no drawn order of lists, changes and peers' words leaves a wrong cordon, from seed 31
--- a/features/gateway/crash_blame.feature
+++ b/features/gateway/crash_blame.feature
@@ -1,5 +1,5 @@
 Feature: Which request has crashed upstreams
-  Dozens of requests break off in a crash, and one of them is its cause. All come again.
+  Dozens of requests break off in a crash, and one of them is the cause. Callers retry all of them.
 
   Scenario Outline: each rule on its own
     Given a request of which this is known: <known>
--- a/features/gateway/crash_refusals.feature
+++ b/features/gateway/crash_refusals.feature
@@ -1,5 +1,5 @@
 Feature: A gateway sends on no more what crashes its upstreams
-  One gateway before stand-ins of its upstreams.
+  Poison detection and quarantine at one gateway with stand-ins of its upstreams.
 
   Background:
     Given a gateway that finds out which upstreams have crashed
--- a/features/gateway/crashing_requests.feature
+++ b/features/gateway/crashing_requests.feature
@@ -1,16 +1,10 @@
 Feature: A request that crashes each engine that runs it is not sent on for ever
-  What was seen: a summary came seven times within 13 s, under a new id each time and at five of
-  eight instances. Each time it was sent to an engine, and each engine was gone 0.15 to 0.24 s later
-  with all that ran there.
+  Guards against a request that crashes one engine after the other. Its caller retried it seven times
+  within 13 s, each time under a new id, at five of eight instances. Each attempt was sent to an
+  engine, which crashed 0.15 to 0.24 s later with everything that ran there.
 
-  How it came about: its caller asked again after each failure. Each instance took each attempt for a
-  new request, also one that had seen the same request crash an engine seconds before.
-
-  Cause: what a request does to upstreams was kept for no longer than the request, and by nobody else.
-  Class: a failure is put down to where it shows (the engine), never to what was running there.
-
-  Proof: the log of the recorded day, where each send is the only one of its request; real instances
-  do the same here.
+  Each instance treated each attempt as a new request, since crashes were attributed to the engine
+  alone and no record of a request outlived it or was shared with other instances.
 
   Background:
     Given the store's stand-in with a routing configuration and 4 engines that some requests crash
--- a/features/gateway/engine_words.feature
+++ b/features/gateway/engine_words.feature
@@ -1,5 +1,6 @@
 Feature: What engines say of themselves
-  While the platform is away or behind, its list shows engines as ready that have left.
+  While the platform is unavailable or behind, its list shows engines as ready that have left.
+  Instances then probe the engines themselves.
 
   Scenario: an engine that says when it ends takes nothing new, whatever an old list says
     Given a fleet of 3 upstreams
--- a/features/gateway/foreign_entries.feature
+++ b/features/gateway/foreign_entries.feature
@@ -1,6 +1,6 @@
 Feature: What other writers put into the platform
-  Anyone may write objects: fields missing or of another type, states and services that nobody
-  knows, bytes that are no text. Such an object stands for nothing; all others hold.
+  Other writers may store malformed objects: missing fields, wrong types, unknown states and services,
+  bytes that are not UTF-8. Such an object is ignored, and all others still count.
 
   Scenario: an entry that is changed anywhere names no upstream, and nothing is coerced
     Then no drawn change of a whole entry is taken for an upstream, from seed 33
--- a/features/gateway/large_fleet.feature
+++ b/features/gateway/large_fleet.feature
@@ -1,5 +1,6 @@
 Feature: A large fleet
-  In each zone two instances collect reports and follow the platform for the others.
+  In each zone two instances collect the members' reports and publish the sums. Some of these
+  collectors follow the platform for all others.
 
   Scenario: a small fleet needs no collectors
     Then 16 instances need no collectors and 17 do
--- a/features/gateway/large_fleet_processes.feature
+++ b/features/gateway/large_fleet_processes.feature
@@ -1,5 +1,5 @@
 Feature: A large fleet of real processes
-  Twenty-two instances in two zones before the store's stand-in.
+  Twenty-two instances in two zones with the store's stand-in.
 
   Scenario: a large fleet follows the store through its collectors, and without them
     Given the store's stand-in with a routing configuration and 2 upstreams
--- a/features/gateway/later_starts.feature
+++ b/features/gateway/later_starts.feature
@@ -1,6 +1,6 @@
 Feature: An upstream that has started again is another one
-  A process may start again under the name that it had. It holds and knows nothing of before, while
-  late heartbeats, reports and peers still tell of the start before.
+  A process may restart under the same name. It has lost all state, while late heartbeats and reports
+  as well as peers' updates still refer to its previous start.
 
   Scenario: the later start holds, in whatever order words come
     Then no drawn order of true words about starts lets an older start return, from seed 32
--- a/features/gateway/node.feature
+++ b/features/gateway/node.feature
@@ -1,5 +1,5 @@
 Feature: The gateway as a process
-  Two real instances before the store's stand-in.
+  Two real instances with the store's stand-in.
 
   Scenario: two instances serve, stop and follow the store
     Given the store's stand-in with a routing configuration and 2 upstreams
--- a/features/gateway/notices.feature
+++ b/features/gateway/notices.feature
@@ -1,18 +1,13 @@
 Feature: No requests to an upstream that has said it leaves
-  What was seen: real instances sent 4 to 144 requests in 40 s to upstreams that had given notice more
-  than two seconds before, all instances alike, up to 7.5 s after the notice; routes that were
-  added or dropped were handled as before up to 192 times. No instance logged anything, and each
-  said that it followed the platform.
+  Guards against instances that miss changes because their open connections to the store fall silent
+  without a reset, while new connections work. An instance took silence for "no change" until its
+  watch timed out, up to 26 s, where it must know of a notice 3 s after the disturbance.
 
-  How it came about: the open connections between the instances and the store fell silent, without a
-  reset, while new ones worked. Each instance waited on such a connection for word of a change.
-
-  Cause: an instance took silence for "nothing has changed" for as long as its question waited, up
-  to 26 s, where it must know of a notice 3 s after the disturbance. Class: what is known is
-  trusted without a bound on its age.
-
-  Proof: 9 of 9 runs of the soak's plan "leaving" on the code of three versions broke the promise; two
-  of them, played again without the steps that silence connections, did not.
+  Instances sent 4 to 144 requests in 40 s to upstreams that had given notice more than two seconds
+  before, up to 7.5 s after the notice, and handled added or dropped routes as before up to 192 times.
+  They logged nothing and reported that they followed the platform. 9 of 9 runs of the soak's plan
+  "leaving" on three versions failed in this way; two of them, replayed without silent connections,
+  passed.
 
   Background:
     Given the store's stand-in with a routing configuration and 2 upstreams
--- a/features/gateway/permits.feature
+++ b/features/gateway/permits.feature
@@ -1,6 +1,6 @@
 Feature: What an upstream takes is shared by all instances, and used
-  An upstream names how many requests a second it takes from all instances together, perhaps one in
-  two seconds, and hundreds of instances have requests for it.
+  An upstream signals how many requests a second it accepts from all instances together, perhaps one
+  in two seconds, while hundreds of instances have requests for it.
 
   Scenario Outline: a fleet sends no more than allowed, and uses the limit
     Given <instances> instances that share <limit> requests a second, one of which is asked
--- a/features/gateway/placers.feature
+++ b/features/gateway/placers.feature
@@ -1,5 +1,6 @@
 Feature: Streams of a large fleet are placed by one instance for all
-  Instances that see a request a second each would place on sums that are half a second old.
+  Instances that receive one request a second each would otherwise place streams by loads that are
+  half a second old.
 
   Scenario: streams that are placed at the same moment spread over the engines of the zone
     Given an instance that places for its zone, with 5 engines there and 5 in another
--- a/features/gateway/rate_limits.feature
+++ b/features/gateway/rate_limits.feature
@@ -1,16 +1,11 @@
 Feature: An upstream that names how many requests it takes gets no more, and gets those
-  What was seen: two of three portals named with their answers how many requests a second they take
-  from all instances together (2.1 and 3.1). Three seconds later they still got five to ten times as
-  many as in the seconds before: 21 within 4 s where 18 are allowed, 24 where 24 are.
+  Guards against limits in responses that are ignored, or that are neither kept nor shared with other
+  instances. Two of three portals signalled how many requests a second they accept from all instances
+  together (2.1 and 3.1). Three seconds later they still received five to ten times as many as in the
+  seconds before: 21 within 4 s where 18 are allowed, 24 where 24 are.
 
-  How it came about: each of eight instances chose among the portals by what ran there. An upstream
-  that is sent little is the emptiest one.
-
-  Cause: an answer's limit was read by nobody. Class: what an upstream says of itself with an answer
-  concerns one instance's one request, and is neither kept nor told to the others.
-
-  Proof: the log of the recorded day, where the rate at one portal rose after it had named its limit;
-  real instances do the same here.
+  Each of eight instances chose the portal with the lowest load, which is the one that receives few
+  requests, so the rate at one portal even rose after it had signalled its limit.
 
   Background:
     Given the store's stand-in with a routing configuration, 3 portals and 3 engines
--- a/features/gateway/starts.feature
+++ b/features/gateway/starts.feature
@@ -1,5 +1,5 @@
 Feature: An instance takes requests soon after its process starts
-  After a kill callers find nobody until the program is loaded, so the program loads little.
+  After a kill, callers cannot connect until the program is loaded, so it must import little.
 
   Scenario: no installed package is looked for at a start
     When the platform's program is loaded in a fresh process
--- a/features/gateway/store_eras.feature
+++ b/features/gateway/store_eras.feature
@@ -1,6 +1,6 @@
 Feature: What the store has told is ordered by its eras, also between peers
-  The store's revisions go back when it comes back from an older copy; its era rises. For a moment
-  after that it says less than is true.
+  After a restore from an older backup, the store's revisions go back and its era increases. For some
+  time after that its lists lack objects that are valid.
 
   Scenario: a version of a later era is the newer one, whatever its revision
     Then 2.5 follows 1.90, which follows 1.89, and a store without eras counts plainly
--- a/features/gateway/store_returns.feature
+++ b/features/gateway/store_returns.feature
@@ -1,7 +1,7 @@
 Feature: The store comes back from an older copy, and what was acknowledged holds
-  In a drill the store is away for a moment and comes back from a copy some seconds old. What was
-  written there since is gone, and revisions are given out again. Operators and upstreams write theirs
-  once more; what instances wrote is theirs to write. Each answer of the store names its era.
+  The store is unavailable for a moment and is restored from a backup some seconds old. Later writes
+  are lost, and their revisions are reused. Operators and upstreams write their objects again;
+  instances must restore what they wrote. Each answer of the store contains its era.
 
   Background:
     Given a store that can come back from a copy, with 4 upstreams and 4 gateway processes
--- a/features/gateway/streams.feature
+++ b/features/gateway/streams.feature
@@ -79,12 +79,11 @@
     Then the answer is 502 and promises nothing
     And "s1" has run on 1 upstreams
 
-  # Seen: a stream, which may run once, was run by the same engine again and again. Its first engine broke off
-  # before the first event, so there was nothing that a copy could hold. Its relay went on all the same at the
-  # engine that was to keep the copy, and after a refusal there back at the first one.
-  # Cause: that an engine was asked to keep a copy was taken for the copy itself. A request was sent once more
-  # though it might have run, and only the engines' own check stood against a second run; one that breaks off
-  # does not check. Proof: both scenarios failed with a second run before a copy had to be known.
+  # Guards against a second run of a stream that may run only once. Its first engine broke off before the
+  # first event, so no replica could exist. The gateway took the request for a backup for the backup itself:
+  # it resumed the stream at the backup's engine, and after a refusal there at the first engine again. Only
+  # the engines' own check prevented a second run, and an engine that breaks off does not check. Both
+  # scenarios failed with a second run until a replica had to be known before a resume.
   Scenario: a stream that broke before its first event is not sent to the engine that was to keep its copy
     Given each engine of "s1" will break off before its answer
     When stream "s1" is asked
--- a/features/gateway/suspensions.feature
+++ b/features/gateway/suspensions.feature
@@ -1,10 +1,10 @@
 Feature: Time for which the machine was suspended counts
-  What was told: a machine may be suspended for seconds. The monotonic clock and the event loop's
-  timers stand still then; the clock since the start (CLOCK_BOOTTIME) and the time of day go on.
+  A machine may be suspended for seconds. The monotonic clock and the event loop's timers stop then;
+  CLOCK_BOOTTIME and the time of day continue.
 
-  Cause: every part went by the monotonic clock. After a suspension old word counts as fresh, and
-  deadlines are passed on and waited for that are long over. A process that is stopped does not show
-  it: there the monotonic clock goes on.
+  Guards against code that uses the monotonic clock: after a suspension it takes outdated reports for
+  fresh, and forwards and awaits deadlines that have passed. A stopped process does not show this,
+  since the monotonic clock continues there.
 
   Background:
     Given a gateway on a machine that can be suspended
--- a/features/matrix/claims.feature
+++ b/features/matrix/claims.feature
@@ -1,6 +1,6 @@
 # The rows are the FAULTS of features/worlds; features/matrix/lists.feature checks them.
 Feature: Fault matrix of the claims path
-  What may not be repeated runs at most once, through every fault of holders and platform.
+  A request that may not be repeated runs at most once, under every fault of holders and platform.
 
   Scenario Outline: claims, <fault>
     Given the claims path
--- a/features/matrix/configuration.feature
+++ b/features/matrix/configuration.feature
@@ -1,6 +1,6 @@
 # The rows are the FAULTS of features/worlds; features/matrix/lists.feature checks them.
 Feature: Fault matrix of the configuration path
-  An accepted configuration is kept, never reverts, and outcomes are told truly.
+  An accepted configuration is kept and never reverts, and the reported outcomes are correct.
 
   Scenario Outline: configuration, <fault>
     Given the configuration path
--- a/features/matrix/grants.feature
+++ b/features/matrix/grants.feature
@@ -1,6 +1,6 @@
 # The rows are the FAULTS of features/worlds; features/matrix/lists.feature checks them.
 Feature: Fault matrix of the grants path
-  Leaving runners get no work, every ask is answered in time, nothing is left open.
+  Leaving runners get no work, every request for a grant is answered in time, and no grant stays open.
 
   Scenario Outline: grants, <fault>
     Given the grants path
--- a/features/matrix/lists.feature
+++ b/features/matrix/lists.feature
@@ -1,5 +1,5 @@
 Feature: The matrix is complete
-  A new event, action or fault without its rows fails here.
+  Fails for a new event, action or fault that has no rows in the matrix.
 
   Scenario Outline: the <path> path's lists
     Given the <path> path
--- a/features/matrix/membership.feature
+++ b/features/matrix/membership.feature
@@ -1,6 +1,6 @@
 # The rows are the FAULTS of features/worlds; features/matrix/lists.feature checks them.
 Feature: Fault matrix of the membership path
-  Live instances agree on who is live, who is leaving and who is dead.
+  Live instances agree on which members are live, leaving or dead.
 
   Scenario Outline: membership, <fault>
     Given the membership path
--- a/features/matrix/relay.feature
+++ b/features/matrix/relay.feature
@@ -1,6 +1,7 @@
 # The rows are the FAULTS of features/worlds; features/matrix/lists.feature checks them.
 Feature: Fault matrix of the relay path
-  Tokens once, in order, from one generation; "not run" only where it was not run.
+  Each token is delivered once, in order and from one generation; "not run" is stated only if the
+  request was not executed.
 
   Scenario Outline: relay, <fault>
     Given the relay path
--- a/features/parts/daemon.feature
+++ b/features/parts/daemon.feature
@@ -1,5 +1,5 @@
 Feature: Settings and the command
-  Every wrong setting is named at once with its fix; exit codes are distinct.
+  All invalid settings are reported at once, each with its fix; exit codes are distinct.
 
   Scenario: wrong settings
     When the daemon is started with "--zone=a --listen=nowhere --max-body=5"
--- a/features/parts/decisions.feature
+++ b/features/parts/decisions.feature
@@ -1,5 +1,5 @@
 Feature: The decisions
-  Pure parts, on numbers that can be checked by hand.
+  Pure functions, on numbers that can be checked by hand.
 
   Scenario: running generations count as censored
     Given 400 outputs of 100 tokens have ended and 400 run on past 1000
--- a/features/parts/pages.feature
+++ b/features/parts/pages.feature
@@ -1,5 +1,5 @@
 Feature: The pages hold
-  Figures come from recorded runs; names in the pages are those of the code.
+  The pages' figures come from recorded runs, and their names exist in the code.
 
   Scenario: figures
     Then the pages' figures are those of the recorded runs
--- a/features/parts/policy.feature
+++ b/features/parts/policy.feature
@@ -1,5 +1,5 @@
 Feature: The policy language
-  A wrong policy is refused with line, column, cause and fix, before anything is touched.
+  An invalid policy is rejected with line, column, cause and fix, before anything is changed.
 
   Scenario Outline: a wrong policy, <what>
     Given the policy text <text>
--- a/features/parts/runners.feature
+++ b/features/parts/runners.feature
@@ -1,5 +1,5 @@
 Feature: What a runner's answer says of a request
-  Only a refusal says that the request did not run; a failure of the runner's own may follow a run.
+  Only a refusal states that the request did not run; an internal error of the runner may follow a run.
 
   Scenario Outline: a runner answers <status> to a new generation
     Given a runner that answers <status>
--- a/features/parts/sends.feature
+++ b/features/parts/sends.feature
@@ -1,5 +1,5 @@
 Feature: What may be sent once more
-  The rules that both relays ask, and the relays themselves, against upstreams that do their worst.
+  The retry rules that both relays use, and the relays themselves against faulty upstreams.
 
   Scenario Outline: no order of sends begins more runs than a request may have
     Given a request that may begin <most> runs
--- a/features/parts/soak.feature
+++ b/features/parts/soak.feature
@@ -1,5 +1,5 @@
 Feature: The checks of the fault soak
-  Each check fails on what it is meant to find, and only on that.
+  Each check fails on the violation that it must find, and only on that.
 
   Scenario: a run in which all was well breaks no promise
     Given the record of a run in which all was well
--- a/features/processes/rate_limits.feature
+++ b/features/processes/rate_limits.feature
@@ -1,5 +1,5 @@
 Feature: The product's own interface sends runners no more than they say they take
-  A runner names with its answers how many requests a second it takes from all instances together.
+  A runner signals in its responses how many requests a second it accepts from all instances together.
 
   Background:
     Given 3 instances with 3 engines and 3 portals of their own
--- a/features/processes/upstream_signals.feature
+++ b/features/processes/upstream_signals.feature
@@ -1,5 +1,5 @@
 Feature: The product's own interface heeds what runners signal about themselves
-  A runner that leaves signals so in its responses; one that rejects a request may request a back-off.
+  A runner signals in its responses that it leaves, and may request a back-off when it rejects a request.
 
   Background:
     Given 3 instances with 3 engines and 3 portals of their own
@@ -28,7 +28,7 @@
     Then it gets nothing between 0.5 s after a rejection and the end of its back-off
     And at least 98 in 100 of the answers are whole
 
-  # Guards against callers that are not told when the first runner takes calls again.
+  # Guards against refusals without the time at which the first runner accepts calls again.
   Scenario: where all of a service's runners reject with a back-off, callers are refused at once
     When 8 callers make calls at one instance for 9 s, and from 2 s on each portal rejects all with a back-off of 3 s
     Then it gets nothing between 0.5 s after a rejection and the end of its back-off
