--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run the real gateway processes under random faults and check their promises."""
+"""Fault injection against real gateway processes, with checks of their guarantees."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the fault soak: real processes, faults from outside, promises checked.
+"""Run the fault soak: inject random faults into real processes and check their guarantees.
 
 Usage:
   soak [--seed=N] [--runs=N] [--instances=N] [--callers=N] [--seconds=S] [--plan=NAME]
@@ -36,24 +36,26 @@
 
 
 def play(seed: int, size: Size) -> bool:
-    """Play one seed and print what it broke; return whether all promises held."""
+    """Run one seed and print its violations; return whether all promises held."""
     run = Soak(seed, size)
     try:
-        broken = run.play()
+        violations = run.play()
     finally:
         run.close()
-    asked = len(run.ledger.requests)
-    served = sum(one.status == 200 and one.complete for one in run.ledger.requests.values())
-    print(f"seed {seed}: {len(broken)} broken, {served} of {asked} requests served", flush=True)
-    for line in broken:
+    sent = len(run.ledger.requests)
+    served = sum(
+        request.status == 200 and request.complete for request in run.ledger.requests.values()
+    )
+    print(f"seed {seed}: {len(violations)} broken, {served} of {sent} requests served", flush=True)
+    for line in violations:
         print(f"  {line}")
-    if broken:
+    if violations:
         print(f"  logs in {run.folder}", flush=True)
-    return not broken
+    return not violations
 
 
 def main() -> int:
-    """Play the seeds; zero only if none broke a promise."""
+    """Run all seeds; return zero only if none of them has a violation."""
     options = docopt(__doc__)
     size = Size(
         int(options["--instances"]),
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -1,4 +1,4 @@
-"""Ask as callers do: keep the located addresses a while, and use open connections."""
+"""HTTP client that reuses its connection, as callers of the gateway do."""
 
 from __future__ import annotations
 
@@ -13,63 +13,63 @@
 
 CONNECT_S: Final = 1.0
 SPARE_S: Final = 2.0
-"""How much longer than its time a caller waits for an answer, so that late ones are seen."""
+"""Wait beyond a request's timeout, so that late responses are recorded."""
 PIECE_BYTES: Final = 65_536
 
 
-class _Answer:
-    """Collect one answer; httptools calls the on_ methods."""
+class _Response:
+    """Collect one response; httptools calls the on_ methods."""
 
     def __init__(self) -> None:
-        """Start before the answer."""
+        """Initialize before the first byte of the response."""
         self.parser: Any = httptools.HttpResponseParser(self)
         self.sealed = False
-        self.begun = False
+        self.has_head = False
         self.complete = False
         self.body = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Look for the mark of an upstream."""
+        """Look for the seal header of an upstream."""
         self.sealed |= name.lower() == b"x-driftstall-response-seal"
 
     def on_headers_complete(self) -> None:
-        """Note that there is an answer."""
-        self.begun = True
+        """Record that the head of the response has arrived."""
+        self.has_head = True
 
     def on_body(self, data: bytes) -> None:
         """Collect a piece of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note the end."""
+        """Record that the response is complete."""
         self.complete = True
 
 
 class CallerConnection:
-    """Hold one caller's connection; it is used until it breaks or is closed."""
+    """A caller's connection, reused until it breaks or is closed."""
 
     def __init__(self) -> None:
-        """Start without one."""
+        """Initialize without an open connection."""
         self._connection: socket.socket | None = None
         self._address = ""
 
-    def ask(self, address: str, asked: SentRequest) -> None:
-        """Send one request and fill in how it ended."""
+    def send(self, address: str, request: SentRequest) -> None:
+        """Send one request and record its result in it."""
         try:
             self._open(address)
             assert self._connection is not None
             self._connection.sendall(
                 request_bytes(
-                    asked.path,
-                    asked.request_id,
+                    request.path,
+                    request.request_id,
                     Connection="keep-alive",
-                    X_Driftstall_Deadline_Ms=str(int(asked.timeout_s * 1000)),
+                    X_Driftstall_Deadline_Ms=str(int(request.timeout_s * 1000)),
                 )
             )
-            self._read(asked)
+            self._read(request)
         except OSError:
             self.close()
-        asked.ended_at = time.monotonic()
+        request.ended_at = time.monotonic()
 
     def close(self) -> None:
         """Close the connection."""
@@ -78,7 +78,7 @@
             self._connection = None
 
     def _open(self, address: str) -> None:
-        """Open a connection unless there is one to the address."""
+        """Open a connection to the address unless one is open already."""
         if self._connection is not None and self._address == address:
             return
         self.close()
@@ -86,21 +86,21 @@
         self._connection = socket.create_connection((host, int(port)), CONNECT_S)
         self._address = address
 
-    def _read(self, asked: SentRequest) -> None:
-        """Read one answer to its end, or to the connection's."""
+    def _read(self, request: SentRequest) -> None:
+        """Read one response until it is complete or the connection ends."""
         assert self._connection is not None
-        answer = _Answer()
-        until = asked.sent_at + asked.timeout_s + SPARE_S
+        response = _Response()
+        until = request.sent_at + request.timeout_s + SPARE_S
         try:
-            while not answer.complete:
+            while not response.complete:
                 self._connection.settimeout(max(0.001, until - time.monotonic()))
                 data = self._connection.recv(PIECE_BYTES)
                 if not data:
                     break
-                answer.parser.feed_data(data)
+                response.parser.feed_data(data)
         finally:
-            asked.status = answer.parser.get_status_code() if answer.begun else 0
-            asked.sealed, asked.complete = answer.sealed, answer.complete
-            asked.body = answer.body
-        if not answer.complete or not answer.parser.should_keep_alive():
+            request.status = response.parser.get_status_code() if response.has_head else 0
+            request.sealed, request.complete = response.sealed, response.complete
+            request.body = response.body
+        if not response.complete or not response.parser.should_keep_alive():
             self.close()
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -1,4 +1,4 @@
-"""Record what callers sent and got, what upstreams saw, and what was disturbed when."""
+"""Record of a run: requests and responses, arrivals at upstreams, and injected disturbances."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class RequestKind(StrEnum):
-    """Name the sort of a request."""
+    """Kinds of requests; the value is part of the request's path."""
 
     SAFE = "safe"
     ONCE = "once"
     STREAM = "stream"
     ADDED = "added"
-    """To the route that the newest configuration has added."""
+    """A request to the route that the newest configuration has added."""
     DROPPED = "dropped"
-    """To a route that the newest configuration does not hold any more."""
+    """A request to a route that the newest configuration has removed."""
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """Hold one request of a caller, and how it ended."""
+    """A request of a caller, with its result."""
 
     request_id: str
     kind: RequestKind
@@ -35,34 +35,34 @@
     timeout_s: float
     ended_at: float = 0.0
     status: int = 0
-    """Zero if the connection ended without an answer."""
+    """HTTP status; zero if the connection ended without a response."""
     sealed: bool = False
-    """Whether the answer carries the mark of an upstream."""
+    """Whether the response carries the seal header of an upstream."""
     complete: bool = False
     body: bytes = b""
 
     @property
     def events(self) -> list[int]:
-        """Return the numbers of the events that arrived whole."""
-        whole = self.body.split(b"\n\n")[:-1]
-        return [int(one.split(b"\n")[0].removeprefix(b"id: ")) for one in whole]
+        """Return the numbers of the events that arrived completely."""
+        complete = self.body.split(b"\n\n")[:-1]
+        return [int(event.split(b"\n")[0].removeprefix(b"id: ")) for event in complete]
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Hold one request as it reached an upstream."""
+    """The arrival of a request at an upstream."""
 
     request_id: str
     upstream_id: str
     target: str
     at: float
     is_resumed: bool
-    """Whether it goes on at a copy of a run."""
+    """Whether the run is resumed from a replica."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Hold when the store acknowledged that an upstream leaves or is gone."""
+    """The time at which the store acknowledged that an upstream is leaving or removed."""
 
     upstream_id: str
     at: float
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Hold a span of time in which something was disturbed."""
+    """A span of monotonic time."""
 
     begins: float
     ends: float
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPeriod:
-    """Hold that an upstream was cold, or in a cordoned zone, for a while."""
+    """A period in which an upstream was cold, or in a cordoned zone."""
 
     upstream_id: str
     window: Window
@@ -86,18 +86,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitPeriod:
-    """Hold how many requests a second an upstream said it takes, and for how long it did."""
+    """A period in which an upstream announced a rate limit, in requests a second."""
 
     upstream_id: str
     per_s: float
     window: Window
     is_first: bool
-    """Whether it named no limit before; else it named a higher one."""
+    """Whether there was no limit before; otherwise there was a higher one."""
 
 
 @dataclass(frozen=True, slots=True)
 class FatalCrash:
-    """Hold that an upstream has ended under a request that ends each one."""
+    """The crash of an upstream caused by a request that crashes every upstream running it."""
 
     upstream_id: str
     target: str
@@ -106,45 +106,45 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Hold everything that the checks look at."""
+    """The complete record of a run, from which the checks are computed."""
 
     events: int
-    """Events of a whole stream."""
+    """Number of events in a complete stream."""
     requests: dict[str, SentRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     notices: dict[str, Notice] = field(default_factory=dict)
     leaving_reports: dict[str, Notice] = field(default_factory=dict)
-    """When upstreams began to say themselves that they leave; the store did not know it then."""
+    """When upstreams began to report themselves as leaving, before the store knew of it."""
     cordoned: list[UpstreamPeriod] = field(default_factory=list)
-    """From the store's acknowledgement until the order to free the zone."""
+    """From the store's acknowledgement of a cordon until the request to lift it."""
     cold: list[UpstreamPeriod] = field(default_factory=list)
     limited: list[LimitPeriod] = field(default_factory=list)
     received: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
-    """All requests that reached an upstream, also rejected ones, by its id."""
+    """All requests that reached an upstream, including rejected ones, by upstream id."""
     signalled_leaving: dict[str, list[SignalRecord]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    """Responses by which an upstream signalled that it leaves."""
+    """Responses with which an upstream signalled that it is leaving."""
     rejections: dict[str, list[SignalRecord]] = field(default_factory=lambda: defaultdict(list))
-    """Responses by which an upstream rejected a request with a back-off."""
+    """Responses with which an upstream rejected a request and requested a back-off."""
     stopped: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
-    """When an instance was killed, stopped or paused, by its name."""
+    """Times in which an instance was killed, stopped or paused, by instance name."""
     fatal_crashes: list[FatalCrash] = field(default_factory=list)
     disturbed: dict[str, list[Window]] = field(default_factory=lambda: defaultdict(list))
-    """By name of an instance or an upstream, or STORE."""
+    """Times of disturbances, by name of an instance or an upstream, or STORE."""
     unexpected_exits: list[str] = field(default_factory=list)
-    """Processes that ended though nobody told them to."""
+    """Processes that exited without being stopped by the plan."""
     not_ready: list[str] = field(default_factory=list)
     """Instances that were not ready at the end."""
 
     def disturb(self, name: str, begins: float, ends: float) -> None:
-        """Note that something is disturbed for a while."""
+        """Record a disturbance of an instance, an upstream or the store."""
         self.disturbed[name].append(Window(begins, ends))
 
     def ran_throughout(self, name: str, begins: float, ends: float) -> bool:
-        """Tell whether an instance ran without a stop during a span of time."""
-        return all(one.ends < begins or one.begins > ends for one in self.stopped[name])
+        """Return True if an instance was never stopped during a span of time."""
+        return all(stop.ends < begins or stop.begins > ends for stop in self.stopped[name])
 
     def is_undisturbed(self, name: str, begins: float, ends: float) -> bool:
-        """Tell whether nothing disturbed a part during a span of time."""
-        return all(one.ends < begins or one.begins > ends for one in self.disturbed[name])
+        """Return True if no disturbance of the named part overlaps a span of time."""
+        return all(window.ends < begins or window.begins > ends for window in self.disturbed[name])
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Pass loopback connections on, and harm them as the plan says."""
+"""TCP proxy on loopback that injects network faults: delay, reset, one-way loss, silence."""
 
 from __future__ import annotations
 
@@ -12,85 +12,86 @@
 
 DELAY_S: Final = 0.15
 RESET: Final = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-"""Linger for no time, so that a close resets the connection."""
+"""SO_LINGER with a time of zero, so that a close resets the connection."""
 PIECE_BYTES: Final = 65_536
 CHECK_S: Final = 0.02
 CONNECT_S: Final = 2.0
 
 
 class Proxy:
-    """Stand between a process and what it connects to."""
+    """Proxy between a process and one address that it connects to."""
 
     def __init__(self, target: str) -> None:
-        """Take the address behind the proxy, and start to listen."""
+        """Start to listen; target is the address to forward to."""
         self.target = target
         self._fault: Fault | None = None
         self._open: set[socket.socket] = set()
         self._silent: set[socket.socket] = set()
-        """Connections that pass nothing on any more, and are not closed either."""
+        """Connections that are kept open but no longer forward data."""
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address that the proxy listens on."""
         return f"127.0.0.1:{self._server.server_port}"
 
-    def harm(self, fault: Fault) -> None:
-        """Begin a fault; a reset also breaks what is open."""
+    def inject(self, fault: Fault) -> None:
+        """Start a fault; a reset also closes the open connections."""
         self._fault = fault
         if fault is Fault.RESET:
             self.reset_all()
 
-    def heal(self) -> None:
-        """End the fault; bytes that a cut held up are lost with their connections."""
-        was, self._fault = self._fault, None
-        if was not in (None, Fault.DELAY):
+    def end_fault(self) -> None:
+        """End the fault; bytes that a cut held back are lost with their connections."""
+        previous, self._fault = self._fault, None
+        if previous not in (None, Fault.DELAY):
             self.reset_all()
 
     def silence_open(self) -> None:
-        """Let all open connections fall silent for good, without a reset; new ones work.
+        """Stop forwarding on all open connections for good, without a reset; new ones work.
 
-        Both ends still find that their bytes are acknowledged, as behind a middlebox.
+        Both ends still have their bytes acknowledged, as behind a middlebox.
         """
         self._silent |= self._open
 
     def reset_all(self) -> None:
         """Reset all open connections."""
-        for one in list(self._open):
-            _reset(one)
+        for connection in list(self._open):
+            _reset(connection)
         self._open.clear()
         self._silent.clear()
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening and reset all open connections."""
         self._server.stop(timeout=0)
         self.reset_all()
 
-    def _serve(self, near: socket.socket, _: tuple[str, int]) -> None:
-        """Pass one connection on, both ways."""
+    def _serve(self, client: socket.socket, _: tuple[str, int]) -> None:
+        """Forward one connection in both directions."""
         if self._fault is Fault.RESET:
-            _reset(near)
+            _reset(client)
             return
         host, port = self.target.split(":")
         try:
-            far = socket.create_connection((host, int(port)), CONNECT_S)
-            # The time to connect must not end connections that rest: questions to the store wait.
-            far.settimeout(None)
+            server = socket.create_connection((host, int(port)), CONNECT_S)
+            # The connect timeout must not end idle connections: watches of the store are
+            # long polls.
+            server.settimeout(None)
         except OSError:
-            _reset(near)
+            _reset(client)
             return
-        self._open |= {near, far}
-        back = gevent.spawn(self._copy, far, near, Fault.CUT_BACK)
-        self._copy(near, far, Fault.CUT_OUT)
-        back.join()
-        for one in (near, far):
-            self._open.discard(one)
-            self._silent.discard(one)
-            one.close()
-
-    def _copy(self, source: socket.socket, sink: socket.socket, cut: Fault) -> None:
-        """Copy bytes one way until the end."""
+        self._open |= {client, server}
+        responses = gevent.spawn(self._forward, server, client, Fault.CUT_BACK)
+        self._forward(client, server, Fault.CUT_OUT)
+        responses.join()
+        for connection in (client, server):
+            self._open.discard(connection)
+            self._silent.discard(connection)
+            connection.close()
+
+    def _forward(self, source: socket.socket, sink: socket.socket, cut: Fault) -> None:
+        """Forward bytes in one direction until the end of the stream."""
         try:
             while data := source.recv(PIECE_BYTES):
                 if self._fault is Fault.DELAY:
@@ -102,7 +103,7 @@
             if source not in self._silent:
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # The other end is gone, so is this one.
+            # One end has closed its connection, so the other one is reset.
             _reset(sink)
 
 
@@ -111,6 +112,6 @@
     try:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     except OSError:
-        # It is closed already.
+        # The connection is already closed.
         return
     connection.close()
--- a/soak/run.py
+++ b/soak/run.py
@@ -285,8 +285,8 @@
     @staticmethod
     def _harm_proxy(proxy: Proxy, step: Step) -> None:
         """Harm a proxy for a while."""
-        proxy.harm(step.fault)
-        gevent.spawn_later(step.for_s, proxy.heal)
+        proxy.inject(step.fault)
+        gevent.spawn_later(step.for_s, proxy.end_fault)
 
     def _harm_store(self, step: Step, script: dict[str, Any]) -> None:
         """Script a fault of the store."""
@@ -439,7 +439,7 @@
         request_id = f"s{self._seed}-{next(self._numbers)}"
         asked = SentRequest(request_id, sort, path, instance.name, time.monotonic(), timeout_s)
         self.ledger.requests[request_id] = asked
-        connection.ask(instance.listen["front"], asked)
+        connection.send(instance.listen["front"], asked)
         return asked
 
     def _probe(self) -> None:
