--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -87,7 +87,7 @@
         self.poison.start()
         self.limits.start()
         self.hub.run_periodically(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
-        self.hub.run_periodically(DRAIN_PERIOD_S, self._drain_period, PREFIX_DRAIN)
+        self.hub.run_periodically(DRAIN_PERIOD_S, self._run_drain_period, PREFIX_DRAIN)
 
     def locatable_instances(self) -> tuple[Instance, ...]:
         """Return the instances that callers can be directed to; not this one once it drains."""
@@ -102,7 +102,7 @@
         """Begin a graceful shutdown."""
         self._run_drain(StopAsked())
 
-    def _drain_period(self) -> None:
+    def _run_drain_period(self) -> None:
         """Run the timer of the drain controller."""
         self._run_drain(DrainPeriod(self.hub.stats.open_requests))
 
