--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -242,9 +242,9 @@
             yield from self._respond_problem(start, first.problem)
             return
         start("200 OK", [("Content-Type", EVENT_STREAM), ("Cache-Control", "no-store")])
-        yield from self._events(first, items, request.workspace)
+        yield from self._generate_events(first, items, request.workspace)
 
-    def _events(
+    def _generate_events(
         self, first: RelayItem, items: Iterator[RelayItem], workspace: str
     ) -> Iterator[bytes]:
         """Yield the events of a stream; each token's event id is its resume token."""
