--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -338,7 +338,7 @@
             self._verdict,
             ticket,
             action.avoid | signals.backing_off,
-            self._keep_waiting,
+            self._should_keep_waiting,
         )
         if isinstance(answer, Granted):
             self._feed(GrantReceived(answer.runner_id, answer.rank))
@@ -349,7 +349,7 @@
         else:
             self._handle_disconnect()
 
-    def _keep_waiting(self) -> bool:
+    def _should_keep_waiting(self) -> bool:
         """Return whether the caller is connected and the deadline has not passed."""
         return time.time() <= self._request.deadline and self._is_caller_waiting()
 
