--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -83,7 +83,7 @@
         verdict: Verdict,
         ticket: str,
         avoid: frozenset[str],
-        keep_waiting: Callable[[], bool],
+        should_keep_waiting: Callable[[], bool],
     ) -> Granted | Problem | None:
         """Wait for a grant; return the grant, a problem, or None if keep_waiting turns False."""
         group = self._ownership.group_for(request.model, request.workspace)
@@ -96,7 +96,7 @@
         self._entry_grants[request.request_id] = grant
         asked_at = -1e9
         while not grant.result.ready():
-            if not keep_waiting():
+            if not should_keep_waiting():
                 return None
             if self._hub.now() - asked_at >= ASK_RESEND_S:
                 asked_at = self._hub.now()
