--- a/driftstall/daemon/service_calls.py
+++ b/driftstall/daemon/service_calls.py
@@ -130,7 +130,7 @@
         for attempt in range(MAX_ATTEMPTS):
             if attempt and not self._budget.spend():
                 break
-            runner = self._choose(context, avoid)
+            runner = self._choose_runner(context, avoid)
             if isinstance(runner, Problem):
                 if not maybe_ran:
                     return runner
@@ -164,7 +164,7 @@
             CODE_RUNNER_FAILED, status, detail or "no runner is left", ran, RETRY_AFTER_S
         )
 
-    def _choose(self, context: RequestContext, avoid: set[str]) -> Runner | Problem | None:
+    def _choose_runner(self, context: RequestContext, avoid: set[str]) -> Runner | Problem | None:
         """Return a runner for the call, None if none remains, or a problem with a Retry-After."""
         live = self._fleet.live_services(context.service)
         excluded = avoid | self._signals.backing_off
