--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -297,7 +297,7 @@
             case RequestGrant():
                 self._request_grant(action)
             case OpenStream():
-                self._open(action)
+                self._open_stream(action)
             case ResumeStream():
                 self._resume(action)
             case CancelStream():
@@ -353,7 +353,7 @@
         """Return whether the caller is connected and the deadline has not passed."""
         return time.time() <= self._request.deadline and self._is_caller_waiting()
 
-    def _open(self, action: OpenStream) -> None:
+    def _open_stream(self, action: OpenStream) -> None:
         """Start the generation on its runner."""
         runner = self._service.fleet.runners.get(action.runner_id)
         try:
