--- a/driftstall/daemon/relay_service.py
+++ b/driftstall/daemon/relay_service.py
@@ -299,7 +299,7 @@
             case OpenStream():
                 self._open_stream(action)
             case ResumeStream():
-                self._resume(action)
+                self._resume_stream(action)
             case CancelStream():
                 runner = self._service.fleet.runners.get(action.runner_id)
                 if runner is not None:
@@ -371,7 +371,7 @@
             self._service.fleet.record_failure(action.runner_id)
             self._handle_stream_failure(fault)
 
-    def _resume(self, action: ResumeStream) -> None:
+    def _resume_stream(self, action: ResumeStream) -> None:
         """Resume the generation on its runner, after the runner's back-off if there is one."""
         self._hub.stats.resumes += 1
         self._drop_stream()
