--- a/driftstall/daemon/node.py
+++ b/driftstall/daemon/node.py
@@ -30,7 +30,7 @@
 from driftstall.helpers.log import log_event
 
 DRAIN_PERIOD_S = 0.2
-SERVICE_POLL_S = 1.0
+SERVICE_POLL_PERIOD_S = 1.0
 
 
 class Node:
@@ -86,7 +86,7 @@
         self.placement.start()
         self.poison.start()
         self.limits.start()
-        self.hub.run_periodically(SERVICE_POLL_S, self.fleet.poll_services, PREFIX_ROUTING)
+        self.hub.run_periodically(SERVICE_POLL_PERIOD_S, self.fleet.poll_services, PREFIX_ROUTING)
         self.hub.run_periodically(DRAIN_PERIOD_S, self._run_drain_period, PREFIX_DRAIN)
 
     def locatable_instances(self) -> tuple[Instance, ...]:
