--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -26,7 +26,7 @@
 from driftstall.platform.client import ListedMember
 
 PROTOCOL_PERIOD_S: Final = 0.1
-LIST_PERIOD_S: Final = 1.0
+LIST_READ_PERIOD_S: Final = 1.0
 MAX_ALL_READERS: Final = 16
 """Fleet size up to which all instances read the platform's list; above, LIST_READERS of them do."""
 LIST_READERS: Final = 3
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start the probes and the reads of the platform's list."""
         self._hub.run_periodically(PROTOCOL_PERIOD_S, self._run_period, PREFIX_MEMBERSHIP)
-        self._hub.run_periodically(LIST_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
+        self._hub.run_periodically(LIST_READ_PERIOD_S, self._read_list, PREFIX_MEMBERSHIP)
 
     def leave(self) -> None:
         """Announce to peers that this instance is leaving."""
