--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -75,7 +75,7 @@
         hub.on_message(ProgressBatch, self._handle_progress_batch)
 
     @property
-    def owned(self) -> dict[str, GrantsController]:
+    def owned_controllers(self) -> dict[str, GrantsController]:
         """Return the controllers of the owned groups, by group."""
         return self._owned
 
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -170,7 +170,9 @@
         """Return the gauges that are read at each scrape."""
         node = self._node
         return {
-            "waiting_requests": sum(owned.waiting for owned in node.grants.owned.values()),
+            "waiting_requests": sum(
+                owned.waiting for owned in node.grants.owned_controllers.values()
+            ),
             "memory_share": node.grants.load(),
             "live_instances": len(node.members.live),
             "config_generation": node.config.document.generation,
@@ -214,7 +216,7 @@
         """Return the state of all runners; grants and forecast only for those of owned groups."""
         node = self._node
         states = {}
-        for controller in node.grants.owned.values():
+        for controller in node.grants.owned_controllers.values():
             states.update(controller.runners)
         rows = []
         for runner in node.fleet.runners.values():
