--- a/driftstall/daemon/__init__.py
+++ b/driftstall/daemon/__init__.py
@@ -1,3 +1,3 @@
-"""Run the pure core inside gevent."""
+"""The daemon: services that run the pure controllers inside gevent."""
 
 from __future__ import annotations
--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -85,7 +85,7 @@
         avoid: frozenset[str],
         should_keep_waiting: Callable[[], bool],
     ) -> Granted | Problem | None:
-        """Wait for a grant; return the grant, a problem, or None if keep_waiting turns False."""
+        """Wait for a grant; return it, a problem, or None once should_keep_waiting() is False."""
         group = self._ownership.group_for(request.model, request.workspace)
         if not group:
             detail = f"no runner serves the model {request.model}"
