--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -218,16 +218,16 @@
     def orders(events: list[tuple[int, int, float | None]]) -> None:
         trackers = [RateLimitTracker() for _ in range(count)]
         now = 0.0
-        for one, other, per_s in events:
+        for index, other, per_s in events:
             now += 0.1
-            if one == other:
-                trackers[one].record_response(UPSTREAM, per_s, now, now)
+            if index == other:
+                trackers[index].record_response(UPSTREAM, per_s, now, now)
             else:
-                trackers[one].merge(trackers[other].reports, now)
-        for one, other in itertools.product(range(count), repeat=2):
-            trackers[one].merge(trackers[other].reports, now)
-        for one, other in itertools.product(range(count), repeat=2):
-            trackers[one].merge(trackers[other].reports, now)
+                trackers[index].merge(trackers[other].reports, now)
+        for index, other in itertools.product(range(count), repeat=2):
+            trackers[index].merge(trackers[other].reports, now)
+        for index, other in itertools.product(range(count), repeat=2):
+            trackers[index].merge(trackers[other].reports, now)
         context.found.append([tracker.reports for tracker in trackers])
 
     orders()
@@ -345,4 +345,4 @@
     """Compare the retry times."""
     wanted = [first + gap * number for number in range(len(context.retries_s))]
     pairs = zip(context.retries_s, wanted, strict=True)
-    assert all(abs(one - other) < 1e-6 for one, other in pairs), context.retries_s
+    assert all(abs(found - expected) < 1e-6 for found, expected in pairs), context.retries_s
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -157,8 +157,8 @@
 
 def check_runs(sort: str, answer: Received, seen: list[ReceivedRequest]) -> None:
     """Compare the caller's response with the runs that the upstreams saw."""
-    runs = sum(not one.is_resumed for one in seen)
-    evidence = (answer, [(one.headers.get("kv-from"), one.is_resumed) for one in seen])
+    runs = sum(not request.is_resumed for request in seen)
+    evidence = (answer, [(each.headers.get("kv-from"), each.is_resumed) for each in seen])
     assert runs <= (2 if sort == "safe" else 1), evidence
     if answer.status in NOT_RUN_STATUSES:
         assert not seen, evidence
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -299,26 +299,26 @@
 @given('a book that knows zone "a" as cordoned at 1.90 of 1.100')
 def cordoned(context: Any) -> None:
     """Record the cordon."""
-    context.book = CordonRegistry()
-    context.book.merge(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
+    context.cordons = CordonRegistry()
+    context.cordons.merge(Cordons(version("1.100"), (Cordon("a", version("1.90")),)))
 
 
 @when("the store has come back and its list as of 2.50 names no zone")
 def names_none(context: Any) -> None:
     """Process the list while the store may be incomplete."""
-    context.book.merge(Cordons(version("2.50")), keeps_missing=True)
+    context.cordons.merge(Cordons(version("2.50")), keeps_missing=True)
 
 
 @then('zone "a" is cordoned')
 def still_cordoned(context: Any) -> None:
     """Check the cordons."""
-    assert context.book.zones == {"a"}
+    assert context.cordons.zones == {"a"}
 
 
 @then("the list after that ends it")
 def lifted(context: Any) -> None:
     """Process the next list."""
-    assert context.book.merge(Cordons(version("2.50"))).lifted == {"a"}
+    assert context.cordons.merge(Cordons(version("2.50"))).lifted == {"a"}
 
 
 def policy_text(name: str) -> str:
