--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -114,7 +114,7 @@
         world.pass_time(0.01)
         if len(chosen()) == 2:
             return
-    raise AssertionError("the cold one is never chosen")
+    raise AssertionError("the cold upstream is never chosen")
 
 
 @given("an upstream that says it is cold for {seconds:g} s")
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -204,15 +204,15 @@
 @when('zone "a" is cordoned while its connection is being opened')
 def cordoned_while_opened(context: Any) -> None:
     """Cordon the zone after the upstream is chosen and before the request is sent."""
-    world, usual = world_of(context), UpstreamExchange.connect.__func__  # type: ignore[attr-defined]
+    world, original = world_of(context), UpstreamExchange.connect.__func__  # type: ignore[attr-defined]
 
     def connect(kind: type[UpstreamExchange], address: str, timeout_s: float) -> UpstreamExchange:
-        opened: UpstreamExchange = usual(kind, address, timeout_s)
+        opened: UpstreamExchange = original(kind, address, timeout_s)
         cordon(world, "a")
         return opened
 
     UpstreamExchange.connect = classmethod(connect)  # type: ignore[method-assign, assignment]
-    context.add_cleanup(setattr, UpstreamExchange, "connect", classmethod(usual))
+    context.add_cleanup(setattr, UpstreamExchange, "connect", classmethod(original))
     # The engine in zone "b" is so full that zone "a" is chosen.
     world.state.loads.set_load("load", _share(world.engines[2].upstream_id))
 
--- a/features/steps/crash_blame_steps.py
+++ b/features/steps/crash_blame_steps.py
@@ -108,7 +108,7 @@
 
 
 @then("at most {most:d} are told, it among them")
-def told_bounded(context: Any, most: int) -> None:
+def report_bounded(context: Any, most: int) -> None:
     """Check the reports for peers."""
     reports = context.tracker.reports(3.0)
     assert len(reports) <= most and reports[0].fingerprint == ONE, reports[:2]
@@ -200,7 +200,7 @@
 
 
 @given("two books with 9 crashes under a request, the first two of them noticed in different order")
-def two_books(context: Any) -> None:
+def two_trackers(context: Any) -> None:
     """Record the first two crashes in different order at two instances."""
     context.trackers = [PoisonTracker(), PoisonTracker()]
     later = [(f"u{number}", float(number)) for number in range(3, 10)]
@@ -210,7 +210,7 @@
 
 
 @when("they tell each other what they know {times:d} times")
-def tell_each_other(context: Any, times: int) -> None:
+def exchange_with_each_other(context: Any, times: int) -> None:
     """Exchange reports, and record whether the last exchange changed anything."""
     first, second = context.trackers
     for number in range(times):
@@ -238,7 +238,7 @@
 
 
 @when("they tell each other what they know {times:d} times, each word 50 ms on its way")
-def tell_with_delay(context: Any, times: int) -> None:
+def exchange_with_delay(context: Any, times: int) -> None:
     """Exchange delayed reports for some time."""
     for number in range(times):
         for sender, recipient in (context.trackers, reversed(context.trackers)):
--- a/features/steps/crash_refusal_steps.py
+++ b/features/steps/crash_refusal_steps.py
@@ -55,9 +55,9 @@
     """Start a gateway with crash detection and without peers."""
     world = context.world = GatewayWorld()
     context.add_cleanup(world.close)
-    usual = crash_detector.RECHECK_DELAY_S
+    original = crash_detector.RECHECK_DELAY_S
     crash_detector.RECHECK_DELAY_S = 0.01  # type: ignore[misc]
-    context.add_cleanup(setattr, crash_detector, "RECHECK_DELAY_S", usual)
+    context.add_cleanup(setattr, crash_detector, "RECHECK_DELAY_S", original)
     context.quarantined = []
     detector = CrashDetector(
         world.state,
@@ -199,13 +199,13 @@
 
 
 @given('a peer tells of two crashes under "/stream/x"')
-def told_crashes(context: Any) -> None:
+def peer_reports_crashes(context: Any) -> None:
     """Merge a report of two recent crashes."""
     merge_crashes(context)
 
 
 @given('the engine of "{request_id}" will break off just after a peer has told of two crashes')
-def told_before_break(context: Any, request_id: str) -> None:
+def reported_before_break(context: Any, request_id: str) -> None:
     """Script a break when the backup is ready, and merge a peer's report before it."""
     stream_script(context, request_id, Script(break_after=3))
     await_copy(context, 3, lambda: merge_crashes(context))
@@ -219,7 +219,7 @@
 
 
 @given('a peer tells of two crashes under "/stream/x", so long ago that it may be tried again')
-def told_old_crashes(context: Any) -> None:
+def peer_reports_old_crashes(context: Any) -> None:
     """Merge a report of crashes whose quarantine has ended."""
     merge_crashes(context, QUARANTINE_DURATIONS_S[0] + 1)
 
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -31,7 +31,7 @@
 NUMBERS: Final = itertools.count(1)
 
 
-def usual() -> Script:
+def ordinary_stream() -> Script:
     """Return the script of an ordinary stream: events for one second."""
     return Script(events=20, event_pause_s=0.05)
 
@@ -45,7 +45,7 @@
         self.crashes: list[float] = []
         self._store = store
         super().__init__(
-            count, usual, self._is_fatal, on_joined=self._list, on_removed=self._unlist
+            count, ordinary_stream, self._is_fatal, on_joined=self._list, on_removed=self._unlist
         )
 
     def sends_of(self, target: str) -> list[float]:
--- a/features/steps/foreign_entry_steps.py
+++ b/features/steps/foreign_entry_steps.py
@@ -94,7 +94,7 @@
 
 
 @then("a drawn document of {kind} is decoded or reported, and nothing else, from seed {number:d}")
-def drawn_documents(context: Any, kind: str, number: int) -> None:
+def generated_documents(context: Any, kind: str, number: int) -> None:
     """Decode generated documents, and samples with one value replaced anywhere."""
 
     @seed(number)
@@ -188,11 +188,11 @@
 def torn_change(context: Any) -> None:
     """Let a watch return a malformed change, and count the following lists."""
     context.lists = 0
-    usual = context.store.list
+    original = context.store.list
 
     def count(kind: str, *, stale: bool = False) -> Listing:
         context.lists += 1
-        listing: Listing = usual(kind, stale=stale)
+        listing: Listing = original(kind, stale=stale)
         return listing
 
     raw = {"events": [{"object": row("u1", None), "gone": True}], "at": 11}
--- a/features/steps/gateway_call_steps.py
+++ b/features/steps/gateway_call_steps.py
@@ -180,7 +180,7 @@
 
 
 @given('the upstream of "{request_id}" will {fault}')
-def will(context: Any, request_id: str, fault: str) -> None:
+def script_fault(context: Any, request_id: str, fault: str) -> None:
     """Script one fault, in a copy since a script holds the state of its request."""
     script = FAULTS[fault].with_new_events()
     context.script = script
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -75,13 +75,13 @@
 
 
 @when('old news say that "{name}" is ready')
-def old_news(context: Any, name: str) -> None:
+def stale_update(context: Any, name: str) -> None:
     """Apply a stale update."""
     apply_event(context, Changed(upstream_of(name, 4), False), 1.1)
 
 
 @then('it is told once that "{name}" is leaving')
-def told_once(context: Any, name: str) -> None:
+def reported_once(context: Any, name: str) -> None:
     """Check that one leaving action was returned for the upstream."""
     leaving: list[FleetAction] = [
         action for action in context.actions if isinstance(action, UpstreamLeaving)
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -48,14 +48,14 @@
         return 200, {"handle": "copy-s1", "made": 8}
 
     engine.move_answers = [answer_late]
-    step = gevent.spawn(world.mover.copy, run, target)
-    wait_for("the step is taken", lambda: not engine.move_answers)
+    copying = gevent.spawn(world.mover.copy, run, target)
+    wait_for("the copy is requested", lambda: not engine.move_answers)
     context.script.break_after = 8
     script_upstreams(world, "s1", [Script(events=9)])
     context.script.gate.set()
     context.answer = context.asked.get(timeout=5.0)
     context.script.late.set()
-    step.get(timeout=5.0)
+    copying.get(timeout=5.0)
     context.broken_run = run
 
 
@@ -161,9 +161,9 @@
 @when("its engine gives notice, and ends long after the last step")
 def ends_long_after(context: Any) -> None:
     """Advance the clock past a replica's maximum age between the final copy and the end."""
-    usual = moves.MAX_REPLICA_AGE_S
+    original = moves.MAX_REPLICA_AGE_S
     moves.MAX_REPLICA_AGE_S = 0.5  # type: ignore[misc]
-    context.add_cleanup(setattr, moves, "MAX_REPLICA_AGE_S", usual)
+    context.add_cleanup(setattr, moves, "MAX_REPLICA_AGE_S", original)
     end_after_final_copy(context, after_s=0.6)
 
 
@@ -258,7 +258,7 @@
     """Wait for the replica, and check its engine and its load."""
     world = world_of(context)
     (run,) = world.state.runs.all
-    wait_for("a copy is kept", lambda: run.replica is not None)
+    wait_for("a replica exists", lambda: run.replica is not None)
     others = [engine for engine in world.engines if engine is not context.engine]
     assert any(f"copy-{request_id}" in engine.copies for engine in others)
     assert run.replica is not None
@@ -271,7 +271,7 @@
     world = world_of(context)
     (run,) = world.state.runs.all
     memory_full(context)
-    wait_for("the copy is dropped", lambda: run.replica is None)
+    wait_for("the replica is dropped", lambda: run.replica is None)
     wait_for("its memory is free", lambda: not any(engine.copies for engine in world.engines))
     context.script.gate.set()
 
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -100,9 +100,9 @@
 @given('the engine of "{request_id}" pauses between events for longer than a copy is waited with')
 def pauses(context: Any, request_id: str) -> None:
     """Let an engine pause for longer than the gateway's silence timeout."""
-    usual = streams.SILENCE_TIMEOUT_S
+    original = streams.SILENCE_TIMEOUT_S
     streams.SILENCE_TIMEOUT_S = PAUSE_S / 4  # type: ignore[misc]
-    context.add_cleanup(setattr, streams, "SILENCE_TIMEOUT_S", usual)
+    context.add_cleanup(setattr, streams, "SILENCE_TIMEOUT_S", original)
     stream_script(context, request_id, Script(event_pause_s=PAUSE_S))
 
 
@@ -126,15 +126,15 @@
 @given("its caller takes each event late")
 def slow_caller(context: Any) -> None:
     """Advance the clock while an event is written to the caller."""
-    world, usual = world_of(context), CallerConnection.write
+    world, original = world_of(context), CallerConnection.write
 
     def write(connection: CallerConnection, data: bytes) -> bool:
         if b"piece" in data:
             world.pass_time(BACKUP_READY_AFTER_S / 2)
-        return usual(connection, data)
+        return original(connection, data)
 
     CallerConnection.write = write  # type: ignore[method-assign, assignment]
-    context.add_cleanup(setattr, CallerConnection, "write", usual)
+    context.add_cleanup(setattr, CallerConnection, "write", original)
 
 
 @then('no engine that "{request_id}" has run on was asked to keep its copy')
@@ -256,9 +256,9 @@
     """Check the events of a complete stream."""
     if hasattr(context, "asked"):
         context.answer = context.asked.get(timeout=5.0)
-    wanted = b"".join(event_bytes(number) for number in range(1, count + 1))
+    expected = b"".join(event_bytes(number) for number in range(1, count + 1))
     answer = context.answer
-    assert (answer.status, answer.body, answer.whole) == (200, wanted, True), answer
+    assert (answer.status, answer.body, answer.whole) == (200, expected, True), answer
 
 
 @then('{count:d} events of "{request_id}" came, in order, and no end')
@@ -266,9 +266,9 @@
     """Check the events of a stream that was broken off."""
     if hasattr(context, "asked"):
         context.answer = context.asked.get(timeout=5.0)
-    wanted = b"".join(event_bytes(number) for number in range(1, count + 1))
+    expected = b"".join(event_bytes(number) for number in range(1, count + 1))
     answer = context.answer
-    assert (answer.status, answer.body, answer.whole) == (200, wanted, False), answer
+    assert (answer.status, answer.body, answer.whole) == (200, expected, False), answer
 
 
 @then('"{request_id}" went on from its backup after event {number:d}')
@@ -323,7 +323,7 @@
     """Close the caller's connection and wait until the run has ended."""
     context.asked.kill()
     context.asked_connection.close()
-    wait_for("it is noticed", lambda: not world_of(context).state.runs.all)
+    wait_for("the run has ended", lambda: not world_of(context).state.runs.all)
     context.script.gate.set()
 
 
--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -341,7 +341,7 @@
 
 
 @then("they are told to come back {gap:g} s apart, the first after {first:g} s")
-def told_apart(context: Any, gap: float, first: float) -> None:
+def retries_apart(context: Any, gap: float, first: float) -> None:
     """Compare the retry times."""
     wanted = [first + gap * number for number in range(len(context.retries_s))]
     pairs = zip(context.retries_s, wanted, strict=True)
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -191,7 +191,7 @@
 
 
 @then("it is told that there is no room, and {what} counts")
-def told_no_room(context: Any, what: str) -> None:
+def answered_no_room(context: Any, what: str) -> None:
     """Check the latest answer and the totals."""
     assert not context.sent[-1].has_room
     counted = sum(use.running for use in context.state.loads.sorted_totals(context.at))
@@ -213,11 +213,11 @@
 def some_compared(context: Any, asks: int, least: int) -> None:
     """Ask, and count the compared engines."""
     compared: list[int] = []
-    usual = context.state.loads.use
+    original = context.state.loads.use
 
     def use(upstream_id: str, now: float) -> Any:
         compared.append(1)
-        return usual(upstream_id, now)
+        return original(upstream_id, now)
 
     context.state.loads.use = use
     given_to = set()
--- a/features/steps/process_crash_steps.py
+++ b/features/steps/process_crash_steps.py
@@ -112,7 +112,7 @@
 
 
 @then("the first instance names one request that is refused, with the engines that have ended")
-def names_one(context: Any) -> None:
+def lists_quarantined(context: Any) -> None:
     """Check the quarantined request that the operators' listener reports."""
     (refused,) = refused_at(context, 0)
     ended = {engine.name for engine in context.own.engines if not engine.running}
--- a/features/steps/process_stop_steps.py
+++ b/features/steps/process_stop_steps.py
@@ -49,7 +49,7 @@
 
 
 @then('runner "{name}" gets work again once it is back')
-def back(context: Any, name: str) -> None:
+def works_after_return(context: Any, name: str) -> None:
     """Let the runner return, and wait until it receives work."""
     bench = context.bench
     bench.list_member(name, {"role": "runner", "address": "", "state": "live"})
--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -102,7 +102,7 @@
 
 
 @then("the frozen engine was asked, and is let go on")
-def thaw(context: Any) -> None:
+def unfreeze_engine(context: Any) -> None:
     """Check that the frozen engine received work, and end the fault."""
     engine = context.bench.engines[0]
     assert engine.stats()["running"] + engine.stats().get("cancelled", 0) > 0
@@ -120,7 +120,7 @@
 
 
 @when("a caller asks and vanishes")
-def vanish(context: Any) -> None:
+def caller_disconnects(context: Any) -> None:
     """Open a stream and close the connection after its first event."""
     address = live(context.bench)[0].address
     body = (
--- a/features/steps/response_signal_steps.py
+++ b/features/steps/response_signal_steps.py
@@ -63,12 +63,12 @@
     for upstream in (*world.plain, *world.engines):
         upstream.leaves = True
     context.leaving = []
-    usual = world.handle_leaving_signal
+    original = world.handle_leaving_signal
 
     def first_only(upstream_id: str) -> None:
         if not context.leaving:
             context.leaving.append(upstream_id)
-            usual(upstream_id)
+            original(upstream_id)
 
     world.state.signals.on_leaving = first_only
     RESPONSES[response](world)
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -110,24 +110,24 @@
     except PlatformUnavailable:
         assert context.store.era == 3
         return
-    raise AssertionError("it was believed")
+    raise AssertionError("the answer was accepted")
 
 
 @when("a watch from the version 3.40 is answered in the era 4")
 def watch_answered(context: Any) -> None:
     """Start a watch."""
     context.era_store.era = "4"
-    context.gone = False
+    context.history_unavailable = False
     try:
         context.store.watch(KIND_UPSTREAMS, version("3.40"), 0.1)
     except HistoryUnavailable:
-        context.gone = True
+        context.history_unavailable = True
 
 
 @then("its history counts as gone, and the era is 4")
 def history_gone(context: Any) -> None:
     """Check the failed watch and the era."""
-    assert context.gone and context.store.era == 4
+    assert context.history_unavailable and context.store.era == 4
 
 
 @then("to replace an object at 2.40 is refused, and the store gets no call")
@@ -364,27 +364,27 @@
 @when('the store holds "first" as of 2.40')
 def holds_first(context: Any) -> None:
     """List the policy of the restored store, and compare it."""
-    context.kept = StubPolicyStore(stored("first", "2.40"))
-    context.policies.listed((context.kept.held,), version("2.41"))
-    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
+    context.policy_store = StubPolicyStore(stored("first", "2.40"))
+    context.policies.listed((context.policy_store.held,), version("2.41"))
+    PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
 
 
 @then('"second" is in force, and is written again in its place')
 def second_holds(context: Any) -> None:
     """Check the policy in force and the write."""
     assert context.world.state.policy.name == "second"
-    assert context.kept.written == [policy_text("second")]
+    assert context.policy_store.written == [policy_text("second")]
 
 
 @then('"third", submitted as of 2.45, comes into force and is not overwritten')
 def third_holds(context: Any) -> None:
     """List the submitted policy."""
-    context.kept = StubPolicyStore(stored("third", "2.45"))
-    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
-    context.policies.listed((context.kept.held,), version("2.46"))
+    context.policy_store = StubPolicyStore(stored("third", "2.45"))
+    PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
+    context.policies.listed((context.policy_store.held,), version("2.46"))
     assert context.world.state.policy.name == "third"
-    PolicyPersistence(context.policies, context.kept).rewrite_if_lost()
-    assert context.kept.written == []
+    PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
+    assert context.policy_store.written == []
 
 
 @given('a policy "first" is in force as of 2.40, the first one known here')
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -53,11 +53,11 @@
     context.version = 3
     context.store.create(KIND_CONFIG, NAME_CONFIG, document(context.version))
     names = [f"p-{n}" for n in range(1, count + 1)]
-    context.upstreams = {name: RoutedUpstream(name, usual) for name in names}
+    context.upstreams = {name: RoutedUpstream(name, ordinary_call) for name in names}
     for upstream in context.upstreams.values():
         context.add_cleanup(upstream.stop)
     for name in (*KEPT, "p-3"):
-        put(context, name)
+        list_portal(context, name)
     context.nodes = []
     for _ in range(4):
         seeds = [node.listen["control"] for node in context.nodes]
@@ -77,7 +77,7 @@
     context.store_bench.platform.control(script)
 
 
-def put(context: Any, name: str) -> None:
+def list_portal(context: Any, name: str) -> None:
     """List a portal."""
     spec = entry_spec(context.upstreams[name].address, "portal", slots=6)
     write_with_retries(lambda: context.store.create(KIND_UPSTREAMS, name, spec))
@@ -103,7 +103,7 @@
     write_with_retries(lambda: context.store.replace(KIND_CONFIG, NAME_CONFIG, wanted))
 
 
-def usual() -> Script:
+def ordinary_call() -> Script:
     """Return the script of an upstream's call."""
     return Script(work_s=WORK_S)
 
@@ -220,7 +220,7 @@
 @then("an upstream that is listed then takes requests at all instances within {seconds:g} s")
 def upstream_then(context: Any, seconds: float) -> None:
     """List an upstream and wait until all instances use it."""
-    put(context, "p-4")
+    list_portal(context, "p-4")
     used_by_all(context, "p-4", time.monotonic() + seconds)
 
 
@@ -288,7 +288,7 @@
 @given("an upstream was listed after the copy")
 def listed_after(context: Any) -> None:
     """List it, and wait until all instances use it."""
-    put(context, "p-4")
+    list_portal(context, "p-4")
     used_by_all(context, "p-4", time.monotonic() + 3.0)
 
 
@@ -303,7 +303,7 @@
             ask_together(node)
             if arrivals(context, "p-4") == before:
                 context.unused.append((node.name, time.monotonic() - context.back_at))
-    put(context, "p-4")
+    list_portal(context, "p-4")
 
 
 @then("all instances went on to use it")
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -49,12 +49,12 @@
         """Suspend the machine for that time."""
         self._suspended_s += seconds
 
-    def _shift_boottime(self, usual: Any) -> Any:
+    def _shift_boottime(self, original: Any) -> Any:
         """Return a clock_gettime whose CLOCK_BOOTTIME includes the suspensions."""
 
         def read(clock: int) -> float:
             offset_s = self._suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
-            return float(usual(clock)) + offset_s
+            return float(original(clock)) + offset_s
 
         return read
 
@@ -81,7 +81,7 @@
     """Suspend the machine once the upstream has the request, and measure the time to its end."""
     world = world_of(context)
     job = world.ask_later(path, "r1")
-    with gevent.Timeout(WAIT_S, AssertionError("no upstream has it")):
+    with gevent.Timeout(WAIT_S, AssertionError("no upstream received the request")):
         while not runs(world, "r1"):
             gevent.sleep(0.01)
     gevent.sleep(0.05)
@@ -102,12 +102,12 @@
 def suspended_before_send(context: Any, seconds: float) -> None:
     """Suspend the machine while the upstream is chosen."""
     world = world_of(context)
-    usual = world.state.options
+    original = world.state.options
 
     def options(*values: Any, **more: Any) -> Any:
         context.machine.suspend(seconds)
-        world.state.options = usual  # type: ignore[method-assign]
-        return usual(*values, **more)
+        world.state.options = original  # type: ignore[method-assign]
+        return original(*values, **more)
 
     world.state.options = options  # type: ignore[method-assign]
 
