--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Hold the upstreams of a run: stand-ins behind proxies, each listed in the store."""
+"""The upstreams of a run: stand-ins behind fault-injecting proxies, with entries in the store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 EVENTS: Final = 25
 EVENT_PAUSE_S: Final = 0.03
 WORK_S: Final = 0.02
-SERVES_ON_S: Final = {
+DRAINING_S: Final = {
     Plan.MIXED: (2.5, 2.5),
     Plan.LEAVING: (3.0, 12.0),
     Plan.ZONES: (3.0, 6.0),
@@ -34,30 +34,30 @@
     Plan.UNSEEN: (4.5, 6.5),
     Plan.SIGNALLING: (3.0, 10.0),
 }
-"""For how long an upstream serves on after its notice: drainMs and a little longer, at times many
-seconds. Only one that serves on shows who still sends to it."""
+"""Range of the time for which a leaving upstream continues to serve: drainMs and a little longer,
+in some plans many seconds. Only an upstream that still serves shows which instances send to it."""
 LIMITS: Final = (0.5, 1.5, 2.1, 4.0)
-"""Requests a second that upstreams name."""
-FALLS_TO: Final = 0.5
-"""Share of its limit that an upstream names in the second half of that time."""
+"""Rate limits that upstreams announce, in requests a second."""
+LOWERED_LIMIT_SHARE: Final = 0.5
+"""Share of its first limit that an upstream announces in the second half of the time."""
 BACKOFFS: Final = ("0.8", "2", "3")
-"""Seconds of back-off that upstreams request."""
+"""Back-offs that upstreams request, in seconds."""
 REJECTED_SHARES: Final = (0.5, 1.0)
-ENDS_SOON: Final = {"state": "draining", "leaves_ms": 4_000}
-"""What an engine reports that has been told when it ends."""
+LEAVING_REPORT: Final = {"state": "draining", "leaves_ms": 4_000}
+"""The state that a leaving engine reports to probes."""
 COLD_S: Final = 2.5
-"""How long an upstream is cold after it has started again."""
+"""Time for which an upstream is cold after a restart."""
 LAPSE_S: Final = 1.5
-"""The entry of one that crashed goes after so long."""
+"""Time after which the entry of a crashed upstream is deleted."""
 STORE_RETRY_S: Final = 0.1
 
 
 FATAL: Final = "/stream/fatal"
-"""Begins the paths of requests that end each upstream that runs them."""
+"""Prefix of the paths of requests that crash each upstream that runs them."""
 FATAL_AFTER_S: Final = (0.05, 0.4)
-"""How long after it has begun a request ends its upstream."""
+"""Range of the time from the start of a fatal request to the crash of its upstream."""
 
-BROKEN_OFF_SHARE: Final = 0.5
+INTERRUPTED_SHARE: Final = 0.5
 BREAKS: Final[tuple[dict[str, Any], ...]] = (
     {"reset": True},
     {"reset_after_head": True, "cut_after": 0},
@@ -65,58 +65,58 @@
     {"break_after": EVENTS - 2, "cut_after": 2},
     {"break_after": EVENTS - 2, "half_event": True, "cut_after": 4},
 )
-"""Where a stream, or a plain call's answer, is broken off."""
+"""Points at which a stream, or the response to a plain call, is interrupted."""
 
 
-def usual() -> Script:
-    """Return what upstreams do with a request."""
+def default_script() -> Script:
+    """Return the script of a request that is served without a fault."""
     return Script(events=EVENTS, event_pause_s=EVENT_PAUSE_S, work_s=WORK_S)
 
 
 class RecordingUpstream(RoutedUpstream):
-    """Serve as a stand-in, and record when each request arrived."""
+    """A stand-in that records when each request arrives."""
 
     def __init__(
         self,
         upstream_id: str,
         ledger: Ledger,
         source: random.Random,
-        end: Callable[[RecordingUpstream, str], None],
+        on_fatal: Callable[[RecordingUpstream, str], None],
     ) -> None:
-        """Start to listen; end is told of a path whose request ends this upstream."""
+        """Start to listen; on_fatal is called with the path of a request that crashes it."""
         super().__init__(upstream_id, self._script)
         self.arrival_records = ledger.received[upstream_id]
         self.signalled_leaving = ledger.signalled_leaving[upstream_id]
         self.rejections = ledger.rejections[upstream_id]
-        self._end = end
+        self._on_fatal = on_fatal
         self._ledger = ledger
         self._source = source
-        self._breaks_off_until = float("-inf")
+        self._interrupts_until = float("-inf")
 
     def break_off(self, for_s: float) -> None:
-        """Break off some requests for a while."""
-        self._breaks_off_until = time.monotonic() + for_s
+        """Interrupt INTERRUPTED_SHARE of the requests for some seconds."""
+        self._interrupts_until = time.monotonic() + for_s
 
     def _script(self) -> Script:
-        """Return what happens to a request that came now."""
-        breaks_off = time.monotonic() < self._breaks_off_until
-        if breaks_off and self._source.random() < BROKEN_OFF_SHARE:
-            return replace(usual(), **self._source.choice(BREAKS))
-        return usual()
+        """Return the script of a request that arrives now."""
+        is_interrupting = time.monotonic() < self._interrupts_until
+        if is_interrupting and self._source.random() < INTERRUPTED_SHARE:
+            return replace(default_script(), **self._source.choice(BREAKS))
+        return default_script()
 
     def record_request(self, seen: ReceivedRequest) -> None:
-        """Record a request that is run here."""
+        """Record the arrival of a request, and schedule the crash if the request is fatal."""
         now = time.monotonic()
         self._ledger.arrivals.append(
             Arrival(seen.request_id, self.upstream_id, seen.target, now, seen.is_resumed)
         )
         if seen.target.startswith(FATAL):
             after_s = self._source.uniform(*FATAL_AFTER_S)
-            gevent.spawn_later(after_s, self._end, self, seen.target)
+            gevent.spawn_later(after_s, self._on_fatal, self, seen.target)
 
 
 class UpstreamSlot:
-    """Hold one place of the fleet: a new upstream takes it when the old one goes."""
+    """A place in the fleet; a new upstream is started in it when the old one ends."""
 
     def __init__(
         self,
@@ -127,9 +127,9 @@
         source: random.Random,
         plan: Plan = Plan.MIXED,
     ) -> None:
-        """Start the first upstream; the source draws what it breaks off."""
+        """Start the first upstream; source is the generator for its faults."""
         self._source = source
-        self._serves_on = SERVES_ON_S[plan]
+        self._draining_s = DRAINING_S[plan]
         self.place = place
         self.service = service
         self._store = store
@@ -138,37 +138,37 @@
         self._starts = itertools.count(1)
         self.all: list[UpstreamSlot] = []
         self._listed: dict[str, dict[str, Any]] = {}
-        """What each entry that is to be there says."""
+        """Specs of the entries that the store should have, by name."""
         self._unlisted: set[str] = set()
-        """Names of entries that are to be gone."""
+        """Names of the entries that the store should not have."""
         self._proxies: dict[str, Proxy] = {}
-        """By the upstreams that run, also those that are leaving."""
-        self._begin()
+        """Proxies of all running upstreams, including leaving ones, by upstream id."""
+        self._start_new()
 
-    def _begin(self) -> None:
-        """Start an upstream with a new id, and list it."""
+    def _start_new(self) -> None:
+        """Start an upstream with a new id, and create its entry."""
         name = f"{self.service}-{self.place}-{next(self._starts)}"
         self._born += 1
-        self._open(name)
+        self._listen(name)
         self._write(name, self._spec("ready"))
 
-    def _open(self, name: str) -> None:
-        """Start a process that listens behind a proxy of its own."""
-        self.upstream = RecordingUpstream(name, self._ledger, self._source, self._end_under)
+    def _listen(self, name: str) -> None:
+        """Start an upstream that listens behind a proxy of its own."""
+        self.upstream = RecordingUpstream(name, self._ledger, self._source, self._crash_under)
         self.proxy = Proxy(self.upstream.address)
         self._proxies[name] = self.proxy
-        for one in self.all:
-            one.upstream.peers = {other.proxy.address: other.upstream for other in self.all}
+        for slot in self.all:
+            slot.upstream.peers = {other.proxy.address: other.upstream for other in self.all}
 
     def break_off(self, for_s: float) -> None:
-        """Let all upstreams of the service break off some requests for a while."""
-        for one in self.all:
-            one.upstream.break_off(for_s)
+        """Let all upstreams of the service interrupt some requests for some seconds."""
+        for slot in self.all:
+            slot.upstream.break_off(for_s)
 
-    def write_again(self) -> None:
-        """Write all entries again, and delete again what is to be gone: the store was an older one.
+    def restore_entries(self) -> None:
+        """Write and delete all entries again after the store was restored from a snapshot.
 
-        When a notice was taken first is remembered, and counts.
+        Notices keep the time at which the store first took them.
         """
         for name, spec in list(self._listed.items()):
             self._write(name, spec)
@@ -176,42 +176,42 @@
             self._delete(name)
 
     def limit(self, for_s: float) -> None:
-        """Name a limit with all answers for a while, and a lower one in the second half."""
+        """Announce a rate limit with all responses, and a lower one in the second half."""
         upstream = self.upstream
         if upstream.rate_limit is not None:
             return
         per_s = self._source.choice(LIMITS)
-        for limit, is_first in ((per_s, True), (per_s * FALLS_TO, False)):
+        for limit, is_first in ((per_s, True), (per_s * LOWERED_LIMIT_SHARE, False)):
             upstream.rate_limit = limit
             began = time.monotonic()
             gevent.sleep(for_s / 2)
             window = Window(began, time.monotonic())
-            named = LimitPeriod(upstream.upstream_id, limit, window, is_first)
-            self._ledger.limited.append(named)
+            period = LimitPeriod(upstream.upstream_id, limit, window, is_first)
+            self._ledger.limited.append(period)
         upstream.rate_limit = None
 
     def leave(self) -> None:
-        """Say so in the store, serve on for a while and end; another one comes."""
+        """Mark the entry as draining, start a successor, and end after the draining time."""
         old, proxy = self.upstream, self.proxy
         self._write(old.upstream_id, self._spec("draining"))
-        self._note(old.upstream_id)
-        self._begin()
-        gevent.spawn_later(self._source.uniform(*self._serves_on), self._end, old, proxy)
+        self._record_notice(old.upstream_id)
+        self._start_new()
+        gevent.spawn_later(self._source.uniform(*self._draining_s), self._end, old, proxy)
 
     def leave_unseen(self) -> None:
-        """Say so to who asks, serve on for a while and end; the store hears of it when it can."""
+        """Report to probes that the upstream is leaving, and to the store once it answers."""
         old, proxy = self.upstream, self.proxy
-        old.report = ENDS_SOON
+        old.report = LEAVING_REPORT
         self._ledger.leaving_reports[old.upstream_id] = Notice(old.upstream_id, time.monotonic())
-        gevent.spawn_later(self._source.uniform(*self._serves_on), self._end, old, proxy)
+        gevent.spawn_later(self._source.uniform(*self._draining_s), self._end, old, proxy)
         self._write(old.upstream_id, self._spec("draining"))
-        self._note(old.upstream_id)
-        self._begin()
+        self._record_notice(old.upstream_id)
+        self._start_new()
 
     def leave_signalled(self, for_s: float) -> None:
-        """Signal that it leaves; another one comes soon.
+        """Signal with responses that the upstream is leaving, and start a successor later.
 
-        Its entry stays ready until it ends, and is written again with something else changed.
+        The entry stays ready until the upstream ends, and is written with another version.
         """
         old, proxy = self.upstream, self.proxy
         if old.leaves:
@@ -219,58 +219,58 @@
         old.leaves = True
         gevent.sleep(for_s)
         gevent.spawn(self._write, old.upstream_id, self._spec("ready") | {"version": "2"})
-        self._begin()
-        gevent.spawn_later(self._source.uniform(*self._serves_on), self._end, old, proxy)
+        self._start_new()
+        gevent.spawn_later(self._source.uniform(*self._draining_s), self._end, old, proxy)
 
     def reject(self, for_s: float) -> None:
-        """Reject all or half of the requests with a back-off for a while."""
+        """Reject all or half of the requests with a back-off for some seconds."""
         upstream = self.upstream
         upstream.backoff = self._source.choice(BACKOFFS)
         upstream.rejected_share = self._source.choice(REJECTED_SHARES)
         gevent.sleep(for_s)
         upstream.rejected_share = 0.0
 
-    def start_again(self) -> None:
-        """End at once and start again under the name, cold; the entry tells of it."""
+    def restart(self) -> None:
+        """Restart the upstream at once under the same id; its entry says that it is cold."""
         old, proxy = self.upstream, self.proxy
         proxy.stop()
         old.stop()
         self._born += 1
-        self._open(old.upstream_id)
+        self._listen(old.upstream_id)
         now = time.monotonic()
         self._ledger.cold.append(UpstreamPeriod(old.upstream_id, Window(now, now + COLD_S)))
         self._write(old.upstream_id, self._spec("ready", cold_s=COLD_S))
-        gevent.spawn_later(COLD_S, self._warm, old.upstream_id, self._born)
+        gevent.spawn_later(COLD_S, self._end_cold, old.upstream_id, self._born)
 
-    def _warm(self, name: str, born: int) -> None:
-        """Say that it is cold no more, unless another one has its place by now."""
+    def _end_cold(self, name: str, born: int) -> None:
+        """Write that the upstream is no longer cold, unless it was replaced meanwhile."""
         if self.upstream.upstream_id == name and self._born == born:
             self._write(name, self._spec("ready"))
 
     def remove(self) -> None:
-        """Be gone from the store without a word, serve on for a while and end."""
+        """Delete the entry without a notice, and end after the draining time."""
         old, proxy = self.upstream, self.proxy
         self._delete(old.upstream_id)
-        self._begin()
-        gevent.spawn_later(self._source.uniform(*self._serves_on), self._end, old, proxy)
+        self._start_new()
+        gevent.spawn_later(self._source.uniform(*self._draining_s), self._end, old, proxy)
 
     def crash(self) -> None:
-        """End at once; the entry lapses later."""
+        """End at once; the entry is deleted after LAPSE_S."""
         old, proxy = self.upstream, self.proxy
         self._proxies.pop(old.upstream_id, None)
-        self._begin()
+        self._start_new()
         proxy.stop()
         gevent.spawn_later(LAPSE_S, self._delete, old.upstream_id)
         gevent.spawn_later(LAPSE_S, old.stop)
 
-    def _end_under(self, old: RecordingUpstream, target: str) -> None:
-        """End an upstream under a request, with all that runs there; once."""
+    def _crash_under(self, old: RecordingUpstream, target: str) -> None:
+        """Crash an upstream because of a fatal request, unless it has already ended."""
         proxy = self._proxies.pop(old.upstream_id, None)
         if proxy is None:
             return
         now = time.monotonic()
         self._ledger.fatal_crashes.append(FatalCrash(old.upstream_id, target, now))
-        # First: the entry of the next one may have to wait for the store.
+        # The proxy is stopped first: writing the successor's entry may have to wait for the store.
         proxy.stop()
         if self.upstream is old:
             self.crash()
@@ -278,7 +278,7 @@
             old.stop()
 
     def _end(self, old: RecordingUpstream, proxy: Proxy) -> None:
-        """End an upstream that has left."""
+        """End an upstream after its draining time, and delete its entry."""
         self._proxies.pop(old.upstream_id, None)
         proxy.stop()
         old.stop()
@@ -286,11 +286,11 @@
 
     @property
     def zone(self) -> str:
-        """Return the zone of this place."""
+        """Return the zone of this slot."""
         return ZONES[self.place % len(ZONES)]
 
     def _spec(self, state: str, cold_s: float = 0.0) -> dict[str, Any]:
-        """Return the entry in the store."""
+        """Return the spec of the upstream's entry in the store."""
         return entry_spec(
             self.proxy.address,
             self.service,
@@ -300,14 +300,15 @@
             coldRemainingMs=cold_s * 1000,
         )
 
-    def _note(self, upstream_id: str) -> None:
-        """Note that the store has acknowledged a notice."""
+    def _record_notice(self, upstream_id: str) -> None:
+        """Record the time at which the store first acknowledged a notice."""
         self._ledger.notices.setdefault(upstream_id, Notice(upstream_id, time.monotonic()))
 
     def _write(self, name: str, spec: dict[str, Any]) -> None:
-        """Write an entry, again and again until the store has taken it.
+        """Write an entry, and retry until the store has taken it or the entry is unlisted.
 
-        Two steps may write one entry at once: it is there then though it could not be replaced.
+        Two steps may write an entry at once: if the other step creates it between a failed replace
+        and the create here, both fail and the write is retried.
         """
         kind = KIND_UPSTREAMS
         self._listed[name] = spec
@@ -319,13 +320,13 @@
                 gevent.sleep(STORE_RETRY_S)
 
     def _delete(self, name: str) -> None:
-        """Delete an entry, again and again while the store is away."""
+        """Delete an entry, and retry while the store is unavailable."""
         self._listed.pop(name, None)
         self._unlisted.add(name)
         while True:
             try:
                 self._store.delete(KIND_UPSTREAMS, name)
-                self._note(name)
+                self._record_notice(name)
                 return
             except PlatformUnavailable:
                 gevent.sleep(STORE_RETRY_S)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draw a plan of faults and changes from a seed; the same seed gives the same plan."""
+"""Random plans of faults and fleet changes; the same seed always gives the same plan."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 CALM_FIRST_S: Final = 1.0
 CALM_LAST_S: Final = 6.0
-"""The last seconds are left without faults, so that recovery can be checked."""
+"""The last seconds of a run have no faults, so that recovery can be checked."""
 MEAN_GAP_S: Final = 0.8
-"""Mean time between two steps; faults last longer, so they overlap."""
-SERIES: Final = 3
-"""Signals and changes also come in series of so many."""
+"""Mean time between two steps; it is shorter than most faults, so that faults overlap."""
+STEPS_IN_SERIES: Final = 3
+"""Number of steps when a kind comes as a series in quick succession."""
 
 
 class Kind(StrEnum):
-    """Name what a step does."""
+    """Kinds of steps: faults to inject and changes of the fleet or the configuration."""
 
     KILL = "kill"
     STOP = "stop"
@@ -36,69 +36,69 @@
     CRASH = "upstream crashes"
     CONFIGURE = "configuration changes"
     BREAK_OFF = "upstreams break requests off"
-    """All of a service break off some of their requests, wherever these are."""
+    """All upstreams of a service interrupt some of their requests, at any stage."""
     SILENCE = "open connections to the store fall silent"
-    """For good, and without a reset; new ones work."""
+    """Open connections are silent for good, without a reset; new ones work."""
     SILENCE_ONE = "those of one instance fall silent"
     CORDON = "a zone is cordoned"
     START_AGAIN = "upstream starts again under its name"
-    """It is cold then, and holds nothing of before."""
+    """The restarted upstream is cold and has no state."""
     STORE_RETURNS = "store comes back from an older copy"
-    """Operators and upstreams write theirs again soon after."""
+    """Operators and upstreams write their entries again soon afterwards."""
     LEAVE_UNSEEN = "engines leave one after another while the store is silent"
-    """They themselves say so to who asks them; the store takes their notices after its return."""
+    """The engines report it when probed; the store takes their notices once it answers again."""
     LEAVE_SIGNALLED = "upstream signals with its responses that it leaves"
-    """Its entry in the store stays ready until it ends."""
+    """The upstream's entry in the store stays ready until the upstream ends."""
     REJECT = "upstream rejects requests with a back-off"
     REJECT_ALL = "all upstreams of a service do"
     LIMIT = "upstream names a limit"
-    """It tells with its answers how many requests a second it takes; less, after a while."""
+    """Its responses announce a rate limit in requests a second, later a lower one."""
 
 
 class Plan(StrEnum):
-    """Name what a run is to try."""
+    """Plans of a run, by the faults that they focus on."""
 
     MIXED = "mixed"
-    """All kinds of faults, one over another."""
+    """All kinds of faults, overlapping."""
     LEAVING = "leaving"
-    """Upstreams that leave and serve on for long, with few other faults: an instance must be
-    calm for some seconds until it can be held to what it should know by then."""
+    """Upstreams that are leaving and continue to serve for long, with few other faults: the bounds
+    on an instance's knowledge apply only after some seconds without a disturbance."""
     ZONES = "zones"
-    """Zones that are cordoned and freed again, and upstreams that start again, with few others."""
+    """Cordons of zones and restarts of upstreams, with few other faults."""
     CRASHING = "crashing"
-    """Requests that end each engine that runs them and come again, beside ordinary streams that are
-    all alike, with few other faults."""
+    """Requests that crash each engine that runs them and are retried, beside identical ordinary
+    streams, with few other faults."""
     RETURNING = "returning"
-    """The store comes back from an older copy now and then, with few other faults."""
+    """Restores of the store from an older snapshot, with few other faults."""
     UNSEEN = "unseen"
     """Engines that leave in series while the store is silent, with few other faults."""
     SIGNALLING = "signalling"
-    """Upstreams that signal that they leave, or reject requests with a back-off, one over another
-    and with kills, pauses and a store that is silent."""
+    """Upstreams that signal that they are leaving or reject requests with a back-off, overlapping,
+    with kills, pauses and a silent store."""
     LIMITED = "limited"
-    """Upstreams that name for a while how many requests they take, with few other faults."""
+    """Upstreams that announce a rate limit for a while, with few other faults."""
 
 
 class Fault(StrEnum):
-    """Name what a link suffers."""
+    """Faults of a network link."""
 
     DELAY = "delay"
     RESET = "reset"
     CUT_OUT = "cut out"
-    """What is sent through the link is lost; what comes back passes."""
+    """Requests are lost; responses pass."""
     CUT_BACK = "cut back"
     SILENT = "silent"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Hold one step of the plan."""
+    """A step of the plan."""
 
     at_s: float
     """Seconds from the start of traffic."""
     kind: Kind
     target: int
-    """Number of the instance or upstream, where the kind has one."""
+    """Index of the instance or upstream, for kinds that have one."""
     for_s: float
     fault: Fault = Fault.DELAY
 
@@ -120,9 +120,10 @@
     Kind.CRASH: 0.7,
     Kind.CONFIGURE: 1.5,
 }
-"""How often each kind is drawn; all faults that one seldom sees alone are well mixed in."""
+"""Relative frequency of each kind; faults that rarely occur alone are frequent as well."""
 BREAK_OFF_GAP_S: Final = 4.0
-"""Mean time between two steps of that kind, drawn apart: seeds kept from before keep their plan."""
+"""Mean time between two steps of that kind. They are sampled with a generator of their own, so that
+the plans of older recorded seeds stay the same."""
 
 
 LEAVING_WEIGHTS: Final[dict[Kind, float]] = {
@@ -136,8 +137,8 @@
     Kind.STORE_LINK: 0.5,
 }
 LEAVING_GAP_S: Final = 1.5
-"""Mean time between two steps of that plan; disturbing ones are some six seconds apart, so most
-notices fall into a calm stretch or right behind a disturbance."""
+"""Mean time between two steps of that plan. Disturbing steps are about six seconds apart, so most
+notices come in an undisturbed period or directly after a disturbance."""
 
 
 ZONES_WEIGHTS: Final[dict[Kind, float]] = {
@@ -215,14 +216,15 @@
     Plan.CRASHING: CRASHING_WEIGHTS,
 }
 LIMIT_FOR_S: Final = (8.0, 14.0)
-"""For how long an upstream names a limit: longer than the time within which all must know."""
+"""Duration of a rate limit: longer than the bound within which all instances must know of it."""
 CORDON_FOR_S: Final = (4.0, 9.0)
-"""For how long a zone is cordoned: longer than the time within which all must know."""
+"""Duration of a cordon: longer than the bound within which all instances must know of it."""
 
 UNSEEN_FOR_S: Final = (6.0, 9.0)
-"""For how long the store is silent then: longer than the time within which all must know."""
+"""Duration of the store's silence while engines leave: longer than the bound within which all
+instances must know of it."""
 
-LASTS: Final = {
+DURATIONS_S: Final = {
     Kind.CORDON: CORDON_FOR_S,
     Kind.LIMIT: LIMIT_FOR_S,
     Kind.LEAVE_UNSEEN: UNSEEN_FOR_S,
@@ -232,9 +234,9 @@
 def draw_steps(
     seed: int, *, instances: int, upstreams: int, seconds: float, plan: Plan = Plan.MIXED
 ) -> tuple[Step, ...]:
-    """Return the steps of a run, in their order."""
+    """Return the steps of a run, sorted by time."""
     if plan is not Plan.MIXED:
-        return tuple(_sparse(seed, plan, instances, upstreams, seconds))
+        return tuple(_draw_sparse(seed, plan, instances, upstreams, seconds))
     source = random.Random(seed)
     steps: list[Step] = []
     at = CALM_FIRST_S
@@ -242,32 +244,32 @@
     while True:
         at += source.expovariate(1 / MEAN_GAP_S)
         if at >= last:
-            steps += _break_offs(seed, last, upstreams)
-            return tuple(sorted(steps, key=lambda one: one.at_s))
+            steps += _draw_break_offs(seed, last, upstreams)
+            return tuple(sorted(steps, key=lambda step: step.at_s))
         kind = source.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
-        times = SERIES if source.random() < 0.15 else 1
+        count = STEPS_IN_SERIES if source.random() < 0.15 else 1
         steps += [
-            _step(source, kind, at + 0.1 * index, last, instances, upstreams)
-            for index in range(times)
+            _draw_step(source, kind, at + 0.1 * index, last, instances, upstreams)
+            for index in range(count)
         ]
 
 
-def _sparse(
+def _draw_sparse(
     seed: int, plan: Plan, instances: int, upstreams: int, seconds: float
 ) -> Iterator[Step]:
-    """Draw the steps of a plan with calm stretches."""
+    """Yield the steps of a plan with undisturbed periods."""
     source = random.Random(f"{seed} {plan.value}")
     weights = PLAN_WEIGHTS[plan]
     last = seconds - CALM_LAST_S
     at = CALM_FIRST_S + source.expovariate(1 / LEAVING_GAP_S)
     while at < last:
         kind = source.choices(list(weights), list(weights.values()))[0]
-        yield _step(source, kind, at, last, instances, upstreams)
+        yield _draw_step(source, kind, at, last, instances, upstreams)
         at += source.expovariate(1 / LEAVING_GAP_S)
 
 
-def _break_offs(seed: int, last: float, upstreams: int) -> Iterator[Step]:
-    """Draw the steps at which upstreams break requests off."""
+def _draw_break_offs(seed: int, last: float, upstreams: int) -> Iterator[Step]:
+    """Yield the steps at which upstreams interrupt requests."""
     source = random.Random(f"{seed} break off")
     at = CALM_FIRST_S + source.expovariate(1 / BREAK_OFF_GAP_S)
     while at < last:
@@ -276,12 +278,12 @@
         at += source.expovariate(1 / BREAK_OFF_GAP_S)
 
 
-def _step(
+def _draw_step(
     source: random.Random, kind: Kind, at: float, last: float, instances: int, upstreams: int
 ) -> Step:
-    """Draw what one step hits, for how long and how."""
+    """Return a step with a random target, duration and fault."""
     pick: Callable[[int], int] = source.randrange
-    of_upstream = kind in (
+    has_upstream_target = kind in (
         Kind.UPSTREAM_LINK,
         Kind.LEAVE,
         Kind.REMOVE,
@@ -293,7 +295,7 @@
         Kind.REJECT,
         Kind.REJECT_ALL,
     )
-    target = pick(upstreams if of_upstream else instances)
-    lasts = LASTS.get(kind, (0.2, 3.0))
-    for_s = min(source.uniform(*lasts), max(0.1, last - at))
+    target = pick(upstreams if has_upstream_target else instances)
+    duration_s = DURATIONS_S.get(kind, (0.2, 3.0))
+    for_s = min(source.uniform(*duration_s), max(0.1, last - at))
     return Step(at, kind, target, for_s, source.choice(list(Fault)))
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,8 @@
-"""Play one seed: real gateway processes, traffic, the plan's steps, then the checks."""
+"""Run one seed: start real gateway processes, send traffic, inject the plan's faults, then check.
+
+The store, the upstreams and the callers run in this process; each instance is a process of its own
+that reaches the store and the upstreams through fault-injecting proxies.
+"""
 
 from __future__ import annotations
 
@@ -33,34 +37,36 @@
 """Time from SIGTERM to SIGKILL (graceS)."""
 TIMEOUTS_S: Final = {RequestKind.STREAM: 6.0}
 CALL_TIMEOUT_S: Final = 2.0
-LOCATED_S: Final = 1.0
-"""How long a caller keeps located addresses."""
-PROBE_EVERY_S: Final = 0.4
-READY_S: Final = 40.0
-"""Time in which all instances are ready; they share few cores when they start at once."""
-END_S: Final = 12.0
+LOCATION_TTL_S: Final = 1.0
+"""Time for which a caller keeps located addresses."""
+PROBE_INTERVAL_S: Final = 0.4
+READY_TIMEOUT_S: Final = 40.0
+"""Time until all instances are ready; they share few cores when they start at once."""
+CALLERS_END_TIMEOUT_S: Final = 12.0
 LINK_MBPS: Final = 100
 PORTALS: Final = 2
 ENGINES: Final = 3
-REJECTED_PAUSE_S: Final = 0.05
-COPY_EVERY_S: Final = 2.5
-CHANGED: Final = 200
-"""Revisions given out after each copy for what nobody here reads; they are given out again."""
-LONGEST_AWAY_S: Final = 1.0
-WRITTEN_AGAIN_S: Final = 1.0
-"""Within this, operators and upstreams have written theirs again."""
+RETRY_DELAY_S: Final = 0.05
+SNAPSHOT_INTERVAL_S: Final = 2.5
+UNRELATED_REVISIONS: Final = 200
+"""Revisions that the store gives out after each snapshot for objects that nothing here reads; after
+a restore it gives them out again."""
+MAX_STORE_DOWN_S: Final = 1.0
+REWRITE_S: Final = 1.0
+"""Time within which operators and upstreams have written their entries again after a restore."""
 UNSEEN_GAP_S: Final = 0.5
 ENGINE_SERVICE: Final = "engines"
 FATAL_CALLERS: Final = 2
-"""Callers of requests that end each engine; each asks for one of its own."""
+"""Callers of fatal requests; each repeats a request of its own."""
 FATAL_FROM_S: Final = 3.0
-"""By then ordinary streams have ended: these are all alike, and a good end tells them apart."""
+"""Some ordinary streams have ended by then: they are all alike, and a success shows that they are
+not poison."""
 FATAL_PAUSE_S: Final = (0.2, 1.2)
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Say how large a run is."""
+    """The size and the plan of a run."""
 
     instances: int = 4
     callers: int = 12
@@ -69,7 +75,7 @@
 
 
 class Soak:
-    """Play one seed."""
+    """A run of one seed."""
 
     def __init__(self, seed: int, size: Size) -> None:
         """Start the store, the upstreams and the instances."""
@@ -79,9 +85,9 @@
         self._numbers = itertools.count(1)
         self._version = 1
         self._acked: tuple[int, float] = (1, 0.0)
+        """The newest configuration that the store has acknowledged, and when."""
         self._cordons: set[str] = set()
-        """The newest version that the store has acknowledged, and when."""
-        self._traffic = True
+        self._has_traffic = True
         self.folder = Path(tempfile.mkdtemp(prefix=f"driftstall-soak-{seed}-"))
         self.ledger = Ledger(EVENTS)
         self._bench = Bench(self.folder)
@@ -93,31 +99,31 @@
             UpstreamSlot(place, service, self._store, self.ledger, self._source, size.plan)
             for place, service in enumerate(services, start=1)
         ]
-        for one in self._fleet:
-            one.all = [other for other in self._fleet if other.service == one.service]
-            one.upstream.peers = {other.proxy.address: other.upstream for other in one.all}
+        for slot in self._fleet:
+            slot.all = [other for other in self._fleet if other.service == slot.service]
+            slot.upstream.peers = {other.proxy.address: other.upstream for other in slot.all}
         self._links = [Proxy(address) for _ in range(size.instances)]
         self._instances = [self._start(number) for number in range(1, size.instances + 1)]
 
     def close(self) -> None:
-        """End all processes that this run has started."""
-        for one in self._instances:
-            one.signal(signal.SIGCONT)
-            one.signal(signal.SIGKILL)
-            one.process.wait()
+        """Kill all processes that this run has started."""
+        for instance in self._instances:
+            instance.signal(signal.SIGCONT)
+            instance.signal(signal.SIGKILL)
+            instance.process.wait()
         self._bench.close()
-        for proxy in (*self._links, *(one.proxy for one in self._fleet)):
+        for proxy in (*self._links, *(slot.proxy for slot in self._fleet)):
             proxy.stop()
-        for listed in self._fleet:
-            listed.upstream.stop()
+        for slot in self._fleet:
+            slot.upstream.stop()
 
     def play(self) -> list[str]:
-        """Play the plan under traffic and return a line for each broken promise."""
+        """Apply the plan under traffic and return a line for each violated guarantee."""
         self._await_ready()
         jobs = [gevent.spawn(self._call, number) for number in range(self._size.callers)]
-        jobs.append(gevent.spawn(self._probe))
+        jobs.append(gevent.spawn(self._probe_configuration))
         if self._size.plan is Plan.RETURNING:
-            gevent.spawn(self._copy_store)
+            gevent.spawn(self._take_snapshots)
         if self._size.plan is Plan.CRASHING:
             jobs += [gevent.spawn(self._call_fatal, number) for number in range(FATAL_CALLERS)]
         began = time.monotonic()
@@ -130,25 +136,25 @@
         )
         for step in steps:
             gevent.sleep(max(0.0, began + step.at_s - time.monotonic()))
-            self._take(step)
+            self._apply(step)
         gevent.sleep(max(0.0, began + self._size.seconds - time.monotonic()))
-        self._traffic = False
-        gevent.joinall(jobs, timeout=END_S)
-        self._look_at_ends()
+        self._has_traffic = False
+        gevent.joinall(jobs, timeout=CALLERS_END_TIMEOUT_S)
+        self._record_final_state()
         return find_violations(self.ledger)
 
     def _await_ready(self) -> None:
-        """Wait until all instances are ready; the proxies here run meanwhile."""
-        with gevent.Timeout(READY_S, BenchError("the instances do not become ready")):
-            while not all(one.ready() for one in self._instances):
-                gevent.sleep(REJECTED_PAUSE_S)
+        """Wait until all instances are ready, while the proxies in this process forward."""
+        with gevent.Timeout(READY_TIMEOUT_S, BenchError("the instances do not become ready")):
+            while not all(instance.ready() for instance in self._instances):
+                gevent.sleep(RETRY_DELAY_S)
 
     def _start(self, number: int) -> GatewayProcess:
         """Start one instance."""
-        seeds = [one.listen["control"] for one in getattr(self, "_instances", [])[:3]]
+        seeds = [other.listen["control"] for other in getattr(self, "_instances", [])[:3]]
         bounds = {
             "graceS": GRACE_S,
-            "ttl_max_s": LOCATED_S,
+            "ttl_max_s": LOCATION_TTL_S,
             "drainMs": DRAIN_S * 1000,
             "contactMs": CONTACT_S * 1000,
         }
@@ -165,203 +171,207 @@
 
     # Steps of the plan.
 
-    def _take(self, step: Step) -> None:
-        """Take one step; what ends later does so by itself."""
-        doers: dict[Kind, Callable[[Step], None]] = {
+    def _apply(self, step: Step) -> None:
+        """Start one step of the plan; it ends by itself."""
+        handlers: dict[Kind, Callable[[Step], None]] = {
             Kind.KILL: self._kill,
             Kind.STOP: self._stop,
             Kind.PAUSE: self._pause,
             Kind.RELOAD: self._reload,
-            Kind.STORE_LINK: self._harm_store_link,
-            Kind.UPSTREAM_LINK: self._harm_upstream_link,
-            Kind.STORE_DOWN: lambda one: self._harm_store(one, {"down_s": one.for_s}),
-            Kind.STORE_SILENT: lambda one: self._harm_store(
-                one, {"down_s": one.for_s, "silent": True}
+            Kind.STORE_LINK: self._inject_into_store_link,
+            Kind.UPSTREAM_LINK: self._inject_into_upstream_link,
+            Kind.STORE_DOWN: lambda step: self._inject_into_store(step, {"down_s": step.for_s}),
+            Kind.STORE_SILENT: lambda step: self._inject_into_store(
+                step, {"down_s": step.for_s, "silent": True}
             ),
             Kind.STORE_SLOW: self._slow_store,
-            Kind.STORE_FORGETS: lambda one: self._harm_store(one, {"forget": True}),
-            Kind.STORE_LOSES: lambda one: self._harm_store(one, {"lose_answers": 2}),
-            Kind.LEAVE: lambda one: self._change_fleet(one, "leave"),
-            Kind.REMOVE: lambda one: self._change_fleet(one, "remove"),
-            Kind.CRASH: lambda one: self._change_fleet(one, "crash"),
-            Kind.BREAK_OFF: lambda one: self._fleet[one.target].break_off(one.for_s),
+            Kind.STORE_FORGETS: lambda step: self._inject_into_store(step, {"forget": True}),
+            Kind.STORE_LOSES: lambda step: self._inject_into_store(step, {"lose_answers": 2}),
+            Kind.LEAVE: lambda step: self._change_fleet(step, "leave"),
+            Kind.REMOVE: lambda step: self._change_fleet(step, "remove"),
+            Kind.CRASH: lambda step: self._change_fleet(step, "crash"),
+            Kind.BREAK_OFF: lambda step: self._fleet[step.target].break_off(step.for_s),
             Kind.CONFIGURE: lambda _: self._spawn(self._configure),
-            Kind.CORDON: lambda one: self._spawn(self._cordon, one),
-            Kind.START_AGAIN: lambda one: self._change_fleet(one, "start_again"),
-            Kind.STORE_RETURNS: lambda one: self._spawn(self._return_store, one),
-            Kind.LEAVE_UNSEEN: lambda one: self._spawn(self._leave_unseen, one),
-            Kind.LIMIT: lambda one: self._spawn(self._fleet[one.target].limit, one.for_s),
-            Kind.LEAVE_SIGNALLED: lambda one: self._spawn(
-                self._fleet[one.target].leave_signalled, one.for_s
+            Kind.CORDON: lambda step: self._spawn(self._cordon, step),
+            Kind.START_AGAIN: lambda step: self._change_fleet(step, "restart"),
+            Kind.STORE_RETURNS: lambda step: self._spawn(self._restore_store, step),
+            Kind.LEAVE_UNSEEN: lambda step: self._spawn(self._leave_unseen, step),
+            Kind.LIMIT: lambda step: self._spawn(self._fleet[step.target].limit, step.for_s),
+            Kind.LEAVE_SIGNALLED: lambda step: self._spawn(
+                self._fleet[step.target].leave_signalled, step.for_s
             ),
-            Kind.REJECT: lambda one: self._spawn(self._fleet[one.target].reject, one.for_s),
+            Kind.REJECT: lambda step: self._spawn(self._fleet[step.target].reject, step.for_s),
             Kind.REJECT_ALL: self._reject_all,
             Kind.SILENCE: lambda _: self._silence(range(len(self._instances))),
-            Kind.SILENCE_ONE: lambda one: self._silence([one.target]),
+            Kind.SILENCE_ONE: lambda step: self._silence([step.target]),
         }
-        doers[step.kind](step)
+        handlers[step.kind](step)
 
     def _reject_all(self, step: Step) -> None:
         """Let all upstreams of a service reject requests."""
-        for one in self._fleet[step.target].all:
-            self._spawn(one.reject, step.for_s)
+        for slot in self._fleet[step.target].all:
+            self._spawn(slot.reject, step.for_s)
 
     @staticmethod
     def _spawn(work: Callable[..., None], *values: Any) -> None:
-        """Let something go on beside the plan."""
+        """Run a function in the background."""
         gevent.spawn(work, *values)
 
     def _disturb(self, name: str, for_s: float) -> None:
-        """Note that something is disturbed from now on."""
+        """Record a disturbance that starts now."""
         now = time.monotonic()
         self.ledger.disturb(name, now, now + for_s)
 
-    def _halt(self, name: str, for_s: float) -> None:
-        """Note that an instance does not run from now on."""
+    def _record_stop(self, name: str, for_s: float) -> None:
+        """Record that an instance is stopped from now on."""
         self._disturb(name, for_s)
         now = time.monotonic()
         self.ledger.stopped[name].append(Window(now, now + for_s))
 
     def _kill(self, step: Step) -> None:
-        """Kill an instance and start it again."""
+        """Kill an instance and restart it later."""
         instance = self._instances[step.target]
-        self._halt(instance.name, step.for_s + READY_S / 10)
+        self._record_stop(instance.name, step.for_s + READY_TIMEOUT_S / 10)
         process = instance.process
         instance.signal(signal.SIGKILL)
         gevent.spawn_later(step.for_s, self._restart, instance, process)
 
     def _stop(self, step: Step) -> None:
-        """Stop an instance as planned, kill it after the grace time, start it again."""
+        """Stop an instance with SIGTERM, kill it after the grace time, and restart it."""
         instance = self._instances[step.target]
-        self._halt(instance.name, GRACE_S + READY_S / 10)
+        self._record_stop(instance.name, GRACE_S + READY_TIMEOUT_S / 10)
         process = instance.process
         instance.signal(signal.SIGTERM)
 
         gevent.spawn_later(GRACE_S, self._restart, instance, process)
 
     def _restart(self, instance: GatewayProcess, process: subprocess.Popen[bytes]) -> None:
-        """End a process that was told to, if it still runs, and start the instance again.
+        """Kill an instance's process if it still runs, and restart the instance.
 
-        An overlapping step may have done so already.
+        Nothing is done if an overlapping step has restarted it already.
         """
-        if instance.process is not process or not self._traffic:
+        if instance.process is not process or not self._has_traffic:
             return
         if process.poll() is None:
             process.kill()
         instance.restart()
 
     def _pause(self, step: Step) -> None:
-        """Let an instance stand still."""
+        """Pause an instance with SIGSTOP, and resume it later."""
         instance = self._instances[step.target]
-        self._halt(instance.name, step.for_s)
+        self._record_stop(instance.name, step.for_s)
         instance.signal(signal.SIGSTOP)
         gevent.spawn_later(step.for_s, instance.signal, signal.SIGCONT)
 
     def _reload(self, step: Step) -> None:
-        """Change an instance's settings file and tell it."""
+        """Change an instance's settings file and have it reload the file."""
         instance = self._instances[step.target]
         changed = instance.settings | {"unknown": step.at_s}
         instance.write(changed)
         instance.signal(signal.SIGHUP)
 
-    def _harm_store_link(self, step: Step) -> None:
-        """Harm the link between an instance and the store."""
+    def _inject_into_store_link(self, step: Step) -> None:
+        """Inject a fault into the link between an instance and the store."""
         self._disturb(self._instances[step.target].name, step.for_s)
-        self._harm_proxy(self._links[step.target], step)
+        self._inject_into_proxy(self._links[step.target], step)
 
     def _silence(self, targets: Iterable[int]) -> None:
-        """Let the open connections between some instances and the store fall silent for good."""
+        """Silence the open connections between some instances and the store for good."""
         for target in targets:
             self._disturb(self._instances[target].name, 0.0)
             self._links[target].silence_open()
 
-    def _harm_upstream_link(self, step: Step) -> None:
-        """Harm the links of all instances to an upstream."""
-        listed = self._fleet[step.target]
+    def _inject_into_upstream_link(self, step: Step) -> None:
+        """Inject a fault into the links of all instances to an upstream."""
+        slot = self._fleet[step.target]
         for instance in self._instances:
             self._disturb(instance.name, step.for_s)
-        self._harm_proxy(listed.proxy, step)
+        self._inject_into_proxy(slot.proxy, step)
 
     @staticmethod
-    def _harm_proxy(proxy: Proxy, step: Step) -> None:
-        """Harm a proxy for a while."""
+    def _inject_into_proxy(proxy: Proxy, step: Step) -> None:
+        """Inject a fault into a proxy for the duration of a step."""
         proxy.inject(step.fault)
         gevent.spawn_later(step.for_s, proxy.end_fault)
 
-    def _harm_store(self, step: Step, script: dict[str, Any]) -> None:
-        """Script a fault of the store."""
+    def _inject_into_store(self, step: Step, script: dict[str, Any]) -> None:
+        """Inject a fault into the store; script is the control message of the stand-in."""
         self._disturb(STORE, step.for_s)
         assert self._bench.platform is not None
         self._spawn(self._bench.platform.control, script)
 
     def _slow_store(self, step: Step) -> None:
-        """Slow the store for a while."""
-        self._harm_store(step, {"slow_s": 0.3})
+        """Slow the store down for the duration of a step."""
+        self._inject_into_store(step, {"slow_s": 0.3})
         assert self._bench.platform is not None
         gevent.spawn_later(step.for_s, self._bench.platform.control, {"slow_s": 0.0})
 
-    def _copy_store(self) -> None:
-        """Have the store take a copy again and again."""
+    def _take_snapshots(self) -> None:
+        """Have the store take a snapshot periodically."""
         assert self._bench.platform is not None
-        while self._traffic:
-            script = {"copy": True, "without": KIND_INSTANCES, "changed_elsewhere": CHANGED}
+        while self._has_traffic:
+            script = {
+                "copy": True,
+                "without": KIND_INSTANCES,
+                "changed_elsewhere": UNRELATED_REVISIONS,
+            }
             self._bench.platform.control(script)
-            gevent.sleep(COPY_EVERY_S)
+            gevent.sleep(SNAPSHOT_INTERVAL_S)
 
-    def _return_store(self, step: Step) -> None:
-        """Let the store come back from its copy, and have all but the instances write again."""
+    def _restore_store(self, step: Step) -> None:
+        """Restore the store from its snapshot, and write the upstreams and configuration again."""
         assert self._bench.platform is not None
-        away_s = min(step.for_s, LONGEST_AWAY_S)
-        self._disturb(STORE, away_s + WRITTEN_AGAIN_S)
-        self._bench.platform.control({"come_back": True, "down_s": away_s})
-        gevent.sleep(away_s + WRITTEN_AGAIN_S / 2)
-        for listed in self._fleet:
-            self._spawn(listed.write_again)
-        self._until_taken(lambda: self._store.replace(KIND_CONFIG, NAME_CONFIG, self._document()))
-
-    def _change_fleet(self, step: Step, how: str) -> None:
-        """Let an upstream go, in one of the ways; all of them may break its requests."""
-        self._spawn(getattr(self._fleet[step.target], how))
+        down_s = min(step.for_s, MAX_STORE_DOWN_S)
+        self._disturb(STORE, down_s + REWRITE_S)
+        self._bench.platform.control({"come_back": True, "down_s": down_s})
+        gevent.sleep(down_s + REWRITE_S / 2)
+        for slot in self._fleet:
+            self._spawn(slot.restore_entries)
+        self._retry_write(lambda: self._store.replace(KIND_CONFIG, NAME_CONFIG, self._document()))
+
+    def _change_fleet(self, step: Step, method: str) -> None:
+        """Call a method of an upstream's slot; all of them may interrupt its requests."""
+        self._spawn(getattr(self._fleet[step.target], method))
 
     def _leave_unseen(self, step: Step) -> None:
         """Silence the store, and let all engines but one leave, one after another."""
-        self._harm_store(step, {"down_s": step.for_s, "silent": True})
-        engines = [one for one in self._fleet if one.service == ENGINE_SERVICE]
+        self._inject_into_store(step, {"down_s": step.for_s, "silent": True})
+        engines = [slot for slot in self._fleet if slot.service == ENGINE_SERVICE]
         first = step.target % len(engines)
         for number in range(1, len(engines)):
             gevent.sleep(UNSEEN_GAP_S)
-            listed = engines[(first + number) % len(engines)]
-            if listed.upstream.upstream_id not in self.ledger.leaving_reports:
-                self._spawn(listed.leave_unseen)
+            slot = engines[(first + number) % len(engines)]
+            if slot.upstream.upstream_id not in self.ledger.leaving_reports:
+                self._spawn(slot.leave_unseen)
 
     def _cordon(self, step: Step) -> None:
-        """Cordon a zone for a while, unless it is."""
+        """Cordon a zone for the duration of a step, unless it is cordoned already."""
         zone = ZONES[step.target % len(ZONES)]
         if zone in self._cordons:
             return
         self._cordons.add(zone)
-        self._until_taken(lambda: self._store.create(KIND_CORDONS, zone, {}))
+        self._retry_write(lambda: self._store.create(KIND_CORDONS, zone, {}))
         began = time.monotonic()
         gevent.sleep(step.for_s)
         window = Window(began, time.monotonic())
-        # Those that have come meanwhile under other names are cordoned from their start on.
-        ids = {one.upstream.upstream_id for one in self._fleet if one.zone == zone}
-        self.ledger.cordoned += [UpstreamPeriod(one, window) for one in ids]
-        self._until_taken(lambda: self._store.delete(KIND_CORDONS, zone))
+        # Upstreams started meanwhile under other ids have been cordoned since their start.
+        ids = {slot.upstream.upstream_id for slot in self._fleet if slot.zone == zone}
+        self.ledger.cordoned += [UpstreamPeriod(upstream_id, window) for upstream_id in ids]
+        self._retry_write(lambda: self._store.delete(KIND_CORDONS, zone))
         self._cordons.discard(zone)
 
     @staticmethod
-    def _until_taken(write: Callable[[], object]) -> None:
-        """Write again and again until the store has taken it."""
+    def _retry_write(write: Callable[[], object]) -> None:
+        """Call write until the store has taken it."""
         while True:
             try:
                 write()
                 return
             except PlatformUnavailable:
-                gevent.sleep(REJECTED_PAUSE_S)
+                gevent.sleep(RETRY_DELAY_S)
 
     def _configure(self) -> None:
-        """Store a configuration with one more route and without the last added one."""
+        """Store a configuration with a new route and without the route added before."""
         self._version += 1
         version = self._version
         while True:
@@ -369,108 +379,119 @@
                 self._store.replace(KIND_CONFIG, NAME_CONFIG, self._document())
                 break
             except PlatformUnavailable:
-                gevent.sleep(REJECTED_PAUSE_S)
+                gevent.sleep(RETRY_DELAY_S)
         if version > self._acked[0]:
             self._acked = (version, time.monotonic())
 
     def _document(self) -> dict[str, Any]:
         """Return the configuration of the newest version."""
-        wanted = document(self._version)
-        for one in wanted["routes"]:
-            long = one["kind"] == "streaming"
-            one["timeoutMs"] = (TIMEOUTS_S[RequestKind.STREAM] if long else CALL_TIMEOUT_S) * 1000
+        config = document(self._version)
+        for entry in config["routes"]:
+            is_stream = entry["kind"] == "streaming"
+            entry["timeoutMs"] = (
+                TIMEOUTS_S[RequestKind.STREAM] if is_stream else CALL_TIMEOUT_S
+            ) * 1000
         if self._size.plan is Plan.ZONES:
-            wanted["services"] = [one | {"coldPerS": COLD_RATE} for one in wanted["services"]]
+            config["services"] = [
+                service | {"coldPerS": COLD_RATE} for service in config["services"]
+            ]
         added = route("added", f"/added{self._version}/", "safe", "portal")
-        wanted["routes"].append(added | {"timeoutMs": CALL_TIMEOUT_S * 1000})
-        return wanted
+        config["routes"].append(added | {"timeoutMs": CALL_TIMEOUT_S * 1000})
+        return config
 
     # Traffic.
 
     def _call(self, number: int) -> None:
-        """Ask again and again as one caller."""
+        """Send ordinary requests as one caller until the traffic ends."""
         source = random.Random(f"{self._seed}-{number}")
         connection = CallerConnection()
         located: list[GatewayProcess] = []
         located_at = float("-inf")
-        while self._traffic:
-            if time.monotonic() - located_at > LOCATED_S or not located:
+        while self._has_traffic:
+            if time.monotonic() - located_at > LOCATION_TTL_S or not located:
                 located = self._locate(source) or located
                 located_at = time.monotonic()
             if not located:
-                gevent.sleep(REJECTED_PAUSE_S)
+                gevent.sleep(RETRY_DELAY_S)
                 continue
-            sort = source.choice(
+            kind = source.choice(
                 (RequestKind.SAFE, RequestKind.ONCE, RequestKind.ONCE, RequestKind.STREAM)
             )
-            asked = self._ask(connection, source.choice(located), sort, f"/{sort}/x")
-            gevent.sleep(source.uniform(0.0, 0.2) + (asked.status != 200) * REJECTED_PAUSE_S)
+            request = self._send(connection, source.choice(located), kind, f"/{kind}/x")
+            gevent.sleep(source.uniform(0.0, 0.2) + (request.status != 200) * RETRY_DELAY_S)
         connection.close()
 
     def _call_fatal(self, number: int) -> None:
-        """Ask again and again for what ends each engine, at any instance, as one caller."""
+        """Send one fatal request repeatedly to random instances, as one caller."""
         source = random.Random(f"{self._seed}-fatal-{number}")
         gevent.sleep(FATAL_FROM_S)
-        while self._traffic:
+        while self._has_traffic:
             connection = CallerConnection()
             instance = source.choice(self._instances)
-            self._ask(connection, instance, RequestKind.STREAM, f"{FATAL}-{number}")
+            self._send(connection, instance, RequestKind.STREAM, f"{FATAL}-{number}")
             connection.close()
             gevent.sleep(source.uniform(*FATAL_PAUSE_S))
 
     def _locate(self, source: random.Random) -> list[GatewayProcess]:
-        """Ask up to three instances which ones to use."""
-        for one in source.sample(self._instances, min(3, len(self._instances))):
+        """Ask up to three instances which instances to use, and return those."""
+        for instance in source.sample(self._instances, min(3, len(self._instances))):
             try:
                 zone = source.choice(ZONES)
-                status, body = one.get("directory", f"/api/resolve?name={HOST}&zone={zone}")
+                status, body = instance.get("directory", f"/api/resolve?name={HOST}&zone={zone}")
             except UpstreamError:
                 continue
             if status == 200:
                 addresses = orjson.loads(body)["addresses"]
-                return [one for one in self._instances if one.listen["front"] in addresses]
+                return [
+                    instance
+                    for instance in self._instances
+                    if instance.listen["front"] in addresses
+                ]
         return []
 
-    def _ask(
-        self, connection: CallerConnection, instance: GatewayProcess, sort: RequestKind, path: str
+    def _send(
+        self, connection: CallerConnection, instance: GatewayProcess, kind: RequestKind, path: str
     ) -> SentRequest:
-        """Send one request."""
-        timeout_s = TIMEOUTS_S.get(sort, CALL_TIMEOUT_S)
+        """Send one request, and return it with its result."""
+        timeout_s = TIMEOUTS_S.get(kind, CALL_TIMEOUT_S)
         request_id = f"s{self._seed}-{next(self._numbers)}"
-        asked = SentRequest(request_id, sort, path, instance.name, time.monotonic(), timeout_s)
-        self.ledger.requests[request_id] = asked
-        connection.send(instance.listen["front"], asked)
-        return asked
-
-    def _probe(self) -> None:
-        """Ask each instance for routes that were added or dropped long enough ago."""
-        while self._traffic:
-            gevent.sleep(PROBE_EVERY_S)
+        request = SentRequest(request_id, kind, path, instance.name, time.monotonic(), timeout_s)
+        self.ledger.requests[request_id] = request
+        connection.send(instance.listen["front"], request)
+        return request
+
+    def _probe_configuration(self) -> None:
+        """Probe all instances periodically, once the newest configuration must be in force."""
+        while self._has_traffic:
+            gevent.sleep(PROBE_INTERVAL_S)
             version, acked_at = self._acked
-            due = time.monotonic() - acked_at > APPLY_S and version == self._version
-            if not due or version == 1:
+            is_due = time.monotonic() - acked_at > APPLY_S and version == self._version
+            if not is_due or version == 1:
                 continue
-            jobs = [gevent.spawn(self._probe_one, one, version) for one in self._instances]
+            jobs = [
+                gevent.spawn(self._probe_instance, instance, version)
+                for instance in self._instances
+            ]
             gevent.joinall(jobs)
 
-    def _probe_one(self, instance: GatewayProcess, version: int) -> None:
-        """Ask one instance for the newest route and for the one dropped last."""
-        for sort, number in ((RequestKind.ADDED, version), (RequestKind.DROPPED, version - 1)):
+    def _probe_instance(self, instance: GatewayProcess, version: int) -> None:
+        """Send requests for the newest route and for the route removed last to one instance."""
+        for kind, number in ((RequestKind.ADDED, version), (RequestKind.DROPPED, version - 1)):
             if self._version != version:
                 return
             connection = CallerConnection()
-            self._ask(connection, instance, sort, f"/added{number}/x")
+            self._send(connection, instance, kind, f"/added{number}/x")
             connection.close()
 
-    def _look_at_ends(self) -> None:
-        """Note which processes have ended by themselves, or are not ready or not listed."""
-        listed = {one.name for one in self._store.list(KIND_INSTANCES).objects}
-        for one in self._instances:
-            code = one.process.poll()
+    def _record_final_state(self) -> None:
+        """Record which processes have exited unexpectedly, or are not ready or not listed."""
+        listed = {entry.name for entry in self._store.list(KIND_INSTANCES).objects}
+        for instance in self._instances:
+            code = instance.process.poll()
             expected = (None, 0, -signal.SIGKILL)
             if code not in expected:
-                self.ledger.unexpected_exits.append(f"{one.name} ended by itself with {code}")
-            elif not one.ready():
-                self.ledger.not_ready.append(f"{one.name} is not ready at the end")
-            elif code is None and one.name not in listed:
-                self.ledger.not_ready.append(f"{one.name} is not listed at the end")
+                self.ledger.unexpected_exits.append(f"{instance.name} ended by itself with {code}")
+            elif not instance.ready():
+                self.ledger.not_ready.append(f"{instance.name} is not ready at the end")
+            elif code is None and instance.name not in listed:
+                self.ledger.not_ready.append(f"{instance.name} is not listed at the end")
