--- a/features/steps/process_crash_steps.py
+++ b/features/steps/process_crash_steps.py
@@ -78,14 +78,14 @@
 @then("at most {most:d} engines have ended")
 def engines_ended(context: Any, most: int) -> None:
     """Check the number of engines that have ended."""
-    ended = sum(not engine.running for engine in context.own.engines)
+    ended = sum(not engine.is_running for engine in context.own.engines)
     assert 0 < ended <= most, ended
 
 
 @then("at most {most:d} portals have ended")
 def portals_ended(context: Any, most: int) -> None:
     """Check the number of portals that have ended."""
-    ended = sum(not service.running for service in context.own.services)
+    ended = sum(not service.is_running for service in context.own.services)
     assert 0 < ended <= most, ended
 
 
@@ -115,7 +115,7 @@
 def lists_quarantined(context: Any) -> None:
     """Check the quarantined request that the operators' listener reports."""
     (refused,) = refused_at(context, 0)
-    ended = {engine.name for engine in context.own.engines if not engine.running}
+    ended = {engine.name for engine in context.own.engines if not engine.is_running}
     assert set(refused["upstreams"]) == ended, (refused, ended)
     context.fingerprint = refused["fingerprint"]
 
--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -69,7 +69,7 @@
 
 def _has_ended(process: Any) -> bool:
     """Return True if a process has ended."""
-    return not process.running
+    return not process.is_running
 
 
 @then("all answers arrive whole, once, in order, each from one generation")
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -19,7 +19,7 @@
 
 def live(bench: Bench) -> list[Any]:
     """Return the instances that run."""
-    return [one for one in bench.instances if one.running]
+    return [one for one in bench.instances if one.is_running]
 
 
 class Answer:
--- a/measures/bench.py
+++ b/measures/bench.py
@@ -104,7 +104,7 @@
     zone: str = ""
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Tell whether the process runs."""
         return self.popen.poll() is None
 
@@ -146,7 +146,7 @@
     def close(self) -> None:
         """Kill all processes."""
         for one in self._all():
-            if one.running:
+            if one.is_running:
                 one.signal(signal.SIGCONT)
                 one.popen.kill()
         for one in self._all():
@@ -253,7 +253,7 @@
         """Wait until a process takes connections."""
 
         def listening() -> bool:
-            if not process.running:
+            if not process.is_running:
                 raise BenchError(f"{process.name} has ended:\n{process.log.read_text()[-2000:]}")
             host, port = process.address.split(":")
             with socket.socket() as probe:
@@ -289,7 +289,7 @@
     def wait_ready(self, members: int) -> None:
         """Wait until all instances are ready and know one another."""
         for index, one in enumerate(self.instances):
-            if not one.running:
+            if not one.is_running:
                 continue
 
             def ready(at: int = index) -> bool:
