--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -13,7 +13,7 @@
 from driftstall.daemon.settings import Settings
 from driftstall.daemon.stats import COUNTERS, GAUGES
 from features.worlds.paths import PATHS
-from measures.pages import renewed
+from measures.pages import update_figures
 
 
 @then("the pages' figures are those of the recorded runs")
@@ -21,7 +21,7 @@
     """Regenerate the figures and compare."""
     for path in sorted(Path("docs").rglob("*.md")):
         text = path.read_text()
-        assert renewed(text) == text, f"{path} is old: run script/measure pages"
+        assert update_figures(text) == text, f"{path} is old: run script/measure pages"
 
 
 @then("every setting, metric, log prefix, problem code and exit code is in the operators' page")
--- a/measures/pages.py
+++ b/measures/pages.py
@@ -23,7 +23,7 @@
 MAKERS: Final = TABLES | {"capacity": capacity_figures}
 
 
-def renewed(text: str) -> str:
+def update_figures(text: str) -> str:
     """Return a page's text with its figures made anew."""
 
     def replace(found: re.Match[str]) -> str:
@@ -38,7 +38,7 @@
     old = []
     for path in sorted(Path("docs").rglob("*.md")):
         text = path.read_text()
-        wanted = renewed(text)
+        wanted = update_figures(text)
         if wanted == text:
             continue
         old.append(str(path))
