--- a/measures/decisions.py
+++ b/measures/decisions.py
@@ -38,7 +38,7 @@
 from driftstall.policy.evaluate import evaluate
 from driftstall.policy.model import Facts, Policy
 from driftstall.policy.parse import parse_policy
-from measures.driver import PROGRESS_S, Driver, Lossy, Served
+from measures.driver import PROGRESS_S, Driver, ReportFaults, Served
 from measures.methods import build
 from measures.workload import DEPLOYMENTS, Arrival, Deployment, Twist, WorkloadMaker
 from stand_ins.engine_model import Engine
@@ -119,7 +119,7 @@
     engines: int = 5,
     seconds: float = 120.0,
     seed: int = 0,
-    lossy: Lossy | None = None,
+    lossy: ReportFaults | None = None,
     progress_s: float = PROGRESS_S,
 ) -> Row:
     """Run one method over a workload and return its figures."""
@@ -219,7 +219,7 @@
     seed, rate = int(options["--seed"]), float(options["--rate"])
     seconds = float(options["--seconds"])
     twist = Twist(float(options["--drift"]), float(options["--flood"]))
-    lossy = Lossy(float(options["--lag"]), float(options["--cache-gap"]))
+    lossy = ReportFaults(float(options["--lag"]), float(options["--cache-gap"]))
     arrivals = WorkloadMaker(deployment, seed, twist).make(rate, seconds)
     rows = [
         run_method(
--- a/measures/driver.py
+++ b/measures/driver.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Lossy:
+class ReportFaults:
     """Describe how bad the engines' word is."""
 
     report_lag_s: float = REPORT_LAG_S
@@ -83,14 +83,14 @@
         grants: Any,
         verdict_of: Callable[[Arrival], Verdict],
         *,
-        lossy: Lossy | None = None,
+        lossy: ReportFaults | None = None,
         seed: int = 0,
     ) -> None:
         """Take the engines, the method and the policy's verdicts."""
         self._engines = engines
         self._grants = grants
         self._verdict_of = verdict_of
-        self._lossy = lossy or Lossy()
+        self._lossy = lossy or ReportFaults()
         self._random = random.Random(seed)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
