--- a/measures/decisions.py
+++ b/measures/decisions.py
@@ -40,7 +40,7 @@
 from driftstall.policy.parse import parse_policy
 from measures.driver import PROGRESS_S, Driver, ReportFaults, Served
 from measures.methods import build
-from measures.workload import DEPLOYMENTS, Arrival, Deployment, Twist, WorkloadMaker
+from measures.workload import DEPLOYMENTS, Arrival, Deployment, WorkloadChange, WorkloadMaker
 from stand_ins.engine_model import Engine
 
 DRAIN_S: Final = 240.0
@@ -218,7 +218,7 @@
     deployment = DEPLOYMENTS[options["--deployment"]]
     seed, rate = int(options["--seed"]), float(options["--rate"])
     seconds = float(options["--seconds"])
-    twist = Twist(float(options["--drift"]), float(options["--flood"]))
+    twist = WorkloadChange(float(options["--drift"]), float(options["--flood"]))
     lossy = ReportFaults(float(options["--lag"]), float(options["--cache-gap"]))
     arrivals = WorkloadMaker(deployment, seed, twist).make(rate, seconds)
     rows = [
--- a/measures/workload.py
+++ b/measures/workload.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Twist:
+class WorkloadChange:
     """Change a workload while it runs."""
 
     drift: float = 1.0
@@ -75,7 +75,7 @@
 class WorkloadMaker:
     """Draw arrivals from one seed."""
 
-    def __init__(self, deployment: Deployment, seed: int, twist: Twist) -> None:
+    def __init__(self, deployment: Deployment, seed: int, twist: WorkloadChange) -> None:
         """Take what to draw and from which seed."""
         self._deployment = deployment
         self._random = random.Random(seed)
