--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reckoned:
+class DayParts:
     """Hold the parts of a day's worth by one reckoning."""
 
     whole: float
@@ -112,13 +112,13 @@
         return parts - self.prices
 
 
-def reached(day: PlayedDay) -> Reckoned:
+def reached(day: PlayedDay) -> DayParts:
     """Reckon what was reached from the same streams as the limit."""
     served = [one.is_whole for one in day.streams]
     return _reckon(day, served, day.failed, day.prices)
 
 
-def limit(day: PlayedDay, pace: Pace) -> Reckoned:
+def limit(day: PlayedDay, pace: Pace) -> DayParts:
     """Reckon what could have been reached at the most."""
     ends = math.inf if day.ends_s is None else day.ends_s
     served = [one.placed_s >= ends or one.ends_at_s(pace) <= ends for one in day.streams]
@@ -126,7 +126,7 @@
     return _reckon(day, served, failed, day.fixed_prices)
 
 
-def _reckon(day: PlayedDay, served: list[bool], failed: int, prices: float) -> Reckoned:
+def _reckon(day: PlayedDay, served: list[bool], failed: int, prices: float) -> DayParts:
     """Put the parts together from which streams were served."""
     worths = _worths(day.streams)
     streams = list(zip(day.streams, worths, served, strict=True))
@@ -136,7 +136,7 @@
     long = [(worth, is_served) for one, worth, is_served in streams if one.is_long]
     long_worth = sum(worth for worth, _ in long)
     kept_long = sum(worth for worth, is_served in long if is_served)
-    return Reckoned(
+    return DayParts(
         whole=(kept + kept_calls) / (sum(worths) + calls),
         nines=min(1.0, math.log10(day.asked / max(1, failed)) / MOST_NINES),
         windows=_worst_windows(streams),
