--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -35,7 +35,7 @@
 """Share of a stream's worth that does not depend on its size."""
 WINDOW_S: Final = 2.0
 WORST_WINDOWS: Final = 2
-MOST_NINES: Final = 3.0
+MAX_NINES: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,7 +138,7 @@
     kept_long = sum(worth for worth, is_served in long if is_served)
     return DayParts(
         whole=(kept + kept_calls) / (sum(worths) + calls),
-        nines=min(1.0, math.log10(day.asked / max(1, failed)) / MOST_NINES),
+        nines=min(1.0, math.log10(day.asked / max(1, failed)) / MAX_NINES),
         windows=_worst_windows(streams),
         worst_kind=kept_long / long_worth if long_worth else 1.0,
         prices=prices,
