--- a/features/steps/day_limit_steps.py
+++ b/features/steps/day_limit_steps.py
@@ -32,7 +32,7 @@
 def broken_stream(context: Any, tokens: str, seconds: float) -> None:
     """Add the broken stream."""
     count = int(tokens.replace(",", ""))
-    context.streams.append(PlacedStream(seconds, count, is_long=True, is_whole=False))
+    context.streams.append(PlacedStream(seconds, count, is_long=True, is_complete=False))
 
 
 @given(
@@ -40,8 +40,8 @@
 )
 def whole_streams(context: Any, count: int, calls: int) -> None:
     """Add the complete streams, and build the day."""
-    context.streams += [PlacedStream(1.0, 300, is_long=True, is_whole=True)] * count
-    broken = sum(not stream.is_whole for stream in context.streams)
+    context.streams += [PlacedStream(1.0, 300, is_long=True, is_complete=True)] * count
+    broken = sum(not stream.is_complete for stream in context.streams)
     context.day = PlayedDay(
         name="day",
         worth=0.5,
@@ -124,7 +124,7 @@
 @then("it has 2 long streams, one of them open at the end")
 def two_long(context: Any) -> None:
     """Check the long streams and the counts of the day."""
-    assert [stream.is_whole for stream in context.day.streams if stream.is_long] == [True, False]
+    assert [stream.is_complete for stream in context.day.streams if stream.is_long] == [True, False]
     assert (context.day.ends_s, context.day.lost_calls, context.day.calls) == (8.0, 2, 10)
 
 
--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -54,7 +54,7 @@
     tokens: int
     """Tokens that it made; the forecast where it broke off."""
     is_long: bool
-    is_whole: bool
+    is_complete: bool
 
     def ends_at_s(self, pace: Pace) -> float:
         """Return when it would have ended at the fastest."""
@@ -114,7 +114,7 @@
 
 def reached(day: PlayedDay) -> DayParts:
     """Reckon what was reached from the same streams as the limit."""
-    served = [one.is_whole for one in day.streams]
+    served = [one.is_complete for one in day.streams]
     return _reckon(day, served, day.failed, day.prices)
 
 
