--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -112,7 +112,7 @@
         return parts - self.prices
 
 
-def reached(day: PlayedDay) -> DayParts:
+def compute_reached(day: PlayedDay) -> DayParts:
     """Reckon what was reached from the same streams as the limit."""
     served = [one.is_complete for one in day.streams]
     return _reckon(day, served, day.failed, day.prices)
@@ -181,7 +181,7 @@
         "|---|---|---|---|---|---|---|---|",
     ]
     for day in days:
-        was, most = reached(day), limit(day, pace)
+        was, most = compute_reached(day), limit(day, pace)
         unavoidable = day.lost_calls + most.lost_long
         lines.append(
             f"| {day.name} | {day.worth:.3f} | {was.worth(day.weights):.3f} "
