--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedGeneration:
     """Hold one generation of the model."""
 
     at: float
@@ -80,7 +80,7 @@
     return TokenRequirement(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
 
 
-def seen_use(placed: list[Placed], engine: int, as_of: float) -> Use:
+def seen_use(placed: list[PlacedGeneration], engine: int, as_of: float) -> Use:
     """Return what was known of an engine at a time."""
     own = [one for one in placed if one.engine == engine and one.at <= as_of < one.ends_at]
     return Use(
@@ -95,7 +95,7 @@
     """Place a minute of generations on sums of an age."""
     source = random.Random(seed)
     sampler = Sampler(source, compared)
-    placed: list[Placed] = []
+    placed: list[PlacedGeneration] = []
     reads_until = [0.0] * ENGINES
     waits: list[float] = []
     overfull = 0
@@ -123,7 +123,7 @@
         step_s = (10.0 + 0.12 * len(running)) / 1000
         ends_at = first_at + max(1, need.output_tokens) * step_s
         held = sum(one.held(now) for one in running)
-        placed.append(Placed(now, engine, need, first_at, ends_at))
+        placed.append(PlacedGeneration(now, engine, need, first_at, ends_at))
         if now > WARM_S:
             waits.append(first_at - now)
             overfull += held + need.prompt_tokens > ENGINE.memory_tokens
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -33,7 +33,7 @@
     TokenRequirement,
     choose_stream,
 )
-from measures.stale_sums import ENGINE, Placed, Row, seen_use
+from measures.stale_sums import ENGINE, PlacedGeneration, Row, seen_use
 
 ZONES: Final = "abcde"
 ENGINES: Final = 22
@@ -64,7 +64,9 @@
     return TokenRequirement(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
 
 
-def _options(placed: list[Placed], zone: str, now: float, *, knows_all: bool) -> list[Option]:
+def _options(
+    placed: list[PlacedGeneration], zone: str, now: float, *, knows_all: bool
+) -> list[Option]:
     """Return the engines as who places in a zone sees them."""
     found = []
     for index, upstream in enumerate(UPSTREAMS):
@@ -80,7 +82,7 @@
 
     def __init__(self) -> None:
         """Start with idle engines."""
-        self.placed: list[Placed] = []
+        self.placed: list[PlacedGeneration] = []
         self._reads_until = [0.0] * ENGINES
 
     def run(self, index: int, need: TokenRequirement, now: float) -> tuple[float, bool]:
@@ -92,7 +94,7 @@
         step_s = (10.0 + 0.12 * len(running)) / 1000
         ends_at = first_at + max(1, need.output_tokens) * step_s
         held = sum(one.held(now) for one in running)
-        self.placed.append(Placed(now, index, need, first_at, ends_at))
+        self.placed.append(PlacedGeneration(now, index, need, first_at, ends_at))
         return first_at - now, held + need.prompt_tokens > ENGINE.memory_tokens
 
     def forget(self, now: float) -> None:
