--- a/features/steps/day_limit_steps.py
+++ b/features/steps/day_limit_steps.py
@@ -9,7 +9,14 @@
 
 from behave import given, then
 
-from measures.day_limit import Pace, PlacedStream, PlayedDay, Weights, compute_reached, limit
+from measures.day_limit import (
+    Pace,
+    PlacedStream,
+    PlayedDay,
+    Weights,
+    compute_limit,
+    compute_reached,
+)
 from measures.played_days import read_day
 
 WEIGHTS: Final = Weights(whole=0.4, nines=0.35, windows=0.15, worst_kind=0.1)
@@ -61,7 +68,7 @@
 def lost(context: Any, lost: int, unavoidable: int) -> None:
     """Check the lost streams, and those that any system would have lost."""
     assert compute_reached(context.day).lost_long == lost
-    assert limit(context.day, PACE).lost_long == unavoidable
+    assert compute_limit(context.day, PACE).lost_long == unavoidable
 
 
 @then("the limit counts {failures:d} failures of 100")
@@ -80,13 +87,13 @@
         streams=(),
         ends_s=None,
     )
-    assert abs(limit(context.day, PACE).nines - compute_reached(same).nines) < 1e-9
+    assert abs(compute_limit(context.day, PACE).nines - compute_reached(same).nines) < 1e-9
 
 
 @then("the limit and what was reached differ by prices alone")
 def differ_by_prices(context: Any) -> None:
     """Check that the scores differ by the avoidable prices."""
-    most = limit(context.day, PACE).worth(WEIGHTS)
+    most = compute_limit(context.day, PACE).worth(WEIGHTS)
     was = compute_reached(context.day).worth(WEIGHTS)
     assert abs(most - was - 0.03) < 1e-9, (most, was)
 
--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -118,7 +118,7 @@
     return _reckon(day, served, day.failed, day.prices)
 
 
-def limit(day: PlayedDay, pace: Pace) -> DayParts:
+def compute_limit(day: PlayedDay, pace: Pace) -> DayParts:
     """Reckon what could have been reached at the most."""
     ends = math.inf if day.ends_s is None else day.ends_s
     served = [one.placed_s >= ends or one.ends_at_s(pace) <= ends for one in day.streams]
@@ -181,7 +181,7 @@
         "|---|---|---|---|---|---|---|---|",
     ]
     for day in days:
-        was, most = compute_reached(day), limit(day, pace)
+        was, most = compute_reached(day), compute_limit(day, pace)
         unavoidable = day.lost_calls + most.lost_long
         lines.append(
             f"| {day.name} | {day.worth:.3f} | {was.worth(day.weights):.3f} "
@@ -201,7 +201,7 @@
     known = list(days)
     figure, axes = plt.subplots(figsize=(1.5 + 0.8 * len(known), 4))
     places = range(len(known))
-    limits = [limit(day, pace).worth(day.weights) for day in known]
+    limits = [compute_limit(day, pace).worth(day.weights) for day in known]
     axes.bar(places, limits, color="lightgrey", label="limit of the day")
     axes.bar(places, [day.worth for day in known], width=0.5, label="reached")
     axes.set_xticks(list(places), [day.name for day in known], rotation=60, fontsize=8)
