--- a/measures/decisions.py
+++ b/measures/decisions.py
@@ -39,7 +39,7 @@
 from driftstall.policy.model import Facts, Policy
 from driftstall.policy.parse import parse_policy
 from measures.driver import PROGRESS_S, Driver, ReportFaults, Served
-from measures.methods import build
+from measures.methods import build_method
 from measures.workload import DEPLOYMENTS, Arrival, Deployment, WorkloadChange, WorkloadMaker
 from stand_ins.engine_model import Engine
 
@@ -125,7 +125,7 @@
     """Run one method over a workload and return its figures."""
     policy = parse_policy(Path(f"examples/{deployment.name}.policy").read_text())
     fleet = {f"engine-{index}": Engine() for index in range(engines)}
-    timed = _Timed(build(method, arrivals, policy.weights, policy.overflow, seed))
+    timed = _Timed(build_method(method, arrivals, policy.weights, policy.overflow, seed))
     driver = Driver(fleet, timed, verdicts(policy), lossy=lossy, seed=seed)
     driver.progress_s = progress_s
     served = driver.run(arrivals, seconds + DRAIN_S)
--- a/measures/methods.py
+++ b/measures/methods.py
@@ -46,7 +46,7 @@
         return []
 
 
-def build(
+def build_method(
     method: str, arrivals: list[Arrival], weights: Weights, overflow: float, seed: int
 ) -> FirstCome | GrantsController:
     """Return a method by name."""
