--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -176,7 +176,7 @@
     """Wait until both are ready and each locates both."""
     addresses = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
-        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} is ready", node.is_ready)
         wait_for_processes(
             f"{node.name} locates both", lambda process=node: process.located(HOST) == addresses
         )
@@ -286,7 +286,7 @@
 def not_ready(context: Any) -> None:
     """Check the readiness of the first and the directory of the second."""
     first, second = context.nodes
-    wait_for("it is not ready", lambda: not first.ready())
+    wait_for("it is not ready", lambda: not first.is_ready())
     wait_for_processes(
         "the second locates itself", lambda: second.located(HOST) == {second.listen["front"]}
     )
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -47,7 +47,7 @@
 @then("all become ready and each is located with the others of its zone")
 def all_ready(context: Any) -> None:
     """Wait until each instance locates all ready instances of a zone."""
-    wait_start("all are ready", lambda: all(node.ready() for node in context.nodes))
+    wait_start("all are ready", lambda: all(node.is_ready() for node in context.nodes))
     of_b = {node.listen["front"] for node in context.nodes if node.settings["zone"] == "b"}
     for node in context.nodes:
         wait_start(f"{node.name} locates zone b", lambda node=node: node.located(HOST) == of_b)
--- a/measures/gateway_process.py
+++ b/measures/gateway_process.py
@@ -73,7 +73,7 @@
         body = exchange.read()
         return exchange.status, body
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether the process says that it is ready."""
         try:
             return self.get("ready", "/api/ready")[0] == 200
--- a/soak/run.py
+++ b/soak/run.py
@@ -146,7 +146,7 @@
     def _await_ready(self) -> None:
         """Wait until all instances are ready, while the proxies in this process forward."""
         with gevent.Timeout(READY_TIMEOUT_S, BenchError("the instances do not become ready")):
-            while not all(instance.ready() for instance in self._instances):
+            while not all(instance.is_ready() for instance in self._instances):
                 gevent.sleep(RETRY_DELAY_S)
 
     def _start(self, number: int) -> GatewayProcess:
@@ -491,7 +491,7 @@
             expected = (None, 0, -signal.SIGKILL)
             if code not in expected:
                 self.ledger.unexpected_exits.append(f"{instance.name} ended by itself with {code}")
-            elif not instance.ready():
+            elif not instance.is_ready():
                 self.ledger.not_ready.append(f"{instance.name} is not ready at the end")
             elif code is None and instance.name not in listed:
                 self.ledger.not_ready.append(f"{instance.name} is not listed at the end")
