--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -100,7 +100,7 @@
     for node in context.nodes:
         wait_for_processes(f"{node.name} is ready", node.ready)
         wait_for_processes(
-            f"{node.name} locates all", lambda node=node: node.located(HOST) == fronts
+            f"{node.name} locates all", lambda node=node: node.locate(HOST) == fronts
         )
 
 
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -178,7 +178,7 @@
     for node in context.nodes:
         wait_for_processes(f"{node.name} is ready", node.is_ready)
         wait_for_processes(
-            f"{node.name} locates both", lambda process=node: process.located(HOST) == addresses
+            f"{node.name} locates both", lambda process=node: process.locate(HOST) == addresses
         )
 
 
@@ -288,7 +288,7 @@
     first, second = context.nodes
     wait_for("it is not ready", lambda: not first.is_ready())
     wait_for_processes(
-        "the second locates itself", lambda: second.located(HOST) == {second.listen["front"]}
+        "the second locates itself", lambda: second.locate(HOST) == {second.listen["front"]}
     )
 
 
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -50,7 +50,7 @@
     wait_start("all are ready", lambda: all(node.is_ready() for node in context.nodes))
     of_b = {node.listen["front"] for node in context.nodes if node.settings["zone"] == "b"}
     for node in context.nodes:
-        wait_start(f"{node.name} locates zone b", lambda node=node: node.located(HOST) == of_b)
+        wait_start(f"{node.name} locates zone b", lambda node=node: node.locate(HOST) == of_b)
 
 
 def is_collector(node: Node) -> bool:
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -67,7 +67,7 @@
     for node in context.nodes:
         wait_for_processes(f"{node.name} is ready", node.ready)
         wait_for_processes(
-            f"{node.name} locates all", lambda node=node: node.located(HOST) == fronts
+            f"{node.name} locates all", lambda node=node: node.locate(HOST) == fronts
         )
     control(context, {"copy": True})
 
--- a/measures/gateway_process.py
+++ b/measures/gateway_process.py
@@ -80,7 +80,7 @@
         except UpstreamError:
             return False
 
-    def located(self, host: str) -> set[str]:
+    def locate(self, host: str) -> set[str]:
         """Return the addresses that the process locates."""
         try:
             status, body = self.get("directory", f"/api/resolve?name={host}&zone=b")
