--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -72,7 +72,7 @@
         return [*cuts, late, self.overfull]
 
 
-def draw_need(source: random.Random) -> TokenRequirement:
+def sample_requirement(source: random.Random) -> TokenRequirement:
     """Draw a prompt and an output."""
     if source.random() < CHATS:
         prompt = min(6000.0, max(200.0, source.gauss(3000, 1050)))
@@ -102,7 +102,7 @@
     now = 0.0
     while now < SECONDS:
         now += source.expovariate(REQUESTS_PER_S)
-        need = draw_need(source)
+        need = sample_requirement(source)
         placed = [one for one in placed if one.ends_at > now - 1.0]
         options = [
             Option(
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -56,7 +56,7 @@
 )
 
 
-def draw_need(source: random.Random) -> TokenRequirement:
+def sample_requirement(source: random.Random) -> TokenRequirement:
     """Draw a prompt and an output, in tokens."""
     if source.random() < CHATS:
         prompt = min(6000.0, max(200.0, source.gauss(3000, 1050)))
@@ -116,7 +116,7 @@
     now = 0.0
     while now < seconds:
         now += source.expovariate(REQUESTS_PER_S)
-        need = draw_need(source)
+        need = sample_requirement(source)
         zone = source.choice(ZONES)
         model.forget(now)
         options = _options(model.placed, zone, now, knows_all=knows_all)
