--- a/measures/stale_sums.py
+++ b/measures/stale_sums.py
@@ -80,7 +80,7 @@
     return TokenRequirement(int(min(6000.0, max(200.0, source.gauss(2200, 1300)))), 12)
 
 
-def seen_use(placed: list[PlacedGeneration], engine: int, as_of: float) -> Use:
+def usage_as_of(placed: list[PlacedGeneration], engine: int, as_of: float) -> Use:
     """Return what was known of an engine at a time."""
     own = [one for one in placed if one.engine == engine and one.at <= as_of < one.ends_at]
     return Use(
@@ -107,7 +107,7 @@
         options = [
             Option(
                 Upstream(str(index), "s", "", "a", 24, UpstreamState.READY, StoreVersion(1)),
-                seen_use(placed, index, now - age_s),
+                usage_as_of(placed, index, now - age_s),
                 0.0,
                 False,
             )
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -33,7 +33,7 @@
     TokenRequirement,
     choose_stream,
 )
-from measures.stale_sums import ENGINE, PlacedGeneration, Row, seen_use
+from measures.stale_sums import ENGINE, PlacedGeneration, Row, usage_as_of
 
 ZONES: Final = "abcde"
 ENGINES: Final = 22
@@ -73,7 +73,7 @@
         age_s = NEAR_AGE_S if upstream.zone == zone else FAR_AGE_S
         if knows_all:
             age_s = 0.0
-        found.append(Option(upstream, seen_use(placed, index, now - age_s), 0.0, False))
+        found.append(Option(upstream, usage_as_of(placed, index, now - age_s), 0.0, False))
     return found
 
 
