--- a/measures/relay.py
+++ b/measures/relay.py
@@ -128,7 +128,7 @@
     return statistics.median(ask(process.address, 1)[0] for _ in range(count)) * 1e3
 
 
-def start_module(bench: Bench, name: str, module: str, *flags: str) -> Process:
+def start_process(bench: Bench, name: str, module: str, *flags: str) -> Process:
     """Start one of the measuring processes."""
     port = free_port()
     log = bench.folder / f"{name}.log"
@@ -145,8 +145,10 @@
     """Run both relays in turn and return the medians."""
     with Bench() as bench:
         bench.start_platform()
-        source = start_module(bench, "source", "measures.fixed_source")
-        plain = start_module(bench, "plain", "measures.plain_relay", f"--upstream={source.address}")
+        source = start_process(bench, "source", "measures.fixed_source")
+        plain = start_process(
+            bench, "plain", "measures.plain_relay", f"--upstream={source.address}"
+        )
         bench.runners.append(
             {
                 "runner_id": "source",
