--- a/measures/__init__.py
+++ b/measures/__init__.py
@@ -1,3 +1,3 @@
-"""Measure the decisions, the relay and the capacity slopes."""
+"""Benchmarks of the scheduling decisions, the relay and the capacity of a daemon."""
 
 from __future__ import annotations
--- a/measures/bench.py
+++ b/measures/bench.py
@@ -1,4 +1,4 @@
-"""Start the stand-ins and instances as processes, for demos, tests and measurements."""
+"""Start stand-ins and instances as local processes, for demos, tests and measurements."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
 
 
 class BenchError(DriftstallError):
-    """Report that the bench could not reach a state in time."""
+    """The bench could not reach a state in time."""
 
 
 FIRST_PORT: Final = 20_000
-"""Ports below the range that outgoing connections use."""
+"""First of the ports of the bench, which are below the range of outgoing connections."""
 SLICE_PORTS: Final = 500
 SLICES: Final = 20
 LOCK_PORT: Final = 19_000
-"""A run holds the datagram port of its slice, so that no other run takes ports from it."""
+"""First of the UDP ports that lock the slices: a run binds the port of its slice, so that no other
+run on the machine takes ports from it."""
 
 _claimed: list[socket.socket] = []
 
 
 def _claim_slice() -> Iterator[int]:
-    """Return the ports of a slice that this process alone uses, again and again."""
+    """Lock a random slice for this process and return an endless iterator over its ports."""
     for index in random.SystemRandom().sample(range(SLICES), SLICES):
         lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -61,12 +62,12 @@
 
 @cache
 def _ports() -> Iterator[int]:
-    """Return this process's ports; claimed when the first one is asked for."""
+    """Return the iterator over this process's ports; the first call locks the slice."""
     return _claim_slice()
 
 
 def free_port() -> int:
-    """Return a free port that no other run on this machine takes."""
+    """Return a free port that no other run on this machine uses."""
     while True:
         port = next(_ports())
         with socket.socket() as probe:
@@ -75,12 +76,12 @@
 
 
 def workspace_key(name: str) -> str:
-    """Return the key of a bench workspace."""
+    """Return the API key of a bench workspace."""
     return f"key-of-{name}"
 
 
 def wait_until(what: str, check: Callable[[], bool], timeout_s: float = WAIT_S) -> float:
-    """Wait for a condition and return the seconds it took; raise BenchError in vain."""
+    """Wait for a condition and return the seconds it took; raise BenchError after timeout_s."""
     begin = time.monotonic()
     while time.monotonic() - begin < timeout_s:
         try:
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """Hold one started process and where it listens."""
+    """A started process and its addresses."""
 
     name: str
     address: str
@@ -105,7 +106,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return True if the process is running."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
@@ -113,7 +114,7 @@
         self.popen.send_signal(number)
 
     def control(self, script: dict[str, Any]) -> None:
-        """Script a stand-in's faults."""
+        """Send a control message, for example to inject faults, to a stand-in."""
         call_json(self.address, "POST", "/control", "", script)
 
     def stats(self) -> dict[str, Any]:
@@ -124,7 +125,7 @@
 
 @dataclass(slots=True)
 class Bench:
-    """Hold a whole small system."""
+    """A small complete system: the platform, engines, plain services and instances."""
 
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="driftstall-")))
     platform: Process | None = None
@@ -136,29 +137,29 @@
     """Whether each instance records a trace in the folder."""
 
     def __enter__(self) -> Bench:
-        """Return the bench itself."""
+        """Return the bench."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Kill all processes."""
         self.close()
 
     def close(self) -> None:
-        """Kill all processes."""
-        for one in self._all():
-            if one.is_running:
-                one.signal(signal.SIGCONT)
-                one.popen.kill()
-        for one in self._all():
-            one.popen.wait()
-
-    def _all(self) -> list[Process]:
+        """Kill all processes and wait until they have ended."""
+        for process in self._processes():
+            if process.is_running:
+                process.signal(signal.SIGCONT)
+                process.popen.kill()
+        for process in self._processes():
+            process.popen.wait()
+
+    def _processes(self) -> list[Process]:
         """Return all processes."""
-        first = [self.platform] if self.platform else []
-        return [*first, *self.engines, *self.services, *self.instances]
+        platform = [self.platform] if self.platform else []
+        return [*platform, *self.engines, *self.services, *self.instances]
 
     def _spawn(self, name: str, address: str, module: str, *flags: str) -> Process:
-        """Start one process; its output goes to a file."""
+        """Start a process, with its output in a log file."""
         log = self.folder / f"{name}.log"
         command = [sys.executable, "-m", module, *flags]
         environment = {name: text for name, text in os.environ.items() if "DRIFTSTALL" not in name}
@@ -167,7 +168,7 @@
         return Process(name, address, popen, log)
 
     def start_platform(self) -> Process:
-        """Start the platform stand-in."""
+        """Start the platform stand-in and wait until it listens."""
         port = free_port()
         self.platform = self._spawn(
             "platform", f"127.0.0.1:{port}", "stand_ins.platform", f"--port={port}"
@@ -178,7 +179,7 @@
     def start_engines(
         self, count: int, *, model: str = "base", memory: int = 48_000, flags: tuple[str, ...] = ()
     ) -> None:
-        """Start engine stand-ins, spread over the zones."""
+        """Start engine stand-ins, distributed over the zones."""
         for _ in range(count):
             index = len(self.engines)
             port, name = free_port(), f"engine-{index + 1}"
@@ -198,7 +199,7 @@
             )
 
     def start_services(self, service: str, count: int) -> None:
-        """Start plain-service stand-ins, spread over the zones."""
+        """Start stand-ins of a plain service, distributed over the zones."""
         for index in range(count):
             port, name = free_port(), f"{service}-{index + 1}"
             address = f"127.0.0.1:{port}"
@@ -209,7 +210,7 @@
             self.runners.append(row)
 
     def start_instance(self, *flags: str) -> Process:
-        """Start one more instance and put it on the platform's list."""
+        """Start another instance and add it to the platform's list."""
         assert self.platform is not None
         index = len(self.instances)
         name, zone = f"instance-{index + 1}", ZONES[index % len(ZONES)]
@@ -237,7 +238,7 @@
         return process
 
     def list_member(self, name: str, row: dict[str, Any]) -> None:
-        """Change a row of the platform's list; the state is live, leaving or gone."""
+        """Update an entry of the platform's list; the state is live, leaving or gone."""
         assert self.platform is not None
         kind = KIND_INSTANCES if row["role"] == "entry" else KIND_UPSTREAMS
         store = Store(self.platform.address)
@@ -250,26 +251,26 @@
             store.create(kind, name, spec)
 
     def wait_listening(self, process: Process) -> None:
-        """Wait until a process takes connections."""
+        """Wait until a process accepts connections; raise BenchError if it ends before."""
 
-        def listening() -> bool:
+        def is_listening() -> bool:
             if not process.is_running:
                 raise BenchError(f"{process.name} has ended:\n{process.log.read_text()[-2000:]}")
             host, port = process.address.split(":")
             with socket.socket() as probe:
                 return bool(probe.connect_ex((host, int(port))) == 0)
 
-        wait_until(f"{process.name} listens", listening)
+        wait_until(f"{process.name} listens", is_listening)
 
     def start(self, instances: int) -> None:
-        """Start instances and wait for everything to listen."""
+        """Start instances and wait until all processes listen."""
         for _ in range(instances):
             self.start_instance()
-        for one in self._all():
-            self.wait_listening(one)
+        for process in self._processes():
+            self.wait_listening(process)
 
     def submit(self, policy: str, workspaces: tuple[str, ...], at: int = 0) -> Answer:
-        """Submit a whole configuration through an instance."""
+        """Submit a complete configuration through an instance."""
         rows = [
             {"name": name, "key_sha256": hashlib.sha256(workspace_key(name).encode()).hexdigest()}
             for name in workspaces
@@ -278,22 +279,22 @@
         return self.operator(at, "PUT", "/operator/config", change)
 
     def operator(self, at: int, method: str, path: str, value: Any = None) -> Answer:
-        """Make one operator's call to an instance."""
+        """Call the operator API of an instance."""
         return call_json(self.instances[at].operator, method, path, OPERATOR_TOKEN, value)
 
     def status(self, at: int) -> dict[str, Any]:
-        """Return what an instance knows."""
+        """Return the operator status of an instance."""
         value: dict[str, Any] = self.operator(at, "GET", "/operator/status").value
         return value
 
     def wait_ready(self, members: int) -> None:
-        """Wait until all instances are ready and know one another."""
-        for index, one in enumerate(self.instances):
-            if not one.is_running:
+        """Wait until all running instances are ready and know so many members."""
+        for index, instance in enumerate(self.instances):
+            if not instance.is_running:
                 continue
 
-            def ready(at: int = index) -> bool:
+            def is_ready(at: int = index) -> bool:
                 status = self.status(at)
                 return bool(status["ready"]) and len(status["instances"]) >= members
 
-            wait_until(f"{one.name} is ready", ready)
+            wait_until(f"{instance.name} is ready", is_ready)
--- a/measures/decisions.py
+++ b/measures/decisions.py
@@ -1,4 +1,4 @@
-"""Compare the decisions with baselines and the limit on one seeded workload.
+"""Compare scheduling methods on one seeded workload: baselines, the product and an oracle.
 
 Usage:
   decisions --deployment=NAME --seed=N [options]
@@ -17,8 +17,8 @@
   --methods=LIST     Methods to run [default: first_come,worst_case,forecast,oracle].
   --json             Print one JSON object.
 
-Stalls run from a request's first ask to its first token, waits between returns
-included. Preemptions count the engines' own and every yield.
+Stalls run from a request's first ask to its first token, waits between retries
+included. Preemptions are those of the engines and all yields.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
 from stand_ins.engine_model import Engine
 
 DRAIN_S: Final = 240.0
-"""Seconds after the last arrival in which requests may still end."""
+"""Time after the last arrival within which requests can still finish."""
 FLOOD: Final = "workspace-flood"
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Hold one method's figures."""
+    """The results of one method."""
 
     method: str
     stall_p50_ms: float
@@ -59,7 +59,7 @@
     token_gap_p99_ms: float
     preemptions_per_1000: float
     refused_share: float
-    """Share of requests that gave up after coming back as told."""
+    """Share of requests that gave up after their retries."""
     completed: int
     tokens_per_second: float
     first_stall_p50_ms: float
@@ -75,32 +75,32 @@
     returns_refused: int
     late_refusals: int
     others_stall_p99_ms: float
-    """Stall of all workspaces but the one that floods."""
+    """Stall of all workspaces except the flooding one."""
     prefilled_tokens: int
     decision_us: float
-    """Time of one event in the controller, simulated engines not counted."""
+    """Time of one event in the controller, without the simulated engines."""
 
 
 class _Timed:
-    """Time a method's handling of events."""
+    """Wrapper that measures a method's time for handling events."""
 
     def __init__(self, inner: Any) -> None:
         """Wrap a method."""
         self._inner = inner
         self.seconds = 0.0
-        self.asks = 0
+        self.events = 0
 
     def handle(self, event: Any, now: float) -> Any:
-        """Pass an event on and time it."""
+        """Pass an event to the method and measure the time."""
         begin = time.perf_counter()
         actions = self._inner.handle(event, now)
         self.seconds += time.perf_counter() - begin
-        self.asks += 1
+        self.events += 1
         return actions
 
 
 def verdicts(policy: Policy) -> Callable[[Arrival], Verdict]:
-    """Return what the policy says of each arrival."""
+    """Return a function that evaluates the policy for an arrival."""
 
     def verdict_of(arrival: Arrival) -> Verdict:
         facts = Facts(
@@ -119,47 +119,47 @@
     engines: int = 5,
     seconds: float = 120.0,
     seed: int = 0,
-    lossy: ReportFaults | None = None,
+    report_faults: ReportFaults | None = None,
     progress_s: float = PROGRESS_S,
 ) -> Row:
-    """Run one method over a workload and return its figures."""
+    """Run one method over a workload and return its results."""
     policy = parse_policy(Path(f"examples/{deployment.name}.policy").read_text())
     fleet = {f"engine-{index}": Engine() for index in range(engines)}
     timed = _Timed(build_method(method, arrivals, policy.weights, policy.overflow, seed))
-    driver = Driver(fleet, timed, verdicts(policy), lossy=lossy, seed=seed)
+    driver = Driver(fleet, timed, verdicts(policy), report_faults=report_faults, seed=seed)
     driver.progress_s = progress_s
     served = driver.run(arrivals, seconds + DRAIN_S)
-    preempted = sum(one.preemptions for one in fleet.values())
-    prefilled = sum(one.prefilled_tokens for one in fleet.values())
-    cost = timed.seconds / max(1, timed.asks) * 1e6
-    return _row(method, served, deployment, preempted, prefilled, cost, seconds)
+    preempted = sum(engine.preemptions for engine in fleet.values())
+    prefilled = sum(engine.prefilled_tokens for engine in fleet.values())
+    cost = timed.seconds / max(1, timed.events) * 1e6
+    return _compute_row(method, served, deployment, preempted, prefilled, cost, seconds)
 
 
 def _percentile(values: list[float], share: float) -> float:
-    """Return a percentile in milliseconds; zero for none."""
+    """Return a percentile of seconds in milliseconds; zero if there are no values."""
     return round(float(np.percentile(np.array(values), share)) * 1000, 1) if values else 0.0
 
 
 def _stalls(served: list[Served]) -> list[float]:
-    """Return the stalls; one that never began counts as long as it was watched."""
+    """Return the stalls; DRAIN_S for a request that never got a token."""
     return [
-        one.first_token - one.first_asked if one.first_token >= 0 else DRAIN_S
-        for one in served
-        if not one.gave_up
+        request.first_token - request.first_asked if request.first_token >= 0 else DRAIN_S
+        for request in served
+        if not request.has_given_up
     ]
 
 
 def _gaps(served: list[Served]) -> list[float]:
     """Return all token gaps."""
-    return [gap for one in served for gap in one.gaps]
+    return [gap for request in served for gap in request.gaps]
 
 
-def _gave_up(served: list[Served]) -> float:
-    """Return the share that gave up."""
-    return round(sum(one.gave_up for one in served) / max(1, len(served)), 4)
+def _refused_share(served: list[Served]) -> float:
+    """Return the share of requests that gave up."""
+    return round(sum(request.has_given_up for request in served) / max(1, len(served)), 4)
 
 
-def _row(
+def _compute_row(
     method: str,
     served: dict[str, Served],
     deployment: Deployment,
@@ -168,22 +168,25 @@
     cost: float,
     seconds: float,
 ) -> Row:
-    """Work out the figures."""
-    every = list(served.values())
-    first = [one for one in every if one.arrival.kind == deployment.first_kind]
+    """Compute the results from the course of all requests."""
+    requests = list(served.values())
+    first = [request for request in requests if request.arrival.kind == deployment.first_kind]
     long = [
-        one
-        for one in every
-        if one.arrival.kind == deployment.long_kind and one.arrival.workspace != FLOOD
+        request
+        for request in requests
+        if request.arrival.kind == deployment.long_kind and request.arrival.workspace != FLOOD
     ]
-    others = [one for one in every if one.arrival.workspace != FLOOD]
-    yields = sum(one.yields for one in every)
-    stalls, gaps = _stalls(every), _gaps(every)
+    others = [request for request in requests if request.arrival.workspace != FLOOD]
+    yields = sum(request.yields for request in requests)
+    stalls, gaps = _stalls(requests), _gaps(requests)
     first_gaps = _gaps(first)
-    per_1000 = 1000.0 / max(1, len(every))
-    tokens = sum(len(one.gaps) + 1 for one in every if one.first_token >= 0)
+    per_1000 = 1000.0 / max(1, len(requests))
+    tokens = sum(len(request.gaps) + 1 for request in requests if request.first_token >= 0)
     bound_s = 0.05
-    late = sum(one.granted >= 0 and one.granted - one.asked > 60.0 + bound_s for one in every)
+    late = sum(
+        request.granted >= 0 and request.granted - request.asked > 60.0 + bound_s
+        for request in requests
+    )
     return Row(
         method,
         _percentile(stalls, 50),
@@ -191,20 +194,20 @@
         _percentile(gaps, 95),
         _percentile(gaps, 99),
         round((preempted + yields) * per_1000, 2),
-        _gave_up(every),
-        sum(one.finished for one in every),
+        _refused_share(requests),
+        sum(request.is_finished for request in requests),
         round(tokens / seconds, 1),
         _percentile(_stalls(first), 50),
         _percentile(_stalls(first), 99),
         _percentile(first_gaps, 95),
         _percentile(first_gaps, 99),
-        _gave_up(first),
+        _refused_share(first),
         _percentile(_stalls(long), 50),
         _percentile(_stalls(long), 99),
-        _gave_up(long),
+        _refused_share(long),
         round(yields * per_1000, 2),
-        sum(one.turn for one in every),
-        sum(one.returned_refused for one in every),
+        sum(request.retries for request in requests),
+        sum(request.refused_retries for request in requests),
         late,
         _percentile(_stalls(others), 99),
         prefilled,
@@ -213,14 +216,14 @@
 
 
 def main() -> int:
-    """Run the comparison and print it."""
+    """Run the methods and print their results."""
     options = docopt(__doc__ or "")
     deployment = DEPLOYMENTS[options["--deployment"]]
     seed, rate = int(options["--seed"]), float(options["--rate"])
     seconds = float(options["--seconds"])
-    twist = WorkloadChange(float(options["--drift"]), float(options["--flood"]))
-    lossy = ReportFaults(float(options["--lag"]), float(options["--cache-gap"]))
-    arrivals = WorkloadMaker(deployment, seed, twist).make(rate, seconds)
+    change = WorkloadChange(float(options["--drift"]), float(options["--flood"]))
+    report_faults = ReportFaults(float(options["--lag"]), float(options["--cache-gap"]))
+    arrivals = WorkloadMaker(deployment, seed, change).make(rate, seconds)
     rows = [
         run_method(
             method,
@@ -229,7 +232,7 @@
             engines=int(options["--engines"]),
             seconds=seconds,
             seed=seed,
-            lossy=lossy,
+            report_faults=report_faults,
             progress_s=float(options["--progress"]),
         )
         for method in options["--methods"].split(",")
--- a/measures/driver.py
+++ b/measures/driver.py
@@ -1,8 +1,8 @@
-"""Drive the grants controller and the engine model under a virtual clock.
+"""Discrete-event simulation of a grants controller and model engines.
 
-One process, no threads, no wall clock: the same pure code as in the daemon takes
-the events, the engine stand-in's model produces the tokens. Reports lag and cache
-events come late and with gaps, as on the real engines.
+It runs in one thread with a virtual clock: the events go to the same pure code as in the daemon,
+and the model of the engine stand-in generates the tokens. Reports of engines lag, and cache events
+are late and incomplete, as with real engines.
 """
 
 from __future__ import annotations
@@ -34,48 +34,47 @@
 
 GROUP: Final = "base/0"
 HOP_S: Final = 0.0015
-"""One way between availability zones (brief)."""
+"""One-way latency between availability zones."""
 TICK_S: Final = 0.05
 PROGRESS_S: Final = 0.25
-SIGN_OF_LIFE_S: Final = 5.0
+KEEPALIVE_S: Final = 5.0
 REPORT_S: Final = 0.5
 REPORT_LAG_S: Final = 0.5
 CACHE_LAG_S: Final = 1.0
-RETURNS: Final = 3
-"""How often a refused caller comes back when told."""
+MAX_RETRIES: Final = 3
+"""Maximum number of times that a refused caller retries at the time given by Retry-After."""
 
 
 @dataclass(slots=True)
 class Served:
-    """Hold what happened to one request."""
+    """The course of one request; a time is negative if the event has not occurred."""
 
     arrival: Arrival
     first_asked: float
     asked: float
-    turn: int = 0
-    """How often it came back."""
+    retries: int = 0
     granted: float = -1.0
     first_token: float = -1.0
     last_token: float = -1.0
     gaps: list[float] = field(default_factory=list)
-    finished: bool = False
-    gave_up: bool = False
+    is_finished: bool = False
+    has_given_up: bool = False
     yields: int = 0
     preempted: int = 0
-    returned_refused: int = 0
+    refused_retries: int = 0
     runner_id: str = ""
 
 
 @dataclass(slots=True)
 class ReportFaults:
-    """Describe how bad the engines' word is."""
+    """Faults of the engines' reports: their lag, and the share of cache events that is lost."""
 
     report_lag_s: float = REPORT_LAG_S
     cache_gap: float = 0.1
 
 
 class Driver:
-    """Run one method over one workload."""
+    """Run one scheduling method over one workload."""
 
     def __init__(
         self,
@@ -83,14 +82,14 @@
         grants: Any,
         verdict_of: Callable[[Arrival], Verdict],
         *,
-        lossy: ReportFaults | None = None,
+        report_faults: ReportFaults | None = None,
         seed: int = 0,
     ) -> None:
-        """Take the engines, the method and the policy's verdicts."""
+        """Initialize; grants is the method, verdict_of returns the policy's verdict."""
         self._engines = engines
         self._grants = grants
         self._verdict_of = verdict_of
-        self._lossy = lossy or ReportFaults()
+        self._report_faults = report_faults or ReportFaults()
         self._random = random.Random(seed)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -109,15 +108,15 @@
         runners = tuple(
             (name, engine.shape.memory_tokens, "") for name, engine in self._engines.items()
         )
-        self._tell(RunnersChanged(GROUP, runners))
-        for one in arrivals:
-            if one.follows:
-                self._followers.setdefault(one.follows, []).append(one)
+        self._handle(RunnersChanged(GROUP, runners))
+        for arrival in arrivals:
+            if arrival.follows:
+                self._followers.setdefault(arrival.follows, []).append(arrival)
             else:
-                self._at(one.at, lambda one=one: self._arrive(one))  # type: ignore[misc]
+                self._at(arrival.at, lambda arrival=arrival: self._arrive(arrival))  # type: ignore[misc]
         self._at(TICK_S, self._tick)
-        self._at(PROGRESS_S, self._progress)
-        self._at(REPORT_S, self._report)
+        self._at(PROGRESS_S, self._report_progress)
+        self._at(REPORT_S, self._report_engines)
         while self._heap:
             at, _, work = heapq.heappop(self._heap)
             if at > limit_s:
@@ -127,34 +126,34 @@
         return self.served
 
     def _at(self, at: float, work: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a call at a virtual time."""
         self._sequence += 1
         heapq.heappush(self._heap, (at, self._sequence, work))
 
-    def _tell(self, event: GrantEvent) -> None:
-        """Hand an event to the method and carry out its actions."""
+    def _handle(self, event: GrantEvent) -> None:
+        """Pass an event to the method and execute the actions that it returns."""
         self.decisions += 1
         for action in self._grants.handle(event, self.now):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: GrantAction) -> None:
-        """Carry out one action after one hop."""
+    def _execute(self, action: GrantAction) -> None:
+        """Execute an action; a grant takes one hop to arrive."""
         if isinstance(action, Granted):
-            self._at(self.now + HOP_S, lambda: self._granted(action))
+            self._at(self.now + HOP_S, lambda: self._start(action))
         elif isinstance(action, Refused):
-            self._refused(action)
+            self._schedule_retry(action)
         elif isinstance(action, YieldAsked):
-            self._yield(action)
+            self._pause(action)
         elif isinstance(action, ResumeAsked):
             self._resume(action)
 
     def _arrive(self, arrival: Arrival) -> None:
-        """Let a new request ask."""
+        """Request a grant for a new request."""
         self.served[arrival.request_id] = Served(arrival, self.now, self.now)
-        self._ask(arrival, "")
+        self._request_grant(arrival, "")
 
-    def _ask(self, arrival: Arrival, ticket: str) -> None:
-        """Ask for a grant."""
+    def _request_grant(self, arrival: Arrival, ticket: str) -> None:
+        """Request a grant, with the ticket of an earlier refusal if there is one."""
         served = self.served[arrival.request_id]
         served.asked = self.now
         request = Request(
@@ -167,10 +166,10 @@
             arrival.prefix,
             served.first_asked,
         )
-        self._tell(Ask(GROUP, "entry", request, self._verdict_of(arrival), ticket))
+        self._handle(Ask(GROUP, "entry", request, self._verdict_of(arrival), ticket))
 
-    def _granted(self, action: Granted) -> None:
-        """Start the generation on its engine."""
+    def _start(self, action: Granted) -> None:
+        """Start a granted generation on its engine."""
         served = self.served[action.request_id]
         served.granted = self.now
         served.runner_id = action.runner_id
@@ -187,19 +186,21 @@
         self._engines[action.runner_id].add(generation)
         self._wake(action.runner_id)
 
-    def _refused(self, action: Refused) -> None:
-        """Come back when told, a few times."""
+    def _schedule_retry(self, action: Refused) -> None:
+        """Retry a refused request at the time given, or give up after MAX_RETRIES."""
         served = self.served[action.request_id]
-        if served.turn:
-            served.returned_refused += 1
-        if served.turn >= RETURNS:
-            served.gave_up = True
+        if served.retries:
+            served.refused_retries += 1
+        if served.retries >= MAX_RETRIES:
+            served.has_given_up = True
             return
-        served.turn += 1
+        served.retries += 1
         ticket = action.ticket
-        self._at(self.now + action.retry_after_s, lambda: self._ask(served.arrival, ticket))
+        self._at(
+            self.now + action.retry_after_s, lambda: self._request_grant(served.arrival, ticket)
+        )
 
-    def _yield(self, action: YieldAsked) -> None:
+    def _pause(self, action: YieldAsked) -> None:
         """Pause a generation."""
         self.served[action.request_id].yields += 1
         self._engines[action.runner_id].pause(action.request_id)
@@ -210,28 +211,28 @@
         self._wake(action.runner_id)
 
     def _wake(self, name: str) -> None:
-        """Let an idle engine step."""
+        """Start stepping an engine unless it is already stepping."""
         if name not in self._busy:
             self._busy.add(name)
             self._at(self.now, lambda: self._step(name))
 
     def _step(self, name: str) -> None:
-        """Run one step of an engine; its tokens come at its end."""
+        """Run one step of an engine; its tokens arrive at the end of the step."""
         engine = self._engines[name]
         if engine.is_idle:
             self._busy.discard(name)
             return
         step = engine.step()
         ends = self.now + step.seconds
-        self._cache_events(name, engine.drain_stored_prefixes(), step.evicted)
+        self._send_cache_events(name, engine.drain_stored_prefixes(), step.evicted)
         for generation in step.tokens:
-            self._token(generation, ends)
+            self._record_token(generation, ends)
         for generation in step.finished:
-            self._at(ends, lambda one=generation: self._finished(one))  # type: ignore[misc]
+            self._at(ends, lambda generation=generation: self._finish(generation))  # type: ignore[misc]
         self._at(ends, lambda: self._step(name))
 
-    def _token(self, generation: Generation, at: float) -> None:
-        """Note when a token comes."""
+    def _record_token(self, generation: Generation, at: float) -> None:
+        """Record the arrival of a token, and its gap to the one before."""
         served = self.served[generation.generation_id]
         if served.first_token < 0:
             served.first_token = at
@@ -239,39 +240,39 @@
             served.gaps.append(at - served.last_token)
         served.last_token = at
 
-    def _finished(self, generation: Generation) -> None:
-        """End a request and schedule what follows it."""
+    def _finish(self, generation: Generation) -> None:
+        """Close the grant of a finished request, and schedule the requests that follow it."""
         name = generation.generation_id
         served = self.served[name]
-        served.finished = True
+        served.is_finished = True
         served.preempted = generation.preempted
         self._open.pop(name, None)
-        self._tell(Close(GROUP, name, generation.produced, True, generation.reply))
+        self._handle(Close(GROUP, name, generation.produced, True, generation.reply))
         for follower in self._followers.get(name, ()):
-            self._at(self.now + follower.pause_s, lambda one=follower: self._arrive(one))  # type: ignore[misc]
+            self._at(self.now + follower.pause_s, lambda follower=follower: self._arrive(follower))  # type: ignore[misc]
 
     def _tick(self) -> None:
-        """Let time pass in the method."""
-        self._tell(Tick())
+        """Send a tick to the method periodically."""
+        self._handle(Tick())
         self._at(self.now + TICK_S, self._tick)
 
-    def _progress(self) -> None:
-        """Report progress in batches."""
+    def _report_progress(self) -> None:
+        """Report the progress of open generations periodically."""
         for name, runner_id in list(self._open.items()):
             generation = self._engines[runner_id].find(name)
             if generation is not None and (
-                generation.produced > self._reported.get(name, 0) or self._signs_due()
+                generation.produced > self._reported.get(name, 0) or self._is_keepalive_due()
             ):
                 self._reported[name] = generation.produced
-                self._tell(Progress(GROUP, name, generation.produced))
-        self._at(self.now + self.progress_s, self._progress)
+                self._handle(Progress(GROUP, name, generation.produced))
+        self._at(self.now + self.progress_s, self._report_progress)
 
-    def _signs_due(self) -> bool:
-        """Tell whether every open grant is reported now, as entries do."""
-        return int(self.now / PROGRESS_S) % int(SIGN_OF_LIFE_S / PROGRESS_S) == 0
+    def _is_keepalive_due(self) -> bool:
+        """Return True if all open grants are reported now as a keepalive, as entries do."""
+        return int(self.now / PROGRESS_S) % int(KEEPALIVE_S / PROGRESS_S) == 0
 
-    def _report(self) -> None:
-        """Send the engines' lagging reports."""
+    def _report_engines(self) -> None:
+        """Send the engines' reports periodically, with their lag."""
         for name, engine in self._engines.items():
             report = RunnerReport(
                 GROUP,
@@ -281,16 +282,20 @@
                 len(engine.waiting),
                 self.now,
             )
-            lag = self._lossy.report_lag_s
-            self._at(self.now + lag, lambda one=report: self._tell(one))  # type: ignore[misc]
-        self._at(self.now + REPORT_S, self._report)
+            lag = self._report_faults.report_lag_s
+            self._at(self.now + lag, lambda report=report: self._handle(report))  # type: ignore[misc]
+        self._at(self.now + REPORT_S, self._report_engines)
 
-    def _cache_events(
+    def _send_cache_events(
         self, name: str, stored: tuple[tuple[PrefixMark, ...], ...], evicted: tuple[int, ...]
     ) -> None:
-        """Send cache events late and with gaps."""
-        kept = tuple(one for one in stored if self._random.random() >= self._lossy.cache_gap)
-        gone = tuple(one for one in evicted if self._random.random() >= self._lossy.cache_gap)
-        if kept or gone:
-            event = CacheEvents(GROUP, name, kept, gone)
-            self._at(self.now + CACHE_LAG_S, lambda: self._tell(event))
+        """Send cache events with their lag; each is lost with probability cache_gap."""
+        sent_stored = tuple(
+            marks for marks in stored if self._random.random() >= self._report_faults.cache_gap
+        )
+        sent_evicted = tuple(
+            digest for digest in evicted if self._random.random() >= self._report_faults.cache_gap
+        )
+        if sent_stored or sent_evicted:
+            event = CacheEvents(GROUP, name, sent_stored, sent_evicted)
+            self._at(self.now + CACHE_LAG_S, lambda: self._handle(event))
--- a/measures/gateway_process.py
+++ b/measures/gateway_process.py
@@ -1,4 +1,4 @@
-"""Start one gateway process with its settings file, for tests and the soak."""
+"""Start and restart gateway processes with their settings files, for tests and the soak."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class GatewayProcess:
-    """Hold one gateway process and its addresses; a restart keeps them."""
+    """A gateway process; its addresses stay the same over a restart."""
 
     def __init__(
         self, name: str, number: int, store: str, folder: Path, settings: dict[str, Any]
     ) -> None:
         """Write the settings and start the process.
 
-        Each number of a run has a loopback address of its own for the metrics, whose port
-        is fixed.
+        Each number of a run has a loopback address of its own, as the port of the metrics is
+        fixed.
         """
         self.name = name
         self.listen = {
@@ -53,35 +53,36 @@
         self.path.write_bytes(orjson.dumps(settings))
 
     def restart(self) -> None:
-        """Start the process again after its end, unless another caller has done so meanwhile."""
+        """Wait for the process to end and restart it, unless another greenlet has done so."""
         ended = self.process
-        # Others go on while the old process ends, and while the new one is being started.
+        # Without the lock two greenlets start the process twice, as both the wait for the end and
+        # the start switch greenlets; the second process then finds its port in use.
         with self._starting:
             ended.wait()
             if self.process is ended:
                 self.process = self._spawn()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, if it still runs."""
+        """Send a signal to the process if it is still running."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def get(self, part: str, path: str) -> tuple[int, bytes]:
-        """Make one call to a listener; raise UpstreamError in vain."""
+        """Send a GET request to a listener; return status and body, or raise UpstreamError."""
         address = self.listen.get(part) or f"{self.settings['ip']}:9464"
         exchange = Exchange.open(address, "GET", path, {}, b"", CALL_TIMEOUT_S)
         body = exchange.read()
         return exchange.status, body
 
     def is_ready(self) -> bool:
-        """Tell whether the process says that it is ready."""
+        """Return True if the process reports itself as ready."""
         try:
             return self.get("ready", "/api/ready")[0] == 200
         except UpstreamError:
             return False
 
     def locate(self, host: str) -> set[str]:
-        """Return the addresses that the process locates."""
+        """Return the addresses to which the process resolves a host; empty on errors."""
         try:
             status, body = self.get("directory", f"/api/resolve?name={host}&zone=b")
         except UpstreamError:
@@ -89,7 +90,7 @@
         return set(orjson.loads(body)["addresses"]) if status == 200 else set()
 
     def _spawn(self) -> subprocess.Popen[bytes]:
-        """Start the process; its output goes to the log file."""
+        """Start the process, with its output in the log file."""
         with self.log.open("ab") as output:
             return subprocess.Popen(
                 [sys.executable, "-m", "driftstall.platform"],
--- a/measures/methods.py
+++ b/measures/methods.py
@@ -1,4 +1,4 @@
-"""Build the methods that are compared: two baselines, ours and the limit."""
+"""The scheduling methods that are compared: two baselines, the product's and an oracle."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 class FirstCome:
-    """Grant at once to the least loaded runner: no admission, no queue, no forecast."""
+    """Grant immediately on the least loaded runner, without admission, queue or forecast."""
 
     def __init__(self) -> None:
-        """Start without runners."""
-        self._held: dict[str, int] = {}
+        """Initialize without runners."""
+        self._prompt_tokens: dict[str, int] = {}
         self._open: dict[str, tuple[str, int]] = {}
 
     def handle(self, event: GrantEvent, now: float) -> list[GrantAction]:
-        """Take an event and return the actions."""
+        """Handle an event and return the actions."""
         if isinstance(event, RunnersChanged):
-            self._held = {name: 0 for name, _, _ in event.runners}
+            self._prompt_tokens = {name: 0 for name, _, _ in event.runners}
         elif isinstance(event, Close):
             name, tokens = self._open.pop(event.request_id)
-            self._held[name] -= tokens
+            self._prompt_tokens[name] -= tokens
         elif isinstance(event, Ask):
             request = event.request
-            name = min(self._held, key=self._held.__getitem__)
-            self._held[name] += request.input_tokens
+            name = min(self._prompt_tokens, key=self._prompt_tokens.__getitem__)
+            self._prompt_tokens[name] += request.input_tokens
             self._open[request.request_id] = (name, request.input_tokens)
             rank = event.verdict.rank
             return [Granted(event.entry, request.request_id, name, rank, "least loaded")]
@@ -49,13 +49,13 @@
 def build_method(
     method: str, arrivals: list[Arrival], weights: Weights, overflow: float, seed: int
 ) -> FirstCome | GrantsController:
-    """Return a method by name."""
+    """Return a method by name; the oracle knows the true output lengths."""
     source = random.Random(seed)
     if method == "first_come":
         return FirstCome()
     if method == "worst_case":
         return GrantsController("base/0", WorstCaseLengths(), source, weights=weights, certain=True)
     if method == "oracle":
-        lengths = KnownLengths({one.request_id: one.output_tokens for one in arrivals})
+        lengths = KnownLengths({arrival.request_id: arrival.output_tokens for arrival in arrivals})
         return GrantsController("base/0", lengths, source, weights=weights, certain=True)
     return GrantsController("base/0", LearnedLengths(), source, weights=weights, overflow=overflow)
--- a/measures/workload.py
+++ b/measures/workload.py
@@ -1,4 +1,4 @@
-"""Make seeded workloads of both deployments."""
+"""Seeded synthetic workloads of two deployments, with conversations, long prompts and bursts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from driftstall.core import PrefixMark
 
 SYSTEM_TOKENS: Final = 320
-"""Every conversation of a workspace starts with the same instructions."""
+"""Length of the system prompt, which all conversations of a workspace share."""
 WORKSPACES: Final = 10
 CHAT_SHARE: Final = 0.8
 CONVERSATION_SHARE: Final = 0.75
-"""Share of chats that belong to conversations; the rest are asked once."""
+"""Share of chats that belong to conversations; the others have a single turn."""
 MEAN_TURNS: Final = 4.0
 CHAT_CAP: Final = 1_024
 LONG_CAP: Final = 2_048
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Hold one request with its true length, which only the engine may know."""
+    """A request with its true output length, which only the engine and the oracle may know."""
 
     request_id: str
     at: float
@@ -33,14 +33,14 @@
     prefix: tuple[PrefixMark, ...]
     reply: PrefixMark | None
     follows: str
-    """The earlier turn that must have ended, or empty."""
+    """Id of the earlier turn that must have ended; empty for none."""
     pause_s: float
-    """Seconds between that turn's end and this request."""
+    """Time between the end of the earlier turn and this request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Describe one user's kinds."""
+    """The kinds of requests of one deployment, with the distributions of their lengths."""
 
     name: str
     first_kind: str
@@ -64,69 +64,71 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkloadChange:
-    """Change a workload while it runs."""
+    """Changes of a workload during a run."""
 
     drift: float = 1.0
-    """Factor on output lengths, reached linearly by the end."""
+    """Factor on output lengths, which grows linearly to this value by the end."""
     flood: float = 0.0
     """Extra long prompts a second from one workspace."""
 
 
 class WorkloadMaker:
-    """Draw arrivals from one seed."""
+    """Generate arrivals from a seed."""
 
-    def __init__(self, deployment: Deployment, seed: int, twist: WorkloadChange) -> None:
-        """Take what to draw and from which seed."""
+    def __init__(self, deployment: Deployment, seed: int, change: WorkloadChange) -> None:
+        """Initialize the generator of random numbers."""
         self._deployment = deployment
         self._random = random.Random(seed)
-        self._twist = twist
+        self._change = change
         self._number = 0
         names = [f"workspace-{index}" for index in range(WORKSPACES)]
         weights = [1.0 / (index + 1) for index in range(WORKSPACES)]
         self._names, self._weights = names, weights
 
     def make(self, rate: float, seconds: float) -> list[Arrival]:
-        """Return requests in order of time; rate counts generations a second."""
+        """Return requests sorted by time; rate is in generations a second."""
         arrivals: list[Arrival] = []
         chat_rate = rate * CHAT_SHARE
         conversations = chat_rate * CONVERSATION_SHARE / MEAN_TURNS
-        self._poisson(arrivals, conversations, seconds, self._conversation)
-        self._poisson(arrivals, chat_rate * (1 - CONVERSATION_SHARE), seconds, self._one_shot)
-        self._poisson(arrivals, rate * (1 - CHAT_SHARE), seconds, self._long)
-        if self._twist.flood:
-            self._poisson(arrivals, self._twist.flood, seconds, self._flooding)
-        return sorted(arrivals, key=lambda one: one.at)
-
-    def _poisson(self, out: list[Arrival], rate: float, seconds: float, draw: object) -> None:
-        """Draw arrivals at random times; bursts come from a rate that varies."""
+        self._add_poisson(arrivals, conversations, seconds, self._make_conversation)
+        self._add_poisson(
+            arrivals, chat_rate * (1 - CONVERSATION_SHARE), seconds, self._make_single_chat
+        )
+        self._add_poisson(arrivals, rate * (1 - CHAT_SHARE), seconds, self._make_long)
+        if self._change.flood:
+            self._add_poisson(arrivals, self._change.flood, seconds, self._make_flood)
+        return sorted(arrivals, key=lambda arrival: arrival.at)
+
+    def _add_poisson(self, out: list[Arrival], rate: float, seconds: float, make: object) -> None:
+        """Add arrivals of a Poisson process with bursts: twice the rate for 7 s in each 28 s."""
         now = 0.0
         while True:
             burst = 2.0 if int(now / 7) % 4 == 0 else 2.0 / 3.0
             now += self._random.expovariate(rate * burst)
             if now >= seconds:
                 return
-            out.extend(draw(now, now / seconds))  # type: ignore[operator]
+            out.extend(make(now, now / seconds))  # type: ignore[operator]
 
-    def _next(self) -> int:
-        """Return a number that names one request."""
+    def _next_number(self) -> int:
+        """Return the number of a new request."""
         self._number += 1
         return self._number
 
-    def _length(self, shape: tuple[float, float], cap: int, progress: float) -> int:
-        """Draw an output length, capped."""
-        factor = 1.0 + (self._twist.drift - 1.0) * progress
+    def _sample_length(self, shape: tuple[float, float], cap: int, progress: float) -> int:
+        """Return a random output length of a lognormal distribution, at most cap."""
+        factor = 1.0 + (self._change.drift - 1.0) * progress
         return max(2, min(cap, int(self._random.lognormvariate(*shape) * factor)))
 
-    def _conversation(self, at: float, progress: float) -> list[Arrival]:
-        """Draw a conversation: each turn brings the whole history."""
+    def _make_conversation(self, at: float, progress: float) -> list[Arrival]:
+        """Return the turns of a conversation; the prompt of each turn has the whole history."""
         workspace = self._random.choices(self._names, self._weights)[0]
         marks = [PrefixMark(hash_of(workspace), SYSTEM_TOKENS)]
-        turns, previous, arrivals = self._turns(), "", []
+        turns, previous, arrivals = self._sample_turns(), "", []
         for _ in range(turns):
-            number = self._next()
-            asked = self._random.randint(*self._deployment.first_input)
-            marks.append(PrefixMark(2 * number, marks[-1].tokens + asked))
-            output = self._length(self._deployment.chat_output, CHAT_CAP, progress)
+            number = self._next_number()
+            prompt_tokens = self._random.randint(*self._deployment.first_input)
+            marks.append(PrefixMark(2 * number, marks[-1].tokens + prompt_tokens))
+            output = self._sample_length(self._deployment.chat_output, CHAT_CAP, progress)
             reply = PrefixMark(2 * number + 1, marks[-1].tokens + output)
             pause = self._random.uniform(3.0, 15.0)
             kind = self._deployment.first_kind
@@ -149,59 +151,59 @@
             previous = f"r{number}"
         return arrivals
 
-    def _turns(self) -> int:
-        """Draw how many turns a conversation has."""
+    def _sample_turns(self) -> int:
+        """Return a random number of turns of a conversation, at most 12."""
         turns = 1
         while self._random.random() > 1.0 / MEAN_TURNS and turns < 12:
             turns += 1
         return turns
 
-    def _one_shot(self, at: float, progress: float) -> list[Arrival]:
-        """Draw a chat that is asked once."""
+    def _make_single_chat(self, at: float, progress: float) -> list[Arrival]:
+        """Return a chat of a single turn."""
         workspace = self._random.choices(self._names, self._weights)[0]
-        asked = self._random.randint(*self._deployment.first_input)
+        prompt_tokens = self._random.randint(*self._deployment.first_input)
         kind, shape = self._deployment.first_kind, self._deployment.chat_output
-        return [self._single(at, workspace, kind, asked, shape, CHAT_CAP, progress)]
+        return [self._make_single(at, workspace, kind, prompt_tokens, shape, CHAT_CAP, progress)]
 
-    def _long(self, at: float, progress: float) -> list[Arrival]:
-        """Draw a request with a long prompt."""
+    def _make_long(self, at: float, progress: float) -> list[Arrival]:
+        """Return a request with a long prompt."""
         workspace = self._random.choices(self._names, self._weights)[0]
-        return [self._long_of(at, workspace, progress)]
+        return [self._make_long_of(at, workspace, progress)]
 
-    def _flooding(self, at: float, progress: float) -> list[Arrival]:
-        """Draw a request of the workspace that floods."""
-        return [self._long_of(at, "workspace-flood", progress)]
+    def _make_flood(self, at: float, progress: float) -> list[Arrival]:
+        """Return a request of the flooding workspace."""
+        return [self._make_long_of(at, "workspace-flood", progress)]
 
-    def _long_of(self, at: float, workspace: str, progress: float) -> Arrival:
-        """Draw one long prompt of a workspace."""
-        asked = self._random.randint(*self._deployment.long_input)
+    def _make_long_of(self, at: float, workspace: str, progress: float) -> Arrival:
+        """Return a request of a workspace with a long prompt."""
+        prompt_tokens = self._random.randint(*self._deployment.long_input)
         kind, shape = self._deployment.long_kind, self._deployment.long_output
-        return self._single(at, workspace, kind, asked, shape, LONG_CAP, progress)
+        return self._make_single(at, workspace, kind, prompt_tokens, shape, LONG_CAP, progress)
 
-    def _single(
+    def _make_single(
         self,
         at: float,
         workspace: str,
         kind: str,
-        asked: int,
+        prompt_tokens: int,
         shape: tuple[float, float],
         cap: int,
         progress: float,
     ) -> Arrival:
-        """Draw one request that nothing follows."""
-        number = self._next()
+        """Return a request outside any conversation."""
+        number = self._next_number()
         system = PrefixMark(hash_of(workspace), SYSTEM_TOKENS)
-        whole = PrefixMark(2 * number, SYSTEM_TOKENS + asked)
-        output = self._length(shape, cap, progress)
+        prompt = PrefixMark(2 * number, SYSTEM_TOKENS + prompt_tokens)
+        output = self._sample_length(shape, cap, progress)
         return Arrival(
             f"r{number}",
             at,
             workspace,
             kind,
-            whole.tokens,
+            prompt.tokens,
             output,
             cap,
-            (system, whole),
+            (system, prompt),
             None,
             "",
             0.0,
@@ -209,5 +211,5 @@
 
 
 def hash_of(workspace: str) -> int:
-    """Return the digest of a workspace's shared instructions."""
+    """Return the digest of a workspace's shared system prompt."""
     return (1 << 40) + sum(ord(char) * (index + 1) for index, char in enumerate(workspace))
