--- a/measures/ablation.py
+++ b/measures/ablation.py
@@ -1,4 +1,4 @@
-"""Switch off one mechanism after the other, and play days with each.
+"""Ablation study: replay days with one mechanism after the other switched off.
 
 Usage:
   ablation BENCH SITE FOLDER [--days=NAMES] [--seeds=NUMBERS] [--jobs=N] [--only=NAMES]
@@ -10,8 +10,7 @@
   --only=NAMES     Mechanisms that are switched off; all of measures/ablations without it.
 
 BENCH is the program that plays days, SITE its file, FOLDER where scratch copies and reports go.
-Each copy is a checkout of the newest commit with one patch. What has a report already is not played
-again.
+Each copy is a checkout of the newest commit with one patch. Plays that have a report are skipped.
 """
 
 from __future__ import annotations
@@ -30,44 +29,44 @@
 
 PATCHES: Final = Path(__file__).parent / "ablations"
 WHOLE: Final = "whole"
-"""Names the code as it is."""
+"""Name of the unchanged code."""
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """Name one play."""
+    """A replay of a day without one mechanism."""
 
     mechanism: str
     day: str
     seed: int
 
     def report(self, folder: Path) -> Path:
-        """Return where its report is written."""
+        """Return the path of the report."""
         return folder / "reports" / f"{self.mechanism}-{self.day}-{self.seed}.json"
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Hold what a mechanism is worth: the code as it is, less the code without it."""
+    """The contribution of a mechanism: results of the unchanged code less those without it."""
 
     mechanism: str
     differences: tuple[float, ...]
     broken: int
-    """Days without it on which a rule was broken or the system failed."""
+    """Number of days without the mechanism on which a rule was broken or the system failed."""
 
     @classmethod
     def from_reports(
         cls, mechanism: str, pairs: Iterable[tuple[dict[str, Any], dict[str, Any]]]
     ) -> Difference:
-        """Compare reports of the same days, the code as it is first."""
+        """Compare pairs of reports of the same day, with and without the mechanism."""
         known = list(pairs)
-        differences = tuple(whole["G"] - without["G"] for whole, without in known)
-        broken = sum(bool(one["breaks"] or one["fault"]) for _, one in known)
+        differences = tuple(unchanged["G"] - without["G"] for unchanged, without in known)
+        broken = sum(bool(without["breaks"] or without["fault"]) for _, without in known)
         return cls(mechanism, differences, broken)
 
     @property
     def row(self) -> str:
-        """Return it as a row of a table."""
+        """Return the table row with mean, standard error and number of days."""
         mean = statistics.mean(self.differences)
         count = len(self.differences)
         error = statistics.stdev(self.differences) / count**0.5 if count > 1 else 0.0
@@ -75,7 +74,7 @@
 
 
 def scratch_copy(folder: Path, mechanism: str) -> Path:
-    """Return a checkout without a mechanism."""
+    """Create a checkout without a mechanism, unless there is one, and return its path."""
     copy = folder / "copies" / mechanism
     if not copy.exists():
         subprocess.run(["git", "worktree", "add", "-q", "--detach", copy, "HEAD"], check=True)
@@ -85,17 +84,17 @@
     return copy
 
 
-def play(bench: Path, site: Path, folder: Path, one: Play) -> None:
-    """Play one day, and leave its report."""
-    report = one.report(folder)
+def run_play(bench: Path, site: Path, folder: Path, play: Play) -> None:
+    """Replay a day and write its report, unless there is one."""
+    report = play.report(folder)
     if report.exists():
         return
-    why = f"Ablation: {one.mechanism}"
+    why = f"Ablation: {play.mechanism}"
     with report.with_suffix(".log").open("w") as log:
-        wanted = ["--seed", str(one.seed), "--report", str(report), "--why", why]
+        options = ["--seed", str(play.seed), "--report", str(report), "--why", why]
         subprocess.run(
-            [str(bench), "run", str(site), one.day, *wanted],
-            cwd=folder / "copies" / one.mechanism,
+            [str(bench), "run", str(site), play.day, *options],
+            cwd=folder / "copies" / play.mechanism,
             stdout=log,
             stderr=subprocess.STDOUT,
             check=False,
@@ -103,18 +102,19 @@
 
 
 def table(folder: Path, plays: list[Play]) -> str:
-    """Return what each mechanism is worth, over the days that have both reports."""
+    """Return the table of all mechanisms, over the days that have both reports."""
     reports = {
-        one: orjson.loads(one.report(folder).read_bytes())
-        for one in plays
-        if one.report(folder).exists()
+        play: orjson.loads(play.report(folder).read_bytes())
+        for play in plays
+        if play.report(folder).exists()
     }
     lines = ["| mechanism | worth | error of the mean | days | broken |", "|---|---|---|---|---|"]
-    for mechanism in sorted({one.mechanism for one in reports} - {WHOLE}):
+    for mechanism in sorted({play.mechanism for play in reports} - {WHOLE}):
         pairs = [
-            (reports[whole], told)
-            for one, told in reports.items()
-            if one.mechanism == mechanism and (whole := Play(WHOLE, one.day, one.seed)) in reports
+            (reports[unchanged], report)
+            for play, report in reports.items()
+            if play.mechanism == mechanism
+            and (unchanged := Play(WHOLE, play.day, play.seed)) in reports
         ]
         if pairs:
             lines.append(Difference.from_reports(mechanism, pairs).row)
@@ -122,14 +122,14 @@
 
 
 def main() -> int:
-    """Play what has no report yet, and print the table."""
+    """Run the plays without a report, and print the table."""
     options = docopt(__doc__ or "")
     bench, site = Path(options["BENCH"]).resolve(), Path(options["SITE"]).resolve()
     folder = Path(options["FOLDER"]).resolve()
     (folder / "reports").mkdir(parents=True, exist_ok=True)
     known = sorted(path.stem for path in PATCHES.glob("*.patch"))
-    wanted = options["--only"].split(",") if options["--only"] else known
-    mechanisms = [WHOLE, *wanted]
+    selected = options["--only"].split(",") if options["--only"] else known
+    mechanisms = [WHOLE, *selected]
     for mechanism in mechanisms:
         scratch_copy(folder, mechanism)
     plays = [
@@ -139,7 +139,7 @@
         for mechanism in mechanisms
     ]
     with ThreadPoolExecutor(int(options["--jobs"])) as threads:
-        list(threads.map(lambda one: play(bench, site, folder, one), plays))
+        list(threads.map(lambda play: run_play(bench, site, folder, play), plays))
     print(table(folder, plays))
     return 0
 
--- a/measures/capacity.py
+++ b/measures/capacity.py
@@ -1,4 +1,4 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure the costs per request, member and object from which docs/CAPACITY.md is computed.
 
 Usage:
   capacity [--json] [--write]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slopes:
-    """Hold what was measured; each dict maps a size to a figure."""
+    """The measured costs; each dict maps a size, or a message type, to a figure."""
 
     decision_us_by_runners: dict[str, float]
     decision_us_by_workspaces: dict[str, float]
@@ -68,7 +68,7 @@
 
 
 def time_us(work: Callable[[], Any], count: int) -> float:
-    """Return the time of one call, in microseconds."""
+    """Return the mean time of a call, in microseconds."""
     begin = time.perf_counter()
     for _ in range(count):
         work()
@@ -76,7 +76,7 @@
 
 
 def request_of(number: int, workspaces: int) -> Request:
-    """Return a request like those of the workload."""
+    """Return a request with a prompt of 1,000 tokens and five prefix marks."""
     workspace = f"workspace-{number % workspaces}"
     marks = tuple(PrefixMark(number * 8 + index, 200 * (index + 1)) for index in range(5))
     return Request(f"{number:016x}-1", workspace, "chat", "base", 1_000, 1_024, marks, 1e9, 2e9)
@@ -94,7 +94,7 @@
 
 
 def decision_us(runners: int, workspaces: int) -> tuple[float, float]:
-    """Return the time of an ask and of a close, with 40 open grants a runner."""
+    """Return the mean times of an Ask and of a Close, with 40 open grants per runner."""
     controller = busy_controller(runners, workspaces, runners * 40)
     asks = closes = 0.0
     count = 1_500
@@ -112,17 +112,17 @@
 
 
 def memory_kb(build: Callable[[], Any]) -> float:
-    """Return the memory that an object takes, in KB."""
+    """Return the memory that an object uses, in KB."""
     tracemalloc.start()
-    kept = build()
+    built = build()
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del built
     return round(used / 1024, 2)
 
 
 def instances(count: int) -> list[Instance]:
-    """Return so many instances."""
+    """Return a list of count instances."""
     return [
         Instance(f"instance-{index}", f"10.0.0.{index}:8000", f"10.0.0.{index}:8100", "zone-a")
         for index in range(count)
@@ -130,14 +130,17 @@
 
 
 def membership_costs(count: int, seconds: float = 10.0) -> tuple[float, float]:
-    """Return microseconds and bytes a second of one member, sent and received."""
-    everyone = instances(count)
+    """Return the processor time in microseconds a second and the bytes a second of one member.
+
+    The bytes are those sent and received.
+    """
+    members = instances(count)
     nodes = {
-        one.instance_id: MembershipController(one, 1, random.Random(one.instance_id))
-        for one in everyone
+        member.instance_id: MembershipController(member, 1, random.Random(member.instance_id))
+        for member in members
     }
     for node in nodes.values():
-        node.handle(Seeds(tuple(everyone)), 0.0)
+        node.handle(Seeds(tuple(members)), 0.0)
     sent, spent, now = 0, 0.0, 0.0
     queue: list[tuple[str, Any]] = []
     while now < seconds:
@@ -160,7 +163,7 @@
 
 
 def config_of(workspaces: int, runners: int) -> ConfigDocument:
-    """Return a configuration of a size."""
+    """Return a configuration with so many workspaces and runners."""
     policy = Path("examples/both.policy").read_text()
     return ConfigDocument(
         1,
@@ -177,7 +180,7 @@
 
 
 def claim_bytes() -> float:
-    """Return the stored size of one claim with its outcome."""
+    """Return the mean stored size of a claim with its outcome, in bytes."""
     records = tuple(
         ClaimRecord(
             f"{index:032x}",
@@ -192,7 +195,7 @@
 
 
 def messages() -> dict[str, Any]:
-    """Return the messages that one request costs."""
+    """Return the messages that are sent for one request."""
     request = request_of(7, 100)
     return {
         "Ask": Ask("base/0", "instance-12", request, VERDICT),
@@ -205,32 +208,40 @@
 
 
 def measure() -> Slopes:
-    """Measure all slopes."""
+    """Measure all costs."""
     sizes = (8, 64, 410)
-    by_runners = {str(one): decision_us(one, 100) for one in (5, 8, 16)}
-    by_workspaces = {str(one): decision_us(16, one)[0] for one in (10, 500, 3_500)}
-    member = {one: membership_costs(one, 10.0 if one < 100 else 3.0) for one in sizes}
+    by_runners = {str(runners): decision_us(runners, 100) for runners in (5, 8, 16)}
+    by_workspaces = {
+        str(workspaces): decision_us(16, workspaces)[0] for workspaces in (10, 500, 3_500)
+    }
+    member = {size: membership_costs(size, 10.0 if size < 100 else 3.0) for size in sizes}
     sample = messages()
     frames = {
-        name: encode(Envelope("instance-1", "instance-2", time.time_ns(), one), KEY)
-        for name, one in sample.items()
+        name: encode(Envelope("instance-1", "instance-2", time.time_ns(), message), KEY)
+        for name, message in sample.items()
     }
-    configs = {one: config_of(*one) for one in ((10, 8), (500, 100), (3_500, 790))}
-    raws = {f"{a}+{b}": orjson.dumps(config_to_json(one)) for (a, b), one in configs.items()}
+    configs = {size: config_of(*size) for size in ((10, 8), (500, 100), (3_500, 790))}
+    raws = {f"{a}+{b}": orjson.dumps(config_to_json(config)) for (a, b), config in configs.items()}
     policy = parse_policy(Path("examples/both.policy").read_text())
     facts = Facts("summary", "w", "m", 5, 5, 0.0, 1)
-    many = 500
+    count = 500
     return Slopes(
         {name: pair[0] for name, pair in by_runners.items()},
         by_workspaces,
         by_runners["16"][1],
-        {str(one): time_us(lambda one=one: owner_of("g/1", instances(one)), 200) for one in sizes},  # type: ignore[misc]
-        {str(one): member[one][0] for one in sizes},
-        {str(one): member[one][1] for one in sizes},
-        {str(one): memory_kb(lambda one=one: _seeded(one)) for one in sizes},  # type: ignore[misc]
-        round(memory_kb(lambda: _classes(many)) / many, 2),
-        round(memory_kb(lambda: busy_controller(16, 50, many)) / many, 2),
-        {name: time_us(lambda one=one: _encode(one), 2_000) for name, one in sample.items()},  # type: ignore[misc]
+        {
+            str(size): time_us(lambda size=size: owner_of("g/1", instances(size)), 200)  # type: ignore[misc]
+            for size in sizes
+        },
+        {str(size): member[size][0] for size in sizes},
+        {str(size): member[size][1] for size in sizes},
+        {str(size): memory_kb(lambda size=size: _seeded_member(size)) for size in sizes},  # type: ignore[misc]
+        round(memory_kb(lambda: _length_classes(count)) / count, 2),
+        round(memory_kb(lambda: busy_controller(16, 50, count)) / count, 2),
+        {
+            name: time_us(lambda message=message: _encode(message), 2_000)  # type: ignore[misc]
+            for name, message in sample.items()
+        },
         {
             name: time_us(lambda frame=frame: decode(frame[4:], KEY, KINDS), 2_000)  # type: ignore[misc]
             for name, frame in frames.items()
@@ -244,16 +255,16 @@
     )
 
 
-def _seeded(count: int) -> MembershipController:
-    """Return a member that knows so many others."""
-    everyone = instances(count)
-    node = MembershipController(everyone[0], 1, random.Random(1))
-    node.handle(Seeds(tuple(everyone)), 0.0)
+def _seeded_member(count: int) -> MembershipController:
+    """Return a member that knows count instances."""
+    members = instances(count)
+    node = MembershipController(members[0], 1, random.Random(1))
+    node.handle(Seeds(tuple(members)), 0.0)
     return node
 
 
-def _classes(count: int) -> LearnedLengths:
-    """Return a length model with so many classes."""
+def _length_classes(count: int) -> LearnedLengths:
+    """Return a length model with count classes."""
     lengths = LearnedLengths()
     for index in range(count):
         lengths.record_progress(request_of(index, count), 0, 10)
@@ -267,7 +278,7 @@
 
 
 def groups_at_full_size(runners: int, models: int) -> int:
-    """Return how many groups the runners make."""
+    """Return the number of groups that the runners are divided into."""
     from driftstall.core import Runner
 
     rows = [
@@ -277,7 +288,7 @@
 
 
 def main() -> int:
-    """Measure and print, or write the results for the page."""
+    """Measure, and print the results or write them for the page."""
     options = docopt(__doc__ or "")
     slopes = asdict(measure())
     slopes["groups_at_full_size"] = groups_at_full_size(790, 8)
--- a/measures/capacity_page.py
+++ b/measures/capacity_page.py
@@ -1,4 +1,4 @@
-"""Work docs/CAPACITY.md's figures out from the measured slopes."""
+"""Compute the figures of docs/CAPACITY.md from the measured costs, for a fleet at full size."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 KINDS: Final = 3
 CHANGES_PER_DAY: Final = 530
 OPEN_S: Final = 12.0
-"""Seconds that a generation stays open, assumed: 254 tokens each at 5,900 a second, up to 58 ms."""
+"""Time that a generation is open: 1,500,000 tokens a second for 5,900 requests a second are 254
+tokens for each, at up to 58 ms a token."""
 PROGRESS_PERIOD_S: Final = 0.25 * (DAEMONS / 16 - 1)
 READERS: Final = 3
 WATCH_S: Final = 20.0
@@ -35,17 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """Hold one line of a budget."""
+    """A line of a budget."""
 
     what: str
     mean: float
     owner: float
-    """The same for a daemon that owns one group."""
+    """The value for a daemon that owns one group; mean is that of an average daemon."""
     how: str
 
 
 def cpu_lines(slopes: dict[str, Any], relay: dict[str, Any]) -> list[Line]:
-    """Return processor time for control, in percent of a core."""
+    """Return the processor time of the control plane, in percent of a core."""
     each = REQUESTS_PER_S / DAEMONS
     group = REQUESTS_PER_S / slopes["groups_at_full_size"]
     encode, decode = slopes["encode_us"], slopes["decode_us"]
@@ -86,7 +87,7 @@
 
 
 def byte_lines(slopes: dict[str, Any]) -> list[Line]:
-    """Return bytes a second that a daemon sends for control."""
+    """Return the bytes a second that a daemon sends for the control plane."""
     each = REQUESTS_PER_S / DAEMONS
     group = REQUESTS_PER_S / slopes["groups_at_full_size"]
     size = slopes["message_bytes"]
@@ -104,7 +105,7 @@
 
 
 def memory_lines(slopes: dict[str, Any], relay: dict[str, Any]) -> list[Line]:
-    """Return resident memory in MB."""
+    """Return the resident memory, in MB."""
     groups = slopes["groups_at_full_size"]
     classes = WORKSPACES * 8 / groups * KINDS * slopes["class_kb"] / 1024
     grants = REQUESTS_PER_S / groups * OPEN_S * slopes["grant_kb"] / 1024
@@ -122,7 +123,7 @@
 
 
 def platform_lines(slopes: dict[str, Any]) -> list[tuple[str, float, float, str]]:
-    """Return reads and writes a second at the platform."""
+    """Return part, reads a second, writes a second and mechanism of the load on the platform."""
     takers = CHANGES_PER_DAY / 86_400 * DAEMONS
     return [
         (
@@ -152,10 +153,10 @@
         "|---|---|---|---|",
     ]
     rows += [
-        f"| {one.what} | {one.mean:.{digits}f} | {one.owner:.{digits}f} | {one.how} |"
-        for one in lines
+        f"| {line.what} | {line.mean:.{digits}f} | {line.owner:.{digits}f} | {line.how} |"
+        for line in lines
     ]
-    mean, owner = sum(one.mean for one in lines), sum(one.owner for one in lines)
+    mean, owner = sum(line.mean for line in lines), sum(line.owner for line in lines)
     rows.append(
         f"| **sum** | **{mean:.{digits}f}** {_verdict(mean, limit)} "
         f"| **{owner:.{digits}f}** {_verdict(owner, limit)} | |"
@@ -164,12 +165,12 @@
 
 
 def _verdict(value: float, limit: float) -> str:
-    """Say whether a sum is within its budget."""
+    """Return a text that says whether a sum is within its budget."""
     return "within" if value <= limit else f"over by {value / limit - 1:.0%}"
 
 
 def capacity_figures() -> str:
-    """Return the tables."""
+    """Return the tables and the closing paragraph of the page."""
     slopes = orjson.loads(RESULTS.read_bytes())
     relay = orjson.loads(RELAY.read_bytes())
     parts = [
@@ -193,7 +194,7 @@
     rows += [
         f"| {what} | {reads:.2f} | {writes:.3f} | {how} |" for what, reads, writes, how in lines
     ]
-    reads, writes = sum(one[1] for one in lines), sum(one[2] for one in lines)
+    reads, writes = sum(line[1] for line in lines), sum(line[2] for line in lines)
     rows.append(
         f"| **sum** | **{reads:.1f}** {_verdict(reads, PLATFORM_READS)} "
         f"| **{writes:.1f}** {_verdict(writes, PLATFORM_WRITES)} | |"
--- a/measures/fixed_source.py
+++ b/measures/fixed_source.py
@@ -1,4 +1,4 @@
-"""Serve a stream of so many tokens as fast as it can, in the engine's protocol.
+"""Engine stand-in that streams a requested number of tokens as fast as it can, or at a pace.
 
 Usage:
   fixed_source [--port=N]
@@ -24,7 +24,7 @@
 
 
 def app(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-    """Serve the stream, an idle report or nothing."""
+    """Serve the stream, the report of an idle engine, no cache events, or an empty response."""
     path = environ["PATH_INFO"]
     if path == "/v1/load":
         load = {"used_tokens": 0, "memory_tokens": 10_000_000, "waiting": 0, "model": "base"}
@@ -34,15 +34,15 @@
     if path != "/v1/chat/completions":
         return answer(start, 200, {})
     body = environ["wsgi.input"].read()
-    found, paced = LENGTH.search(body), PACE.search(body)
-    count = int(found.group(1)) if found else 1
-    pace_s = int(paced.group(1)) / 1000 if paced else 0.0
+    length, pace = LENGTH.search(body), PACE.search(body)
+    count = int(length.group(1)) if length else 1
+    pace_s = int(pace.group(1)) / 1000 if pace else 0.0
     start("200 OK", [("Content-Type", "text/event-stream")])
     return _events(environ["HTTP_X_REQUEST_ID"], count, pace_s)
 
 
 def _events(name: str, count: int, pace_s: float) -> Iterator[bytes]:
-    """Yield the tokens and the end."""
+    """Yield an event for each token, with pace_s seconds before each, and the end event."""
     data = (
         f'data: {{"id":"{name}","object":"chat.completion.chunk","model":"base","choices":'
         '[{"index":0,"delta":{"content":"token "},"finish_reason":null}]}\n\n'
--- a/measures/pages.py
+++ b/measures/pages.py
@@ -1,4 +1,4 @@
-"""Put measured figures into the pages, between their markers.
+"""Write the tables of measured figures into the pages, between their markers.
 
 Usage:
   pages [--check]
@@ -24,7 +24,7 @@
 
 
 def update_figures(text: str) -> str:
-    """Return a page's text with its figures made anew."""
+    """Return a page's text with its tables generated again from the results."""
 
     def replace(found: re.Match[str]) -> str:
         return f"{found.group(1)}\n{MAKERS[found.group(2)]()}\n\n{found.group(4)}"
@@ -33,19 +33,19 @@
 
 
 def main() -> int:
-    """Renew the pages, or compare them."""
+    """Update the pages, or check that they are up to date."""
     options = docopt(__doc__ or "")
-    old = []
+    outdated = []
     for path in sorted(Path("docs").rglob("*.md")):
         text = path.read_text()
-        wanted = update_figures(text)
-        if wanted == text:
+        updated = update_figures(text)
+        if updated == text:
             continue
-        old.append(str(path))
+        outdated.append(str(path))
         if not options["--check"]:
-            path.write_text(wanted)
-    print("\n".join(f"{'old' if options['--check'] else 'renewed'}: {one}" for one in old))
-    return 1 if old and options["--check"] else 0
+            path.write_text(updated)
+    print("\n".join(f"{'old' if options['--check'] else 'renewed'}: {name}" for name in outdated))
+    return 1 if outdated and options["--check"] else 0
 
 
 if __name__ == "__main__":
--- a/measures/plain_relay.py
+++ b/measures/plain_relay.py
@@ -1,4 +1,4 @@
-"""Pass a stream on without any decision: the baseline of the relay's cost.
+"""Relay without any decisions: the baseline for the cost of the daemon's relay.
 
 Usage:
   plain_relay [--port=N] [--upstream=ADDR]
@@ -20,7 +20,7 @@
 
 
 def build(upstream: str) -> Any:
-    """Return the app for one upstream."""
+    """Return a WSGI app that forwards requests to one upstream."""
 
     def app(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
@@ -33,7 +33,7 @@
 
 
 def _events(exchange: Exchange) -> Iterator[bytes]:
-    """Yield events as they come."""
+    """Yield the events of the response as they arrive."""
     while True:
         event = exchange.read_event()
         if not event:
--- a/measures/plot.py
+++ b/measures/plot.py
@@ -32,15 +32,16 @@
 
 
 def draw(axes: Any, field: str, title: str, deployment: str) -> None:
-    """Draw one figure over the rates, a line for each method."""
-    runs = {
-        rate: one for (name, rate), one in grouped(load(DECISIONS)).items() if name == deployment
+    """Plot the median of one figure over the rates, with a line for each method."""
+    runs_by_rate = {
+        rate: runs for (name, rate), runs in grouped(load(DECISIONS)).items() if name == deployment
     }
     for method in METHODS:
-        middles = [
-            statistics.median(row_of(run, method)[field] for run in one) for one in runs.values()
+        medians = [
+            statistics.median(row_of(run, method)[field] for run in runs)
+            for runs in runs_by_rate.values()
         ]
-        axes.plot(list(runs), middles, marker="o", label=method)
+        axes.plot(list(runs_by_rate), medians, marker="o", label=method)
     axes.set_title(f"{deployment}: {title}", fontsize=9)
     axes.set_xlabel("generations a second", fontsize=8)
     axes.set_ylim(bottom=0)
--- a/measures/relay.py
+++ b/measures/relay.py
@@ -1,4 +1,4 @@
-"""Measure what the relay costs against a plain relay without decisions.
+"""Measure the cost of the daemon's relay relative to a plain relay without decisions.
 
 Usage:
   relay [--tokens=N] [--streams=N] [--rounds=N] [--json]
@@ -9,8 +9,8 @@
   --rounds=N   Rounds, both relays in turn; the median counts [default: 5].
 
 One process serves a fixed stream as fast as it can; the plain relay and the daemon
-each pass it on. Cost is the processor time of the relaying process, divided by
-tokens or requests; the ratio is what the requirement of 1.5 times speaks of.
+each forward it. The cost is the processor time of the relaying process per token or
+request; the requirement of at most 1.5 times applies to the ratio.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCosts:
-    """Hold the measured costs."""
+    """The measured costs of both relays."""
 
     plain_us_per_token: float
     relay_us_per_token: float
@@ -50,7 +50,7 @@
     plain_us_per_paced_token: float
     relay_us_per_paced_token: float
     paced_token_ratio: float
-    """Tokens that come one by one, so that nothing can be sent together."""
+    """Ratio for tokens that arrive one by one, so that writes can't be batched."""
     plain_ms_per_request: float
     relay_ms_per_request: float
     plain_first_token_ms: float
@@ -61,7 +61,7 @@
 
 
 def processor_s(process: Process) -> float:
-    """Return the processor time that a process has used, in seconds."""
+    """Return the processor time that a process has used, in seconds (at 100 clock ticks a s)."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100.0
 
@@ -75,7 +75,7 @@
 
 
 def ask(address: str, tokens: int, pace_ms: int = 0) -> tuple[float, int]:
-    """Read one answer; return the seconds to the first token and the tokens."""
+    """Read one stream; return the seconds to the first token and the number of tokens."""
     body = orjson.dumps(
         {
             "model": "base",
@@ -100,7 +100,7 @@
 
 
 def per_token(process: Process, tokens: int, streams: int) -> float:
-    """Return the processor time of a relay for each token, in microseconds."""
+    """Return the processor time of a relay per token, in microseconds."""
     before, total = processor_s(process), 0
     for _ in range(streams):
         total += ask(process.address, tokens)[1]
@@ -108,7 +108,7 @@
 
 
 def per_paced_token(process: Process) -> float:
-    """Return the same for tokens of many streams that come one by one."""
+    """Return the processor time per token in microseconds, for parallel paced streams."""
     before = processor_s(process)
     jobs = [gevent.spawn(ask, process.address, PACED_TOKENS, PACE_MS) for _ in range(PACED_STREAMS)]
     gevent.joinall(jobs, raise_error=True)
@@ -116,7 +116,7 @@
 
 
 def per_request(process: Process, count: int) -> float:
-    """Return the processor time for each one-token request, in milliseconds."""
+    """Return the processor time per one-token request, in milliseconds."""
     before = processor_s(process)
     for _ in range(count):
         ask(process.address, 1)
@@ -129,7 +129,7 @@
 
 
 def start_process(bench: Bench, name: str, module: str, *flags: str) -> Process:
-    """Start one of the measuring processes."""
+    """Start a process of this package and wait until it listens."""
     port = free_port()
     log = bench.folder / f"{name}.log"
     command = [sys.executable, "-m", module, f"--port={port}", *flags]
@@ -142,7 +142,7 @@
 
 
 def measure(tokens: int, streams: int, rounds: int) -> RelayCosts:
-    """Run both relays in turn and return the medians."""
+    """Measure both relays in alternation and return the medians."""
     with Bench() as bench:
         bench.start_platform()
         source = start_process(bench, "source", "measures.fixed_source")
@@ -180,26 +180,26 @@
             relay_requests.append(per_request(daemon, 60))
             plain_first.append(first_token_ms(plain, 40))
             relay_first.append(first_token_ms(daemon, 40))
-    middle = statistics.median
+    median = statistics.median
     return RelayCosts(
-        round(middle(plain_tokens), 1),
-        round(middle(relay_tokens), 1),
-        round(middle(relay_tokens) / middle(plain_tokens), 2),
-        round(middle(plain_paced), 1),
-        round(middle(relay_paced), 1),
-        round(middle(relay_paced) / middle(plain_paced), 2),
-        round(middle(plain_requests), 2),
-        round(middle(relay_requests), 2),
-        round(middle(plain_first), 2),
-        round(middle(relay_first), 2),
-        round(middle(relay_first) - middle(plain_first), 2),
+        round(median(plain_tokens), 1),
+        round(median(relay_tokens), 1),
+        round(median(relay_tokens) / median(plain_tokens), 2),
+        round(median(plain_paced), 1),
+        round(median(relay_paced), 1),
+        round(median(relay_paced) / median(plain_paced), 2),
+        round(median(plain_requests), 2),
+        round(median(relay_requests), 2),
+        round(median(plain_first), 2),
+        round(median(relay_first), 2),
+        round(median(relay_first) - median(plain_first), 2),
         round(memory, 1),
         round(idle, 2),
     )
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure and print the costs."""
     options = docopt(__doc__ or "")
     costs = measure(int(options["--tokens"]), int(options["--streams"]), int(options["--rounds"]))
     if options["--json"]:
--- a/measures/tables.py
+++ b/measures/tables.py
@@ -1,4 +1,4 @@
-"""Make the tables of the design notes from the recorded comparisons."""
+"""Generate the tables of the design notes from the recorded comparisons of methods."""
 
 from __future__ import annotations
 
@@ -23,46 +23,47 @@
 def grouped(runs: list[dict[str, Any]]) -> Runs:
     """Group comparisons by deployment and rate."""
     out: Runs = defaultdict(list)
-    for one in sorted(runs, key=lambda one: (one["deployment"], one["rate"], one["seed"])):
-        out[one["deployment"], one["rate"]].append(one)
+    for run in sorted(runs, key=lambda run: (run["deployment"], run["rate"], run["seed"])):
+        out[run["deployment"], run["rate"]].append(run)
     return out
 
 
 def row_of(run: dict[str, Any], method: str) -> dict[str, Any]:
-    """Return one method's figures."""
-    found: dict[str, Any] = next(one for one in run["rows"] if one["method"] == method)
+    """Return the results of one method."""
+    found: dict[str, Any] = next(row for row in run["rows"] if row["method"] == method)
     return found
 
 
-def _spread(values: list[float], digits: int = 0) -> str:
-    """Return a median with its range."""
-    middle = statistics.median(values)
-    return f"{middle:.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
+def _format_spread(values: list[float], digits: int = 0) -> str:
+    """Return the median and the range as a text."""
+    median = statistics.median(values)
+    return f"{median:.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
 
 
-def _column(runs: list[dict[str, Any]], method: str, field: str, digits: int = 0) -> str:
-    """Return one method's figure over the seeds."""
-    return _spread([row_of(one, method)[field] for one in runs], digits)
+def _format_cell(runs: list[dict[str, Any]], method: str, field: str, digits: int = 0) -> str:
+    """Return the median and the range of one method's figure over the seeds."""
+    return _format_spread([row_of(run, method)[field] for run in runs], digits)
 
 
 def forecast_table() -> str:
-    """Compare the methods on the first rank, long prompts and preemptions."""
+    """Return the table of the methods' stalls, preemptions and token rates."""
     head = "| workload | method | first kind's stall p99, ms | long prompts' stall p99, s "
     lines = [head + "| preemptions per 1,000 | tokens/s |", "|---|---|---|---|---|---|"]
     for (deployment, rate), runs in grouped(load(DECISIONS)).items():
         for method in ("first_come", "worst_case", "forecast", "oracle"):
-            stall = [row_of(one, method)["long_stall_p99_ms"] / 1000 for one in runs]
+            stall = [row_of(run, method)["long_stall_p99_ms"] / 1000 for run in runs]
             lines.append(
                 f"| {deployment} {rate:g}/s | `{method}` "
-                f"| {_column(runs, method, 'first_stall_p99_ms')} | {_spread(stall, 1)} "
-                f"| {_column(runs, method, 'preemptions_per_1000', 1)} "
-                f"| {_column(runs, method, 'tokens_per_second')} |"
+                f"| {_format_cell(runs, method, 'first_stall_p99_ms')} "
+                f"| {_format_spread(stall, 1)} "
+                f"| {_format_cell(runs, method, 'preemptions_per_1000', 1)} "
+                f"| {_format_cell(runs, method, 'tokens_per_second')} |"
             )
     return "\n".join(["Median over seeds 201 to 205 (range):", "", *lines])
 
 
 def long_table() -> str:
-    """Compare token gaps and long prompts in the enrolment deployment."""
+    """Return the table of token gaps and long prompts' stalls in the enrolment deployment."""
     head = "| rate | seed | gap p95 `first_come` | `forecast` | `oracle` "
     head += "| long stall p99 `first_come` | `forecast` | ratio |"
     lines = [head, "|---|---|---|---|---|---|---|---|"]
@@ -70,20 +71,20 @@
         if deployment != "enrolment":
             continue
         for run in runs:
-            ours, base = row_of(run, "forecast"), row_of(run, "first_come")
-            limit = row_of(run, "oracle")
-            ratio = ours["long_stall_p99_ms"] / base["long_stall_p99_ms"]
+            forecast, first_come = row_of(run, "forecast"), row_of(run, "first_come")
+            oracle = row_of(run, "oracle")
+            ratio = forecast["long_stall_p99_ms"] / first_come["long_stall_p99_ms"]
             lines.append(
-                f"| {rate:g}/s | {run['seed']} | {base['first_gap_p95_ms']} ms "
-                f"| {ours['first_gap_p95_ms']} ms | {limit['first_gap_p95_ms']} ms "
-                f"| {base['long_stall_p99_ms'] / 1000:.1f} s "
-                f"| {ours['long_stall_p99_ms'] / 1000:.1f} s | {ratio:.2f} |"
+                f"| {rate:g}/s | {run['seed']} | {first_come['first_gap_p95_ms']} ms "
+                f"| {forecast['first_gap_p95_ms']} ms | {oracle['first_gap_p95_ms']} ms "
+                f"| {first_come['long_stall_p99_ms'] / 1000:.1f} s "
+                f"| {forecast['long_stall_p99_ms'] / 1000:.1f} s | {ratio:.2f} |"
             )
     return "\n".join(lines)
 
 
 def refuse_table() -> str:
-    """Show refusals, returns, floods, drift and slow progress reports."""
+    """Return the table of runs with refusals, floods, drift or slow progress reports."""
     lines = [
         "| run | seed | method | first stall p99, ms | others' stall p99, s "
         "| preemptions per 1,000 | returns | refused again |",
