--- a/measures/day_limit.py
+++ b/measures/day_limit.py
@@ -1,4 +1,4 @@
-"""Reckon what a day could have reached at the most, beside what it did reach.
+"""Compute an upper bound on the result of a played day, next to the result reached.
 
 Usage:
   day_limit LOG REPORT [LOG REPORT]... [--plot=FILE] [--token-ms=MS] [--prompt-ms=MS]
@@ -8,9 +8,9 @@
   --token-ms=MS   Time of a token at an engine that reads no prompt [default: 7.1].
   --prompt-ms=MS  Time to the first token at an empty engine [default: 220].
 
-Only what no system could save counts as lost in the limit: streams that would be open when all
-instances end even at the fastest decoding, requests that come while none lives, answers of 500 that
-follow the request to each upstream, and prices that are paid however little is done.
+The limit counts only losses that no system could avoid: streams that would still be open when all
+instances end, even with the fastest decoding, requests that arrive while no instance is live,
+requests that get a 500 from each upstream, and prices that do not depend on the work done.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 CALL_WORTH: Final = 1.0
 PROMPT_TOKENS: Final = 3_000
 OUTPUT_WEIGHT: Final = 10
-"""What a token made weighs beside one read, in a stream's size."""
+"""Weight of an output token relative to a prompt token, in the size of a stream."""
 FIXED_SHARE: Final = 0.3
 """Share of a stream's worth that does not depend on its size."""
 WINDOW_S: Final = 2.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """Hold how fast an engine makes tokens while it does nothing else, in seconds."""
+    """Times of an otherwise idle engine for the prompt and for each token, in seconds."""
 
     token_s: float
     prompt_s: float
@@ -48,22 +48,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedStream:
-    """Hold one stream as the instances' logs tell of it."""
+    """A stream, from the logs of the instances."""
 
     placed_s: float
     tokens: int
-    """Tokens that it made; the forecast where it broke off."""
+    """Number of generated tokens; the forecast if the stream was interrupted."""
     is_long: bool
     is_complete: bool
 
-    def ends_at_s(self, pace: Pace) -> float:
-        """Return when it would have ended at the fastest."""
+    def earliest_end_s(self, pace: Pace) -> float:
+        """Return the earliest time at which the stream could have ended."""
         return self.placed_s + pace.prompt_s + pace.token_s * self.tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """Hold what each part of a day's worth weighs."""
+    """Weights of the parts of a day's result."""
 
     whole: float
     nines: float
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayedDay:
-    """Hold one played day."""
+    """A played day, with its result and the counts from which the limit is computed."""
 
     name: str
     worth: float
@@ -82,17 +82,17 @@
     calls: int
     failed: int
     lost_calls: int
-    """Requests that failed with an answer of 500 or came while no instance lived."""
+    """Requests that failed with a 500 or arrived while no instance was live."""
     prices: float
     fixed_prices: float
     streams: tuple[PlacedStream, ...]
     ends_s: float | None
-    """When all instances ended; None on a day on which they did not."""
+    """Time at which all instances ended; None if they did not."""
 
 
 @dataclass(frozen=True, slots=True)
 class DayParts:
-    """Hold the parts of a day's worth by one reckoning."""
+    """The computed parts of a day's result."""
 
     whole: float
     nines: float
@@ -102,7 +102,7 @@
     lost_long: int
 
     def worth(self, weights: Weights) -> float:
-        """Return the parts together, less prices."""
+        """Return the weighted sum of the parts, less the prices."""
         parts = (
             self.whole * weights.whole
             + self.nines * weights.nines
@@ -113,27 +113,29 @@
 
 
 def compute_reached(day: PlayedDay) -> DayParts:
-    """Reckon what was reached from the same streams as the limit."""
-    served = [one.is_complete for one in day.streams]
-    return _reckon(day, served, day.failed, day.prices)
+    """Compute the parts that were reached, from the same streams as the limit."""
+    served = [stream.is_complete for stream in day.streams]
+    return _compute_parts(day, served, day.failed, day.prices)
 
 
 def compute_limit(day: PlayedDay, pace: Pace) -> DayParts:
-    """Reckon what could have been reached at the most."""
+    """Compute the highest parts that could have been reached."""
     ends = math.inf if day.ends_s is None else day.ends_s
-    served = [one.placed_s >= ends or one.ends_at_s(pace) <= ends for one in day.streams]
+    served = [
+        stream.placed_s >= ends or stream.earliest_end_s(pace) <= ends for stream in day.streams
+    ]
     failed = day.lost_calls + served.count(False)
-    return _reckon(day, served, failed, day.fixed_prices)
+    return _compute_parts(day, served, failed, day.fixed_prices)
 
 
-def _reckon(day: PlayedDay, served: list[bool], failed: int, prices: float) -> DayParts:
-    """Put the parts together from which streams were served."""
+def _compute_parts(day: PlayedDay, served: list[bool], failed: int, prices: float) -> DayParts:
+    """Compute the parts; served says for each stream whether it was served."""
     worths = _worths(day.streams)
     streams = list(zip(day.streams, worths, served, strict=True))
     kept = sum(worth for _, worth, is_served in streams if is_served)
     calls = day.calls * CALL_WORTH
     kept_calls = max(0, day.calls - day.lost_calls) * CALL_WORTH
-    long = [(worth, is_served) for one, worth, is_served in streams if one.is_long]
+    long = [(worth, is_served) for stream, worth, is_served in streams if stream.is_long]
     long_worth = sum(worth for worth, _ in long)
     kept_long = sum(worth for worth, is_served in long if is_served)
     return DayParts(
@@ -147,52 +149,54 @@
 
 
 def _worths(streams: Iterable[PlacedStream]) -> list[float]:
-    """Return what each stream is worth, by its size among those of its kind."""
+    """Return each stream's worth, by its size relative to the mean of long or short streams."""
     known = list(streams)
-    sizes = [PROMPT_TOKENS + OUTPUT_WEIGHT * one.tokens for one in known]
+    sizes = [PROMPT_TOKENS + OUTPUT_WEIGHT * stream.tokens for stream in known]
     means: dict[bool, float] = {}
-    for kind in (False, True):
-        of_kind = [size for one, size in zip(known, sizes, strict=True) if one.is_long is kind]
-        means[kind] = sum(of_kind) / len(of_kind) if of_kind else 1.0
+    for is_long in (False, True):
+        same = [
+            size for stream, size in zip(known, sizes, strict=True) if stream.is_long is is_long
+        ]
+        means[is_long] = sum(same) / len(same) if same else 1.0
     return [
-        (LONG_WORTH if one.is_long else SHORT_WORTH)
-        * (FIXED_SHARE + (1 - FIXED_SHARE) * size / means[one.is_long])
-        for one, size in zip(known, sizes, strict=True)
+        (LONG_WORTH if stream.is_long else SHORT_WORTH)
+        * (FIXED_SHARE + (1 - FIXED_SHARE) * size / means[stream.is_long])
+        for stream, size in zip(known, sizes, strict=True)
     ]
 
 
 def _worst_windows(streams: Iterable[tuple[PlacedStream, float, bool]]) -> float:
-    """Return the mean share kept of the two worst windows; all of it where there are none."""
-    owed: dict[int, float] = defaultdict(float)
+    """Return the mean share served in the WORST_WINDOWS worst windows; 1.0 without any streams."""
+    total: dict[int, float] = defaultdict(float)
     kept: dict[int, float] = defaultdict(float)
-    for one, worth, is_served in streams:
-        window = int(one.placed_s // WINDOW_S)
-        owed[window] += worth
+    for stream, worth, is_served in streams:
+        window = int(stream.placed_s // WINDOW_S)
+        total[window] += worth
         kept[window] += worth * is_served
-    worst = sorted(kept[window] / owed[window] for window in owed)[:WORST_WINDOWS]
+    worst = sorted(kept[window] / total[window] for window in total)[:WORST_WINDOWS]
     return sum(worst) / len(worst) if worst else 1.0
 
 
 def table(days: Iterable[PlayedDay], pace: Pace) -> str:
-    """Return a table of the days, as the pages show it."""
+    """Return a Markdown table of the days."""
     lines = [
         "| day | worth | by this reckoning | limit | long streams lost | unavoidable | failed "
         "| unavoidable |",
         "|---|---|---|---|---|---|---|---|",
     ]
     for day in days:
-        was, most = compute_reached(day), compute_limit(day, pace)
-        unavoidable = day.lost_calls + most.lost_long
+        reached, limit = compute_reached(day), compute_limit(day, pace)
+        unavoidable = day.lost_calls + limit.lost_long
         lines.append(
-            f"| {day.name} | {day.worth:.3f} | {was.worth(day.weights):.3f} "
-            f"| {most.worth(day.weights):.3f} | {was.lost_long} | {most.lost_long} "
+            f"| {day.name} | {day.worth:.3f} | {reached.worth(day.weights):.3f} "
+            f"| {limit.worth(day.weights):.3f} | {reached.lost_long} | {limit.lost_long} "
             f"| {day.failed} | {unavoidable} |"
         )
     return "\n".join(lines)
 
 
 def plot(days: Iterable[PlayedDay], pace: Pace, path: Path) -> None:
-    """Draw each day's worth beside its limit."""
+    """Plot each day's worth and its limit."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -212,8 +216,8 @@
 
 
 def main() -> int:
-    """Print the table, and draw the plot if it is wanted."""
-    # Loaded here, so that the reckoning itself knows no format of a report.
+    """Print the table, and write the plot if --plot is given."""
+    # Imported here, so that the computation does not depend on the format of the reports.
     from measures.played_days import read_day
 
     options = docopt(__doc__ or "")
--- a/measures/demo.py
+++ b/measures/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole system against its stand-ins and check the promises.
+"""Run the complete system against its stand-ins and check its guarantees.
 
 Usage:
   demo [--seconds=N] [--instances=N] [--rate=R] [--seed=N]
@@ -38,13 +38,13 @@
 WORKSPACES: Final = ("north", "plains", "river", "prairie", "depot-east", "depot-west")
 WORDS: Final = "when is the next deadline for the program at this college and what is missing "
 TOKEN: Final = re.compile(r"(\S+)#(\d+) ")
-RETURNS: Final = 3
-"""How often a refused caller comes back at the time it was told."""
+MAX_RETRIES: Final = 3
+"""Maximum number of times that a refused caller retries at the time given by retry_after_s."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """Count what callers saw."""
+    """Counts of what callers observed."""
 
     requests: Counter[str] = field(default_factory=Counter)
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -54,22 +54,22 @@
     doubled: int = 0
     mixed: int = 0
     incomplete: int = 0
-    returned: int = 0
-    admitted_on_return: int = 0
+    retries: int = 0
+    admitted_on_retry: int = 0
     not_run: set[str] = field(default_factory=set)
-    """Calls whose callers were told 'not run'."""
+    """Calls whose callers got the response that the call was not run."""
 
 
 class Traffic:
-    """Send both deployments' mixed traffic."""
+    """Mixed traffic of two deployments."""
 
     def __init__(self, bench: Bench, seed: int) -> None:
-        """Take the running system."""
+        """Initialize callers for each workspace and zone of a running bench."""
         self._bench = bench
         self._random = random.Random(seed)
         self.tally = Tally()
         self._number = 0
-        seeds = tuple(one.address for one in bench.instances)
+        seeds = tuple(instance.address for instance in bench.instances)
         self._callers = {
             (name, zone): Caller(seeds, workspace_key(name), zone)
             for name in WORKSPACES
@@ -77,33 +77,33 @@
         }
 
     def run(self, seconds: float, rate: float) -> list[gevent.Greenlet]:
-        """Start requests at random times; return what still runs."""
+        """Start requests at random times for some seconds; return their greenlets."""
         ends = time.monotonic() + seconds
         open_requests = []
         while time.monotonic() < ends:
             gevent.sleep(self._random.expovariate(rate))
-            open_requests.append(gevent.spawn(self._one))
+            open_requests.append(gevent.spawn(self._send_random))
         return open_requests
 
-    def _one(self) -> None:
-        """Send one request of the mix."""
+    def _send_random(self) -> None:
+        """Send a random request of the mix."""
         workspace = self._random.choice(WORKSPACES)
         caller = self._callers[workspace, self._random.choice(ZONES)]
-        enrolment = not workspace.startswith("depot")
-        draw = self._random.random()
-        if draw < 0.45:
-            self._conversation(caller, "chat" if enrolment else "briefing")
-        elif draw < 0.55:
-            self._long_prompt(caller, "summary" if enrolment else "log_summary")
+        is_enrolment = not workspace.startswith("depot")
+        share = self._random.random()
+        if share < 0.45:
+            self._run_conversation(caller, "chat" if is_enrolment else "briefing")
+        elif share < 0.55:
+            self._send_long_prompt(caller, "summary" if is_enrolment else "log_summary")
         else:
-            self._plain_call(caller, workspace, "portal" if enrolment else "parcel")
+            self._send_plain_call(caller, workspace, "portal" if is_enrolment else "parcel")
 
-    def _conversation(self, caller: Caller, kind: str) -> None:
-        """Hold a conversation of one to three turns, with its history."""
+    def _run_conversation(self, caller: Caller, kind: str) -> None:
+        """Run a conversation of one to three turns, each with the whole history."""
         messages = [{"role": "system", "content": WORDS * 4}]
         for _ in range(self._random.randint(1, 3)):
             words = WORDS * self._random.randint(1, 4)
-            messages.append({"role": "user", "content": f"{words} {self._next()}"})
+            messages.append({"role": "user", "content": f"{words} {self._next_number()}"})
             length = min(800, int(self._random.lognormvariate(4.2, 0.7)) + 2)
             text = self._generate(caller, kind, messages, length, 1_000)
             if text is None:
@@ -111,14 +111,14 @@
             messages.append({"role": "assistant", "content": text})
             gevent.sleep(self._random.uniform(0.2, 1.0))
 
-    def _long_prompt(self, caller: Caller, kind: str) -> None:
-        """Ask for a summary of a long text."""
+    def _send_long_prompt(self, caller: Caller, kind: str) -> None:
+        """Request a summary of a long text."""
         words = WORDS * self._random.randint(60, 160)
-        messages = [{"role": "user", "content": f"{words} {self._next()}"}]
+        messages = [{"role": "user", "content": f"{words} {self._next_number()}"}]
         length = min(600, int(self._random.lognormvariate(4.8, 0.6)) + 2)
         self._generate(caller, kind, messages, length, 1_500)
 
-    def _next(self) -> int:
+    def _next_number(self) -> int:
         """Return a number that makes a text unique."""
         self._number += 1
         return self._number
@@ -126,23 +126,23 @@
     def _generate(
         self, caller: Caller, kind: str, messages: list[dict[str, str]], length: int, cap: int
     ) -> str | None:
-        """Stream one answer; come back when told to; return the text if it is whole."""
+        """Stream one generation, with retries after refusals; return the text if it is complete."""
         tagged = [*messages[:-1], {"role": "user", "content": ""}]
         tagged[-1]["content"] = f"{messages[-1]['content']} [length={length}]"
         messages[-1] = tagged[-1]
         body = {"model": "base", "max_tokens": cap, "messages": messages}
         self.tally.requests[kind] += 1
         ticket = ""
-        for turn in range(RETURNS + 1):
+        for attempt in range(MAX_RETRIES + 1):
             text, end = self._stream(caller, body, kind, ticket, length)
-            if turn and end.problem is None:
-                self.tally.admitted_on_return += 1
+            if attempt and end.problem is None:
+                self.tally.admitted_on_retry += 1
             code = end.problem["code"] if end.problem else "whole"
-            if code != "refused_by_policy" or turn == RETURNS:
+            if code != "refused_by_policy" or attempt == MAX_RETRIES:
                 self.tally.outcomes[code] += 1
                 return text if end.problem is None else None
             assert end.problem is not None
-            self.tally.returned += 1
+            self.tally.retries += 1
             ticket = end.problem.get("ticket", "")
             gevent.sleep(end.problem["retry_after_s"])
         return None
@@ -150,7 +150,7 @@
     def _stream(
         self, caller: Caller, body: dict[str, Any], kind: str, ticket: str, length: int
     ) -> tuple[str, ChatEnd]:
-        """Stream one answer and check its tokens."""
+        """Stream one response, record its token gaps and check its tokens."""
         begin = last = time.monotonic()
         parts: list[str] = []
         for part in caller.chat(body, kind, ticket):
@@ -165,34 +165,34 @@
                 self.tally.stalls_s.append(now - begin)
             last = now
             parts.append(part.text)
-        raise AssertionError("a stream has an end")
+        raise AssertionError("the stream ended without an end event")
 
     def _check(self, text: str, length: int, end: ChatEnd) -> None:
-        """Count tokens lost, doubled and mixed: each names its generation and index."""
+        """Count lost, doubled and mixed tokens; each token has its generation's id and an index."""
         tokens = TOKEN.findall(text)
         self.tally.mixed += max(0, len({name for name, _ in tokens}) - 1)
         indexes = [int(index) for _, index in tokens]
         self.tally.doubled += len(indexes) - len(set(indexes))
         self.tally.doubled += sum(b < a for a, b in zip(indexes, indexes[1:], strict=False))
-        wanted = length if end.problem is None else max(indexes, default=-1) + 1
-        self.tally.lost += wanted - len(set(indexes))
+        expected = length if end.problem is None else max(indexes, default=-1) + 1
+        self.tally.lost += expected - len(set(indexes))
         if end.problem is not None and tokens:
             self.tally.incomplete += 1
 
-    def _plain_call(self, caller: Caller, workspace: str, service: str) -> None:
-        """Read a status, or post a record that may not be repeated."""
-        call_id = f"{service}-call-{self._next()}"
-        post = self._random.random() < 0.6
-        method, path = ("POST", "/records") if post else ("GET", f"/status/{call_id}")
-        self.tally.requests[f"{service} {'record' if post else 'status'}"] += 1
+    def _send_plain_call(self, caller: Caller, workspace: str, service: str) -> None:
+        """Send a GET for a status, or a POST with an idempotency key that must run only once."""
+        call_id = f"{service}-call-{self._next_number()}"
+        is_post = self._random.random() < 0.6
+        method, path = ("POST", "/records") if is_post else ("GET", f"/status/{call_id}")
+        self.tally.requests[f"{service} {'record' if is_post else 'status'}"] += 1
         headers = {
             "Authorization": f"Bearer {workspace_key(workspace)}",
-            "X-Call-Id": call_id if post else "",
+            "X-Call-Id": call_id if is_post else "",
             "Content-Type": "application/json",
         }
-        if post:
+        if is_post:
             headers["Idempotency-Key"] = call_id
-        body = b'{"record":"handed over"}' if post else b""
+        body = b'{"record":"handed over"}' if is_post else b""
         status = 0
         for attempt in range(4):
             addresses = caller.locate()
@@ -202,12 +202,12 @@
                     address, method, f"/services/{service}{path}", headers, body, 15.0
                 )
                 status = exchange.status
-                answer = exchange.read()
+                response = exchange.read()
             except UpstreamError:
                 caller.expire_locations()
                 gevent.sleep(0.3)
                 continue
-            if status == 503 and b'"ran":"not run"' in answer:
+            if status == 503 and b'"ran":"not run"' in response:
                 self.tally.not_run.add(call_id)
                 gevent.sleep(1.0)
                 continue
@@ -216,36 +216,36 @@
         self.tally.outcomes[f"call {status}"] += 1
 
 
-def _milliseconds(values: list[float]) -> str:
-    """Return percentiles in milliseconds."""
+def _format_percentiles(values: list[float]) -> str:
+    """Return percentiles of times in seconds as a text in milliseconds."""
     if not values:
         return "none"
     p50, p95, p99 = np.percentile(np.array(values) * 1000, [50, 95, 99])
     return f"p50 {p50:.1f}  p95 {p95:.1f}  p99 {p99:.1f} ms"
 
 
-def _summary(bench: Bench, tally: Tally) -> bool:
-    """Print the summary; return whether all promises held."""
-    engines = [one.stats() for one in bench.engines]
-    services = [one.stats() for one in bench.services]
+def _print_summary(bench: Bench, tally: Tally) -> bool:
+    """Print the summary; return whether all guarantees held."""
+    engines = [engine.stats() for engine in bench.engines]
+    services = [service.stats() for service in bench.services]
     runs: Counter[str] = Counter()
-    for one in services:
-        runs.update({name: n for name, n in one["runs"].items() if "-call-" in name})
+    for service in services:
+        runs.update({name: n for name, n in service["runs"].items() if "-call-" in name})
     posted = {name: n for name, n in runs.items() if "/status/" not in name}
     twice = sum(n > 1 for n in posted.values())
     run_though_denied = sum(posted.get(name, 0) > 0 for name in tally.not_run)
-    preemptions = sum(one.get("preemptions", 0) for one in engines)
+    preemptions = sum(engine.get("preemptions", 0) for engine in engines)
     print("\nSummary")
     for name, count in sorted(tally.requests.items()):
         print(f"  {name:<18} {count} requests")
     print("  outcomes           " + ", ".join(f"{k}: {v}" for k, v in tally.outcomes.items()))
-    print(f"  stall              {_milliseconds(tally.stalls_s)}")
-    print(f"  token gap          {_milliseconds(tally.gaps_s)}")
+    print(f"  stall              {_format_percentiles(tally.stalls_s)}")
+    print(f"  token gap          {_format_percentiles(tally.gaps_s)}")
     print(f"  preemptions        {preemptions}")
-    print(f"  refusals           {tally.returned}, {tally.admitted_on_return} admitted on return")
+    print(f"  refusals           {tally.retries}, {tally.admitted_on_retry} admitted on return")
     print(f"  tokens delivered   {len(tally.gaps_s) + len(tally.stalls_s)}")
-    leftover = sum(one["running"] for one in engines)
-    promises = {
+    leftover = sum(engine["running"] for engine in engines)
+    violations = {
         "tokens lost": tally.lost,
         "tokens doubled": tally.doubled,
         "generations mixed": tally.mixed,
@@ -255,13 +255,13 @@
         "generations left on engines": leftover,
     }
     print("Promises (counted by the stand-ins)")
-    for name, count in promises.items():
+    for name, count in violations.items():
         print(f"  {'held  ' if count == 0 else 'BROKEN'} {name}: {count}")
-    return not any(promises.values())
+    return not any(violations.values())
 
 
 def main() -> int:
-    """Run the demo; zero only if all promises held."""
+    """Run the demo; return zero only if all guarantees held."""
     options = docopt(__doc__ or "")
     count = int(options["--instances"])
     begin = time.monotonic()
@@ -291,13 +291,13 @@
         print("Waiting for open answers ...")
         gevent.joinall(requests, timeout=60)
         stopped = bench.instances[-1].popen
-        planned = stopped.wait(timeout=20)
-        print(f"The planned stop ended with exit code {planned}")
+        exit_code = stopped.wait(timeout=20)
+        print(f"The planned stop ended with exit code {exit_code}")
         gevent.sleep(0.5)
-        held = _summary(bench, traffic.tally)
+        held = _print_summary(bench, traffic.tally)
         call_json(bench.instances[0].address, "GET", "/v1/locate", workspace_key("north"))
     print(f"Done in {time.monotonic() - begin:.1f} s: {'all promises held' if held else 'FAILED'}")
-    return 0 if held and planned == 0 else 1
+    return 0 if held and exit_code == 0 else 1
 
 
 if __name__ == "__main__":
--- a/measures/played_days.py
+++ b/measures/played_days.py
@@ -1,4 +1,4 @@
-"""Read a played day from its log and its report, and translate their words."""
+"""Read a played day from the log of its instances and its report."""
 
 from __future__ import annotations
 
@@ -14,51 +14,52 @@
 
 LINE: Final = re.compile(r"\s*(-?[\d.]+) \S+ (\{.*\})")
 LONG_TOKENS: Final = 100
-"""Forecast from which a stream counts as a long one."""
+"""Forecast output from which a stream counts as long."""
 EVENT_TOKENS: Final = 4
 PART_NAMES: Final = {"whole": "whole day", "windows": "worst windows", "worst_kind": "worst class"}
 FIXED_PRICES: Final = frozenset({"machine-seconds", "memory, GB x seconds", "processor seconds"})
-LOST_WAYS: Final = frozenset({"500 from a server", "no connection"})
+UNAVOIDABLE_FAILURES: Final = frozenset({"500 from a server", "no connection"})
 
 
 def read_day(log: Path, report: Path) -> PlayedDay:
-    """Return a day from the instances' lines and the report of its play."""
-    told: dict[str, Any] = orjson.loads(report.read_bytes())
-    parts = {name: weight for name, weight, _ in told["parts"]}
-    classes = told["classes"]
-    ends_s = _closing(told["events"])
+    """Return a day from the log of its instances and the report of its play."""
+    values: dict[str, Any] = orjson.loads(report.read_bytes())
+    parts = {name: weight for name, weight, _ in values["parts"]}
+    classes = values["classes"]
+    ends_s = _find_closing(values["events"])
     streams = read_streams(log, ends_s)
     return PlayedDay(
         name=report.stem,
-        worth=told["G"],
+        worth=values["G"],
         weights=Weights(
             nines=parts.get("nines", 0.0),
-            **{ours: parts.get(name, 0.0) for ours, name in PART_NAMES.items()},
+            **{field: parts.get(name, 0.0) for field, name in PART_NAMES.items()},
         ),
-        asked=told["all"]["n"],
-        calls=sum(one["n"] for one in classes[2:]),
-        failed=told["all"]["failed"],
-        lost_calls=sum(one[1] for one in told["unserved_by"] if one[0] in LOST_WAYS),
-        prices=sum(one[2] for one in told["prices"]),
-        fixed_prices=sum(one[2] for one in told["prices"] if one[0] in FIXED_PRICES),
+        asked=values["all"]["n"],
+        calls=sum(row["n"] for row in classes[2:]),
+        failed=values["all"]["failed"],
+        lost_calls=sum(row[1] for row in values["unserved_by"] if row[0] in UNAVOIDABLE_FAILURES),
+        prices=sum(row[2] for row in values["prices"]),
+        fixed_prices=sum(row[2] for row in values["prices"] if row[0] in FIXED_PRICES),
         streams=streams,
         ends_s=ends_s,
     )
 
 
 def read_streams(log: Path, ends_s: float | None) -> tuple[PlacedStream, ...]:
-    """Return the streams that instances have placed, by their lines.
+    """Return the streams that instances have placed, from their log lines.
 
-    One that was open when all instances ended has made what others make in that time, or more.
+    A stream that was open when all instances ended counts with its forecast, or with the tokens
+    that other streams generate in the time that it was open, if these are more.
     """
     placed: dict[str, tuple[float, int]] = {}
     ended: dict[str, tuple[float, int]] = {}
-    for at, told in _lines(log):
-        message = told.get("message", "")
+    for at, line in _read_lines(log):
+        message = line.get("message", "")
         if "A stream is placed" in message:
-            placed.setdefault(told["request"], (at, told["expected"]))
+            placed.setdefault(line["request"], (at, line["expected"]))
         elif "A stream has ended whole" in message:
-            ended[told["request"]] = (at, told["events"] * EVENT_TOKENS)
+            ended[line["request"]] = (at, line["events"] * EVENT_TOKENS)
     rates = [
         tokens / (at - placed[request][0])
         for request, (at, tokens) in ended.items()
@@ -68,7 +69,7 @@
     return tuple(
         PlacedStream(
             at,
-            ended[request][1] if request in ended else _least_tokens(at, expected, rate, ends_s),
+            ended[request][1] if request in ended else _min_tokens(at, expected, rate, ends_s),
             expected >= LONG_TOKENS,
             request in ended,
         )
@@ -76,15 +77,15 @@
     )
 
 
-def _least_tokens(placed_s: float, expected: int, rate: float, ends_s: float | None) -> int:
-    """Return the tokens of a stream that never ended: its forecast, or what it must have made."""
+def _min_tokens(placed_s: float, expected: int, rate: float, ends_s: float | None) -> int:
+    """Return the minimum tokens of a stream that never ended, at a rate of tokens a second."""
     if ends_s is None or expected < LONG_TOKENS:
         return expected
     return max(expected, int(rate * (ends_s - placed_s)))
 
 
-def _lines(log: Path) -> Iterator[tuple[float, dict[str, Any]]]:
-    """Yield the instances' lines with their times in seconds."""
+def _read_lines(log: Path) -> Iterator[tuple[float, dict[str, Any]]]:
+    """Yield the JSON lines of the instances with their times in seconds."""
     with log.open() as lines:
         for line in lines:
             found = LINE.match(line)
@@ -93,11 +94,11 @@
             try:
                 yield float(found[1]), orjson.loads(found[2])
             except orjson.JSONDecodeError:
-                # A line of another program.
+                # The line is from another program.
                 continue
 
 
-def _closing(events: list[dict[str, Any]]) -> float | None:
-    """Return when all instances ended; None where they did not."""
-    starts = [one["at_s"] for one in events if one["kind"].startswith("closing")]
+def _find_closing(events: list[dict[str, Any]]) -> float | None:
+    """Return the time at which all instances ended, or None if they did not."""
+    starts = [event["at_s"] for event in events if event["kind"].startswith("closing")]
     return float(starts[0]) if starts else None
