--- a/features/steps/process_call_steps.py
+++ b/features/steps/process_call_steps.py
@@ -10,7 +10,7 @@
 from driftstall.controllers.claims import SHARDS
 from driftstall.platform.client import PlatformClient
 from features.worlds.process_world import (
-    live,
+    running_instances,
     runs,
     service_call,
 )
@@ -88,7 +88,7 @@
 def replace_all(context: Any) -> None:
     """Kill every instance at once and start new ones."""
     bench = context.bench
-    killed = live(bench)
+    killed = running_instances(bench)
     for instance in killed:
         instance.popen.kill()
     for instance in killed:
--- a/features/steps/process_configuration_steps.py
+++ b/features/steps/process_configuration_steps.py
@@ -9,7 +9,7 @@
 from behave import then, when
 
 from features.worlds.process_world import (
-    live,
+    running_instances,
 )
 from measures.bench import wait_until
 
@@ -19,7 +19,7 @@
     """Submit a change, then stop the platform's service."""
     bench = context.bench
     policy = Path("examples/both.policy").read_text().replace('"both"', f'"{text}"')
-    at = bench.instances.index(live(bench)[0])
+    at = bench.instances.index(running_instances(bench)[0])
     answer = bench.operator(at, "PUT", "/operator/config", {"policy": policy})
     bench.platform.control({"down_s": 30.0})
     assert answer.status == 200, answer
@@ -42,7 +42,8 @@
 
     def everywhere() -> bool:
         names = {
-            bench.status(bench.instances.index(instance))["policy"] for instance in live(bench)
+            bench.status(bench.instances.index(instance))["policy"]
+            for instance in running_instances(bench)
         }
         return names == {text}
 
@@ -54,7 +55,7 @@
 def race(context: Any) -> None:
     """Submit two changes concurrently on the same generation."""
     bench = context.bench
-    indexes = [bench.instances.index(instance) for instance in live(bench)[:2]]
+    indexes = [bench.instances.index(instance) for instance in running_instances(bench)[:2]]
     base = bench.status(indexes[0])["generation"]
     policy = Path("examples/both.policy").read_text()
     changes = [
@@ -82,7 +83,7 @@
 def settled(context: Any) -> None:
     """Submit while one of the platform's answers is lost, so that the outcome is read back."""
     bench = context.bench
-    at = bench.instances.index(live(bench)[0])
+    at = bench.instances.index(running_instances(bench)[0])
     policy = Path("examples/both.policy").read_text().replace('"both"', '"settled"')
     change = {"policy": policy, "submission": "settled-1"}
     answer = bench.operator(at, "PUT", "/operator/config", change)
@@ -93,7 +94,7 @@
 def ask_for_ids(context: Any, known: str, other: str) -> None:
     """Check the reported states of a stored submission and of an unknown one."""
     bench = context.bench
-    at = bench.instances.index(live(bench)[0])
+    at = bench.instances.index(running_instances(bench)[0])
     for name, state in (("settled-1", known), ("never-sent", other)):
         answer = bench.operator(at, "GET", f"/operator/submissions/{name}")
         assert answer.value["state"] == state, (name, answer)
--- a/features/steps/process_input_steps.py
+++ b/features/steps/process_input_steps.py
@@ -13,7 +13,7 @@
 from features.worlds.process_world import (
     KEY,
     Answer,
-    live,
+    running_instances,
 )
 from measures.bench import workspace_key
 
@@ -31,7 +31,7 @@
 @when("malformed input is sent to every listener")
 def malformed(context: Any) -> None:
     """Send garbage to the listeners for callers, operators and peers, and close."""
-    process = live(context.bench)[0]
+    process = running_instances(context.bench)[0]
     flags = process.popen.args
     peer = next(flag.split("=")[1] for flag in flags if flag.startswith("--peer-listen"))
     for address in (process.address, process.operator, peer):
@@ -51,7 +51,7 @@
 @then("bad requests get a clear 4xx")
 def bad_requests(context: Any) -> None:
     """Send well-formed HTTP requests with invalid content."""
-    address = live(context.bench)[0].address
+    address = running_instances(context.bench)[0].address
     cases: list[tuple[Any, int]] = [
         ({}, 400),
         ({"model": 5, "messages": []}, 400),
@@ -79,7 +79,7 @@
 @then("all instances still run and serve")
 def still_serve(context: Any) -> None:
     """Check that all instances run and that a generation completes."""
-    assert len(live(context.bench)) >= 3
+    assert len(running_instances(context.bench)) >= 3
     Answer(context.bench, 10).check()
 
 
@@ -87,7 +87,7 @@
 def foreign_token(context: Any) -> None:
     """Send a resume token with the key of another workspace."""
     answer = Answer(context.bench, 5)
-    address = live(context.bench)[0].address
+    address = running_instances(context.bench)[0].address
     body = b'{"model":"base","stream":true,"messages":[{"role":"user","content":"[length=3]"}]}'
     headers = {"Authorization": f"Bearer {KEY}"}
     exchange = Exchange.open(address, "POST", "/v1/chat/completions", headers, body, 30.0)
--- a/features/steps/process_stop_steps.py
+++ b/features/steps/process_stop_steps.py
@@ -8,8 +8,8 @@
 
 from features.worlds.process_world import (
     Answer,
-    live,
     received,
+    running_instances,
 )
 from measures.bench import wait_until
 
@@ -34,7 +34,7 @@
 
     def known() -> bool:
         states = []
-        for instance in live(bench):
+        for instance in running_instances(bench):
             rows = bench.status(bench.instances.index(instance))["runners"]
             states.append(next(row["state"] for row in rows if row["runner"] == name))
         return set(states) == {"leaving"}
--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -14,8 +14,8 @@
 from features.worlds.process_world import (
     KEY,
     Answer,
-    live,
     owner,
+    running_instances,
 )
 from measures.bench import Bench, wait_until
 
@@ -50,7 +50,7 @@
 def rolling_stop(context: Any) -> None:
     """Stop and replace each instance while generations are streamed."""
     bench = context.bench
-    for process in live(bench):
+    for process in running_instances(bench):
         context.answers.append(Answer(bench, 400))
         context.answers[-1].wait_begun()
         fresh = bench.start_instance()
@@ -122,7 +122,7 @@
 @when("a caller asks and vanishes")
 def caller_disconnects(context: Any) -> None:
     """Open a stream and close the connection after its first event."""
-    address = live(context.bench)[0].address
+    address = running_instances(context.bench)[0].address
     body = (
         b'{"model":"base","stream":true,"max_tokens":4000,'
         b'"messages":[{"role":"user","content":"[length=3000]"}]}'
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -17,7 +17,7 @@
 NUMBERS = itertools.count()
 
 
-def live(bench: Bench) -> list[Any]:
+def running_instances(bench: Bench) -> list[Any]:
     """Return the instances that run."""
     return [one for one in bench.instances if one.is_running]
 
@@ -27,7 +27,7 @@
 
     def __init__(self, bench: Bench, length: int, kind: str = "chat") -> None:
         """Start to ask."""
-        seeds = tuple(one.address for one in live(bench))
+        seeds = tuple(one.address for one in running_instances(bench))
         self.caller = Caller(seeds, KEY)
         self.text = ""
         self.end: ChatEnd | None = None
@@ -67,7 +67,7 @@
     if key:
         headers["Idempotency-Key"] = key
     headers |= {name.replace("_", "-"): value for name, value in more.items()}
-    address = live(context.bench)[0].address
+    address = running_instances(context.bench)[0].address
     exchange = Exchange.open(address, method, "/services/portal/x", headers, b"{}", 30.0)
     return exchange.status, exchange.read()
 
@@ -79,7 +79,9 @@
 
 def owner(bench: Bench) -> Any:
     """Return the instance that owns the engines' group."""
-    name = bench.status(bench.instances.index(live(bench)[0]))["groups"]["base/0"]["owner"]
+    name = bench.status(bench.instances.index(running_instances(bench)[0]))["groups"]["base/0"][
+        "owner"
+    ]
     return next(one for one in bench.instances if one.name == name)
 
 
