--- a/features/steps/process_call_steps.py
+++ b/features/steps/process_call_steps.py
@@ -10,8 +10,8 @@
 from driftstall.controllers.claims import SHARDS
 from driftstall.platform.client import PlatformClient
 from features.worlds.process_world import (
+    count_runs,
     running_instances,
-    runs,
     service_call,
 )
 from measures.bench import wait_until
@@ -65,7 +65,7 @@
 @then('call "{call}" has run {count:d} times')
 def has_run(context: Any, call: str, count: int) -> None:
     """Check the number of runs that the upstreams report."""
-    assert runs(context.bench, call) == count, runs(context.bench, call)
+    assert count_runs(context.bench, call) == count, count_runs(context.bench, call)
 
 
 @when('the outcome of "{key}" is stored')
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -72,7 +72,7 @@
     return exchange.status, exchange.read()
 
 
-def runs(bench: Bench, call: str) -> int:
+def count_runs(bench: Bench, call: str) -> int:
     """Return how often a call ran, as the upstreams count it."""
     return sum(one.stats()["runs"].get(call, 0) for one in bench.services)
 
