--- a/features/steps/process_stop_steps.py
+++ b/features/steps/process_stop_steps.py
@@ -8,7 +8,7 @@
 
 from features.worlds.process_world import (
     Answer,
-    received,
+    count_received,
     running_instances,
 )
 from measures.bench import wait_until
@@ -41,11 +41,11 @@
 
     took_s = wait_until("all know", known)
     assert took_s <= 3.0, f"it took {took_s:.1f} s"
-    before = received(bench, name)
+    before = count_received(bench, name)
     answers = [Answer(bench, 5) for _ in range(20)]
     for answer in answers:
         answer.check()
-    assert received(bench, name) == before
+    assert count_received(bench, name) == before
 
 
 @then('runner "{name}" gets work again once it is back')
@@ -54,11 +54,11 @@
     bench = context.bench
     bench.list_member(name, {"role": "runner", "address": "", "state": "live"})
     next(each for each in bench.engines if each.name == name).control({"leaving": False})
-    before = received(bench, name)
+    before = count_received(bench, name)
 
     def works() -> bool:
         for answer in [Answer(bench, 5) for _ in range(6)]:
             answer.check()
-        return received(bench, name) > before
+        return count_received(bench, name) > before
 
     wait_until("work again", works)
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -85,7 +85,7 @@
     return next(one for one in bench.instances if one.name == name)
 
 
-def received(bench: Bench, name: str) -> int:
+def count_received(bench: Bench, name: str) -> int:
     """Return how many generations an engine was given."""
     engine = next(one for one in bench.engines if one.name == name)
     return int(engine.stats().get("received", 0))
