--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -14,7 +14,7 @@
 from features.worlds.process_world import (
     KEY,
     Answer,
-    owner,
+    find_owner,
     running_instances,
 )
 from measures.bench import Bench, wait_until
@@ -41,7 +41,7 @@
 @when("the owner of the engines is {what} for a while")
 def freeze_owner(context: Any, what: str) -> None:
     """Stop the owner's process, and continue it 4 s later."""
-    process = owner(context.bench)
+    process = find_owner(context.bench)
     process.signal(signal.SIGSTOP)
     gevent.spawn_later(4.0, process.signal, signal.SIGCONT)
 
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -77,7 +77,7 @@
     return sum(one.stats()["runs"].get(call, 0) for one in bench.services)
 
 
-def owner(bench: Bench) -> Any:
+def find_owner(bench: Bench) -> Any:
     """Return the instance that owns the engines' group."""
     name = bench.status(bench.instances.index(running_instances(bench)[0]))["groups"]["base/0"][
         "owner"
