--- a/features/steps/process_crash_steps.py
+++ b/features/steps/process_crash_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from driftstall.util.http import Exchange
-from features.worlds.process_world import KEY, Answer
+from features.worlds.process_world import KEY, GenerationReader
 from measures.bench import Bench, Process, wait_until
 
 WORKSPACES = ("north", "plains")
@@ -100,7 +100,7 @@
 @then("another prompt is answered whole")
 def another_whole(context: Any) -> None:
     """Check that another generation completes."""
-    Answer(context.own, 20).check()
+    GenerationReader(context.own, 20).check()
 
 
 def refused_at(context: Any, index: int) -> list[dict[str, Any]]:
--- a/features/steps/process_input_steps.py
+++ b/features/steps/process_input_steps.py
@@ -12,7 +12,7 @@
 from driftstall.util.http import Exchange
 from features.worlds.process_world import (
     KEY,
-    Answer,
+    GenerationReader,
     running_instances,
 )
 from measures.bench import workspace_key
@@ -80,13 +80,13 @@
 def still_serve(context: Any) -> None:
     """Check that all instances run and that a generation completes."""
     assert len(running_instances(context.bench)) >= 3
-    Answer(context.bench, 10).check()
+    GenerationReader(context.bench, 10).check()
 
 
 @then("a resume token of one workspace opens nothing for another")
 def foreign_token(context: Any) -> None:
     """Send a resume token with the key of another workspace."""
-    answer = Answer(context.bench, 5)
+    answer = GenerationReader(context.bench, 5)
     address = running_instances(context.bench)[0].address
     body = b'{"model":"base","stream":true,"messages":[{"role":"user","content":"[length=3]"}]}'
     headers = {"Authorization": f"Bearer {KEY}"}
--- a/features/steps/process_stop_steps.py
+++ b/features/steps/process_stop_steps.py
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from features.worlds.process_world import (
-    Answer,
+    GenerationReader,
     count_received,
     running_instances,
 )
@@ -42,7 +42,7 @@
     took_s = wait_until("all know", known)
     assert took_s <= 3.0, f"it took {took_s:.1f} s"
     before = count_received(bench, name)
-    answers = [Answer(bench, 5) for _ in range(20)]
+    answers = [GenerationReader(bench, 5) for _ in range(20)]
     for answer in answers:
         answer.check()
     assert count_received(bench, name) == before
@@ -57,7 +57,7 @@
     before = count_received(bench, name)
 
     def works() -> bool:
-        for answer in [Answer(bench, 5) for _ in range(6)]:
+        for answer in [GenerationReader(bench, 5) for _ in range(6)]:
             answer.check()
         return count_received(bench, name) > before
 
--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -13,7 +13,7 @@
 from driftstall.util.http import Exchange
 from features.worlds.process_world import (
     KEY,
-    Answer,
+    GenerationReader,
     find_owner,
     running_instances,
 )
@@ -24,7 +24,7 @@
 @when("{count:d} long answers are being streamed")
 def stream_answers(context: Any, count: int) -> None:
     """Start streams and wait until all have begun."""
-    context.answers = [Answer(context.bench, 400) for _ in range(count)]
+    context.answers = [GenerationReader(context.bench, 400) for _ in range(count)]
     for answer in context.answers:
         answer.wait_begun()
 
@@ -51,7 +51,7 @@
     """Stop and replace each instance while generations are streamed."""
     bench = context.bench
     for process in running_instances(bench):
-        context.answers.append(Answer(bench, 400))
+        context.answers.append(GenerationReader(bench, 400))
         context.answers[-1].wait_begun()
         fresh = bench.start_instance()
         bench.wait_listening(fresh)
@@ -98,7 +98,7 @@
 def freeze_engine(context: Any, count: int) -> None:
     """Freeze one engine, then start streams, some of which are sent there."""
     context.bench.engines[0].control({"freeze_s": 45.0})
-    context.answers = [Answer(context.bench, 20) for _ in range(count)]
+    context.answers = [GenerationReader(context.bench, 20) for _ in range(count)]
 
 
 @then("the frozen engine was asked, and is let go on")
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -22,7 +22,7 @@
     return [one for one in bench.instances if one.is_running]
 
 
-class Answer:
+class GenerationReader:
     """Read one streamed answer in a greenlet."""
 
     def __init__(self, bench: Bench, length: int, kind: str = "chat") -> None:
