--- a/features/steps/process_stream_steps.py
+++ b/features/steps/process_stream_steps.py
@@ -26,7 +26,7 @@
     """Start streams and wait until all have begun."""
     context.answers = [GenerationReader(context.bench, 400) for _ in range(count)]
     for answer in context.answers:
-        answer.wait_begun()
+        answer.wait_started()
 
 
 @when("the instance that streams is killed")
@@ -52,7 +52,7 @@
     bench = context.bench
     for process in running_instances(bench):
         context.answers.append(GenerationReader(bench, 400))
-        context.answers[-1].wait_begun()
+        context.answers[-1].wait_started()
         fresh = bench.start_instance()
         bench.wait_listening(fresh)
         at = len(bench.instances) - 1
--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -47,7 +47,7 @@
             else:
                 self.end = part
 
-    def wait_begun(self) -> None:
+    def wait_started(self) -> None:
         """Wait for the first tokens."""
         wait_until("the answer has begun", lambda: self.text.count("#") >= 5)
 
