--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -87,7 +87,7 @@
 @when("they play a minute in which all can wait for {seconds:g} s and half of them are more urgent")
 def play_ranks(context: Any, seconds: float) -> None:
     """Run the model with two ranks."""
-    play(context, most_wait_s=seconds, urgent_share=0.5)
+    play(context, max_wait_s=seconds, urgent_share=0.5)
 
 
 def each(context: Any, check: Callable[[PermitOutcome], bool], value: Callable[..., Any]) -> None:
@@ -297,9 +297,9 @@
         pass
 
 
-def ask(context: Any, most_wait_s: float = 0.0, *, under_way: bool = False) -> permits.Verdict:
+def ask(context: Any, max_wait_s: float = 0.0, *, under_way: bool = False) -> permits.Verdict:
     """Ask now."""
-    need = SendNeed(most_wait_s, 1, under_way)
+    need = SendNeed(max_wait_s, 1, under_way)
     verdict: permits.Verdict = context.allowance.ask(need, context.per_s, context.now)
     return verdict
 
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -70,7 +70,7 @@
     """The upstream's limit in requests a second."""
     per_s: float = 30.0
     """Requests a second to the whole fleet."""
-    most_wait_s: float = 0.0
+    max_wait_s: float = 0.0
     """Maximum wait of a request for a permit; zero if other upstreams can serve it."""
     fault: Fault = Fault.NONE
     fault_every_s: float = 4.0
@@ -211,9 +211,9 @@
                 member.slots.take(UPSTREAM, part)
                 self._send(rank, 0.0)
             return
-        if member.denied.retry_in_s(UPSTREAM, self._now) > self._load.most_wait_s:
+        if member.denied.retry_in_s(UPSTREAM, self._now) > self._load.max_wait_s:
             return
-        need = SendNeed(self._load.most_wait_s, rank)
+        need = SendNeed(self._load.max_wait_s, rank)
         owner = self._members[self._owner(member)]
         self.outcome.permit_requests += 1
         if owner is member:
