--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -38,7 +38,7 @@
     instances, limit = context.fleet
     per_s = max(20.0, PER_INSTANCE * instances, 3 * limit)
     way = context.way
-    context.load = PermitLoad(instances, limit, per_s, way=way, seconds=MINUTE_S, **more)
+    context.load = PermitLoad(instances, limit, per_s, mode=way, seconds=MINUTE_S, **more)
     context.outcomes = [PermitWorld(context.load, seed).play() for seed in SEEDS]
 
 
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -74,7 +74,7 @@
     """Maximum wait of a request for a permit; zero if other upstreams can serve it."""
     fault: Fault = Fault.NONE
     fault_every_s: float = 4.0
-    way: SharingMode = SharingMode.ASKED
+    mode: SharingMode = SharingMode.ASKED
     seconds: float = 120.0
     falls_to: float = 0.0
     """The limit changes to this at half time; zero for never."""
@@ -205,7 +205,7 @@
             # The instance gets the limit from the response, or from peers before.
             self.outcome.uninformed_sends += 1
             return
-        if self._load.way is SharingMode.EVEN:
+        if self._load.mode is SharingMode.EVEN:
             part = ColdPart.of_instance(self._limit, member.count.value, placed=False)
             if not member.slots.wait_s(UPSTREAM, part, self._now):
                 member.slots.take(UPSTREAM, part)
