--- a/features/steps/permit_steps.py
+++ b/features/steps/permit_steps.py
@@ -81,7 +81,7 @@
 @when("they play a minute with many more requests, and the limit falls to {per_s:g} in the middle")
 def play_fall(context: Any, per_s: float) -> None:
     """Run the model with a falling limit."""
-    play(context, falls_to=per_s)
+    play(context, lowered_limit=per_s)
 
 
 @when("they play a minute in which all can wait for {seconds:g} s and half of them are more urgent")
@@ -153,7 +153,7 @@
 def falls(context: Any, seconds: float) -> None:
     """Compare the sends with the new limit."""
     since = MINUTE_S / 2 + seconds
-    most = 4 * context.load.falls_to + permits.BURST_PERMITS + 1
+    most = 4 * context.load.lowered_limit + permits.BURST_PERMITS + 1
     each(
         context,
         lambda outcome: outcome.max_sends_within(4.0, since) <= most,
--- a/features/worlds/permit_world.py
+++ b/features/worlds/permit_world.py
@@ -76,7 +76,7 @@
     fault_every_s: float = 4.0
     mode: SharingMode = SharingMode.ASKED
     seconds: float = 120.0
-    falls_to: float = 0.0
+    lowered_limit: float = 0.0
     """The limit changes to this at half time; zero for never."""
     urgent_share: float = 0.0
     """Share of the requests with the first rank."""
@@ -156,7 +156,7 @@
         self._at(WARM_UP_S, self._arrive)
         if self._load.fault is not Fault.NONE:
             self._at(WARM_UP_S + self._load.fault_every_s, self._inject_fault)
-        if self._load.falls_to:
+        if self._load.lowered_limit:
             self._at(self._load.seconds / 2, self._lower_limit)
         while self._queue and self._queue[0][0] <= self._load.seconds:
             self._now, _, act = heapq.heappop(self._queue)
@@ -253,7 +253,7 @@
 
     def _lower_limit(self) -> None:
         """Lower the upstream's limit."""
-        self._limit = self._load.falls_to
+        self._limit = self._load.lowered_limit
 
     # Faults.
 
