--- a/script/__init__.py
+++ b/script/__init__.py
@@ -1,3 +1,3 @@
-"""Hold the developers' commands."""
+"""Commands for developers."""
 
 from __future__ import annotations
--- a/script/check_boundary.py
+++ b/script/check_boundary.py
@@ -1,4 +1,4 @@
-"""Check that nothing outside driftstall/platform knows the platform's names."""
+"""Check that the platform's names are used only within driftstall/platform."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 def main() -> int:
-    """Print each place that uses one of the names; zero if there is none."""
+    """Print each use of a platform name outside the adapter; return zero if there is none."""
     found = [
-        f"{path}:{number}: {match.group()} belongs into {ADAPTER}"
+        f"{path}:{number}: {match.group()} belongs in {ADAPTER}"
         for path in sorted(Path("driftstall").rglob("*.py"))
         if ADAPTER not in path.parents
         for number, line in enumerate(path.read_text().splitlines(), start=1)
         for match in [PATTERN.search(line)]
         if match is not None
     ]
-    print("\n".join(found) or "The platform's names stay in their folder.")
+    print("\n".join(found) or f"The platform's names are used only in {ADAPTER}.")
     return 1 if found else 0
 
 
--- a/script/check_core.py
+++ b/script/check_core.py
@@ -1,4 +1,4 @@
-"""Check that the pure core imports no I/O and no wall clock."""
+"""Check that the core, which must stay free of I/O, imports no I/O modules and no clock."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     "selection",
     "shared_budget",
 )
-"""Modules of the gateway that decide; the others carry."""
+"""Modules of the gateway that make decisions; the other ones do I/O."""
 FORBIDDEN = {"gevent", "geventhttpclient", "socket", "time", "capnp", "threading", "asyncio"}
 
 
-def imported(path: Path) -> set[str]:
-    """Return the top-level modules that a file imports."""
+def imported_modules(path: Path) -> set[str]:
+    """Return the top-level modules, and the packages of driftstall, that a file imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            names |= {one.name.split(".")[0] for one in node.names}
+            names |= {alias.name.split(".")[0] for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
             names.add(node.module.split(".")[0])
             if node.module.startswith("driftstall."):
@@ -44,17 +44,22 @@
 
 
 def main() -> int:
-    """Print each forbidden import; zero if there is none."""
-    shells = {"driftstall.daemon", "driftstall.peers", "driftstall.platform", "driftstall.runners"}
+    """Print each forbidden import; return zero if there is none."""
+    io_packages = {
+        "driftstall.daemon",
+        "driftstall.peers",
+        "driftstall.platform",
+        "driftstall.runners",
+    }
     paths = [path for folder in CORE for path in sorted(Path("driftstall", folder).rglob("*.py"))]
     paths += [Path("driftstall/gateway", f"{name}.py") for name in GATEWAY_CORE]
-    bad = [
+    violations = [
         f"{path}: the core imports {name}"
         for path in paths
-        for name in sorted(imported(path) & (FORBIDDEN | shells))
+        for name in sorted(imported_modules(path) & (FORBIDDEN | io_packages))
     ]
-    print("\n".join(bad) or "The core is pure.")
-    return 1 if bad else 0
+    print("\n".join(violations) or "The core imports no I/O modules and no clock.")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
