--- a/features/worlds/process_world.py
+++ b/features/worlds/process_world.py
@@ -1,4 +1,4 @@
-"""Ask the instances and upstreams of a small system of real processes."""
+"""Client and helpers for tests of a small system of real processes."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def running_instances(bench: Bench) -> list[Any]:
-    """Return the instances that run."""
-    return [one for one in bench.instances if one.is_running]
+    """Return the running instances."""
+    return [instance for instance in bench.instances if instance.is_running]
 
 
 class GenerationReader:
-    """Read one streamed answer in a greenlet."""
+    """Reads a streamed generation in a greenlet."""
 
     def __init__(self, bench: Bench, length: int, kind: str = "chat") -> None:
-        """Start to ask."""
-        seeds = tuple(one.address for one in running_instances(bench))
+        """Start a generation of length tokens."""
+        seeds = tuple(instance.address for instance in running_instances(bench))
         self.caller = Caller(seeds, KEY)
         self.text = ""
         self.end: ChatEnd | None = None
@@ -52,7 +52,7 @@
         wait_until("the answer has begun", lambda: self.text.count("#") >= 5)
 
     def check(self) -> None:
-        """Wait for the end and check that the answer is whole, once, of one generation."""
+        """Wait for the end; check that each token arrived once, in order, from one generation."""
         self.job.join(timeout=60)
         assert self.end is not None, "there is no end"
         assert self.end.problem is None, self.end.problem
@@ -62,7 +62,7 @@
 
 
 def service_call(context: Any, method: str, key: str, **more: str) -> tuple[int, bytes]:
-    """Call a plain service through the first live instance."""
+    """Call a plain service through the first running instance; return status and body."""
     headers = {"Authorization": f"Bearer {KEY}", "X-Call-Id": more.pop("call", key)}
     if key:
         headers["Idempotency-Key"] = key
@@ -73,8 +73,8 @@
 
 
 def count_runs(bench: Bench, call: str) -> int:
-    """Return how often a call ran, as the upstreams count it."""
-    return sum(one.stats()["runs"].get(call, 0) for one in bench.services)
+    """Return how often a call ran, according to the upstreams."""
+    return sum(service.stats()["runs"].get(call, 0) for service in bench.services)
 
 
 def find_owner(bench: Bench) -> Any:
@@ -82,10 +82,10 @@
     name = bench.status(bench.instances.index(running_instances(bench)[0]))["groups"]["base/0"][
         "owner"
     ]
-    return next(one for one in bench.instances if one.name == name)
+    return next(instance for instance in bench.instances if instance.name == name)
 
 
 def count_received(bench: Bench, name: str) -> int:
-    """Return how many generations an engine was given."""
-    engine = next(one for one in bench.engines if one.name == name)
+    """Return the number of generations that an engine has received."""
+    engine = next(engine for engine in bench.engines if engine.name == name)
     return int(engine.stats().get("received", 0))
--- a/features/worlds/upstream_samples.py
+++ b/features/worlds/upstream_samples.py
@@ -1,4 +1,4 @@
-"""Hold the upstreams that several tests of the gateway start from."""
+"""Sample engines, upstreams and store entries for tests of the gateway."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def entry_spec(address: str, service: str = "engines", **more: Any) -> dict[str, Any]:
-    """Return all that an upstream says of itself in the store."""
+    """Return the spec of an upstream's entry in the store."""
     fields = {
         "service": service,
         "address": address,
@@ -36,5 +36,5 @@
 def upstream_of(
     name: str, revision: int = 1, state: UpstreamState = UpstreamState.READY, zone: str = "a"
 ) -> Upstream:
-    """Return an upstream's entry."""
+    """Return an upstream as decoded from its entry in the store."""
     return Upstream(name, "engines", "127.0.0.1:1", zone, 64, state, StoreVersion(revision))
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -190,7 +190,9 @@
             request.instance, report.at - CALM_AFTER_S, arrival.at
         )
         if late > OWN_REPORT_KNOWN_S + MACHINE_SLACK_S and is_undisturbed:
-            yield f"sent to {arrival.upstream_id} {late:.1f} s after its word: {_describe(request)}"
+            yield (
+                f"sent to {arrival.upstream_id} {late:.1f} s after its report: {_describe(request)}"
+            )
 
 
 def _check_after_signal(ledger: Ledger) -> Iterator[str]:
