--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -340,7 +340,7 @@
     seeds = [context.nodes[0].listen["control"]]
     start_node(context, context.gate.address, bounds=context.bounds, seeds=seeds)
     for node in context.nodes:
-        wait_for_processes("it is ready", node.ready)
+        wait_for_processes("it is ready", node.is_ready)
         wait_for_processes("it uses both", lambda node=node: used(context, node) == {"i-1", "i-2"})
 
 
@@ -389,7 +389,7 @@
     seeds = [context.nodes[0].listen["control"]]
     start_node(context, closed.address, bounds=context.bounds, seeds=seeds)
     node = context.nodes[-1]
-    wait_for_processes("it is ready", node.ready)
+    wait_for_processes("it is ready", node.is_ready)
     assert used(context, node) == {"i-1"}
 
 
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -98,7 +98,7 @@
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
     fronts = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
-        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} is ready", node.is_ready)
         wait_for_processes(
             f"{node.name} locates all", lambda node=node: node.locate(HOST) == fronts
         )
@@ -201,7 +201,7 @@
         context.add_cleanup(node.process.wait)
         context.add_cleanup(node.process.kill)
     for node in nodes:
-        wait_for_processes(f"{node.name} is ready again", node.ready)
+        wait_for_processes(f"{node.name} is ready again", node.is_ready)
 
 
 @when("the first instance is killed and starts anew")
--- a/features/steps/gateway_node_steps.py
+++ b/features/steps/gateway_node_steps.py
@@ -159,7 +159,7 @@
 def start_one(context: Any) -> None:
     """Start one process that uses the store, and wait until it is ready."""
     start_node(context, context.store_address)
-    wait_for_processes("it is ready", context.nodes[0].ready)
+    wait_for_processes("it is ready", context.nodes[0].is_ready)
 
 
 @given("one more that reaches the store through a gate that is shut")
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -62,7 +62,7 @@
     context.add_cleanup(context.gate.stop)
     bounds = {"contactMs": 3000, "drainMs": 2000, "graceS": 2, "ttl_max_s": 1}
     start_node(context, context.gate.address, bounds=bounds)
-    wait_for_processes("it is ready", context.nodes[0].ready)
+    wait_for_processes("it is ready", context.nodes[0].is_ready)
 
 
 @given("a time of {seconds:g} s in which an instance must have caught up after a disturbance")
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -153,7 +153,7 @@
         node.restart()
         context.add_cleanup(node.process.wait)
         context.add_cleanup(node.process.kill)
-        wait_for_processes(f"{node.name} is ready again", node.ready)
+        wait_for_processes(f"{node.name} is ready again", node.is_ready)
         gevent.sleep(pause)
 
 
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -65,7 +65,7 @@
         start_node(context, context.store_address, seeds=seeds, bounds=bounds)
     fronts = {node.listen["front"] for node in context.nodes}
     for node in context.nodes:
-        wait_for_processes(f"{node.name} is ready", node.ready)
+        wait_for_processes(f"{node.name} is ready", node.is_ready)
         wait_for_processes(
             f"{node.name} locates all", lambda node=node: node.locate(HOST) == fronts
         )
--- a/features/steps/upstream_signal_steps.py
+++ b/features/steps/upstream_signal_steps.py
@@ -324,7 +324,7 @@
     node.restart()
     context.add_cleanup(node.process.wait)
     context.add_cleanup(node.process.kill)
-    wait_for_processes(f"{node.name} is ready again", node.ready)
+    wait_for_processes(f"{node.name} is ready again", node.is_ready)
 
 
 @then("{seconds:g} s later 20 calls there reach it no more")
