--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -62,11 +62,11 @@
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (number, number) for number in numbers)
 
 
-def good(ledger: Ledger, name: str, sort: RequestKind, at: float, path: str = "") -> SentRequest:
+def good(ledger: Ledger, name: str, kind: RequestKind, at: float, path: str = "") -> SentRequest:
     """Record a request that was served successfully, and its arrival."""
-    body = stream_body(1, 2, 3) if sort is RequestKind.STREAM else b"whole"
-    target = path or f"/{sort}/x"
-    asked = SentRequest(name, sort, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
+    body = stream_body(1, 2, 3) if kind is RequestKind.STREAM else b"whole"
+    target = path or f"/{kind}/x"
+    asked = SentRequest(name, kind, target, "instance-1", at, 2.0, at + 0.1, 200, True, True, body)
     ledger.requests[name] = asked
     ledger.arrivals.append(Arrival(name, "u1", target, at + 0.05, False))
     return asked
@@ -118,8 +118,8 @@
     """Record successful requests of each kind and one refusal."""
     ledger = context.ledger = Ledger(EVENTS)
     for index in range(100):
-        sort = (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)[index % 3]
-        good(ledger, f"r{index}", sort, START + index)
+        kind = (RequestKind.SAFE, RequestKind.ONCE, RequestKind.STREAM)[index % 3]
+        good(ledger, f"r{index}", kind, START + index)
     context.once = good(ledger, "once", RequestKind.ONCE, LATER)
     context.stream = good(ledger, "stream", RequestKind.STREAM, LATER)
     refused = good(ledger, "refused", RequestKind.ONCE, LATER)
@@ -139,7 +139,7 @@
     context.ledger.notices["u9"] = Notice("u9", LATER - 3.0)
     arrive(context, "late", "u9", "/safe/x", LATER)
     context.ledger.requests["late"] = replace(
-        context.once, request_id="late", sort=RequestKind.SAFE
+        context.once, request_id="late", kind=RequestKind.SAFE
     )
     context.ledger.requests["late"].path = "/safe/x"
 
@@ -150,7 +150,7 @@
     context.ledger.cordoned.append(UpstreamPeriod("u9", window))
     arrive(context, "late", "u9", "/safe/x", LATER)
     context.ledger.requests["late"] = replace(
-        context.once, request_id="late", sort=RequestKind.SAFE
+        context.once, request_id="late", kind=RequestKind.SAFE
     )
     context.ledger.requests["late"].path = "/safe/x"
 
@@ -195,9 +195,9 @@
         context.ledger.arrivals.pop()
 
 
-def probe(context: Any, sort: RequestKind, status: int) -> None:
+def probe(context: Any, kind: RequestKind, status: int) -> None:
     """Record a probe of the configuration."""
-    asked = good(context.ledger, "probe", sort, LATER, "/added3/x")
+    asked = good(context.ledger, "probe", kind, LATER, "/added3/x")
     asked.status = status
     asked.sealed = status == 200
     if status != 200:
