--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -29,11 +29,11 @@
     FleetEvent,
     Listed,
     ListedByPeer,
-    Period,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
+    TimerFired,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -175,7 +175,7 @@
         self._restored_at = now
 
     @_handle.register
-    def _(self, event: Period, now: float) -> None:
+    def _(self, event: TimerFired, now: float) -> None:
         for entry in list(self._entries.values()):
             missing = entry.missing_since
             if missing is not None and not (
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Period:
+class TimerFired:
     """The periodic timer has fired."""
 
 
@@ -95,7 +95,7 @@
     | StoreRestored
     | PlatformUnreachable
     | PlatformReachable
-    | Period
+    | TimerFired
 )
 
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -20,11 +20,11 @@
     FleetEvent,
     Listed,
     ListedByPeer,
-    Period,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
     StoreRestored,
+    TimerFired,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -298,7 +298,7 @@
 
     def handle_timer(self) -> None:
         """Handle the periodic timer: expire entries and back-offs."""
-        self._apply(Period())
+        self._apply(TimerFired())
         self._state.cold.forget_ended(self._state.now())
         self._state.backoff.forget_ended(self._state.now())
         self._state.exchanges.forget_ended()
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
-from driftstall.gateway.fleet_events import Changed, Period, UpstreamLeaving, UpstreamSuspected
+from driftstall.gateway.fleet_events import Changed, TimerFired, UpstreamLeaving, UpstreamSuspected
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.upstream_prober import UpstreamProber
@@ -53,16 +53,16 @@
 @then('after {seconds:g} s of silence "{name}" takes requests again')
 def takes_again(context: Any, seconds: float, name: str) -> None:
     """Check both sides of the end of the suspicion."""
-    apply_event(context, Period(), SUSPECTED_AT + seconds - 0.1)
+    apply_event(context, TimerFired(), SUSPECTED_AT + seconds - 0.1)
     takes_none(context, name)
-    apply_event(context, Period(), SUSPECTED_AT + seconds)
+    apply_event(context, TimerFired(), SUSPECTED_AT + seconds)
     takes_some(context, name)
 
 
 @then('after {seconds:g} s of silence "{name}" takes no requests')
 def takes_none_again(context: Any, seconds: float, name: str) -> None:
     """Check that the upstream is still excluded after a suspicion's duration."""
-    apply_event(context, Period(), SUSPECTED_AT + seconds)
+    apply_event(context, TimerFired(), SUSPECTED_AT + seconds)
     takes_none(context, name)
 
 
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -12,9 +12,9 @@
     Changed,
     FleetAction,
     Listed,
-    Period,
     PlatformReachable,
     PlatformUnreachable,
+    TimerFired,
     UpstreamLeaving,
 )
 from driftstall.gateway.model import (
@@ -133,12 +133,12 @@
 @then('after {seconds:g} s without its entry "{name}" takes no requests')
 def missed(context: Any, seconds: float, name: str) -> None:
     """Check that the entry counts as removed after the grace time."""
-    apply_event(context, Period(), context.back_at + seconds)
+    apply_event(context, TimerFired(), context.back_at + seconds)
     takes_none(context, name)
 
 
 @then('after {seconds:g} s "{name}" takes requests')
 def not_missed(context: Any, seconds: float, name: str) -> None:
     """Check that the entry still counts within the grace time."""
-    apply_event(context, Period(), context.back_at + seconds)
+    apply_event(context, TimerFired(), context.back_at + seconds)
     takes_some(context, name)
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -13,9 +13,9 @@
     FleetEvent,
     Listed,
     ListedByPeer,
-    Period,
     SignalledLeaving,
     StoreRestored,
+    TimerFired,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import UpstreamState
@@ -64,7 +64,7 @@
     """Apply the events and a periodic check."""
     for event in events_of(news):
         apply_event(context, event, at)
-    apply_event(context, Period(), at)
+    apply_event(context, TimerFired(), at)
 
 
 @when('a probe finds "{name}" leaving at {at:g} s')
@@ -77,7 +77,7 @@
 def time_passes(context: Any, at: float) -> None:
     """Apply periodic checks up to that time."""
     for step in range(1, 5):
-        apply_event(context, Period(), at - 4 + step)
+        apply_event(context, TimerFired(), at - 4 + step)
 
 
 @when('a later start of "u1" is listed at {at:g} s')
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -18,8 +18,8 @@
     FleetEvent,
     Listed,
     ListedByPeer,
-    Period,
     StoreRestored,
+    TimerFired,
     UpstreamLeaving,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
@@ -170,7 +170,7 @@
     context.actions = []
     feed(context, StoreRestored(), RETURNED_AT)
     feed(context, Listed((entry("u1", "2.40"),), version("2.50")), RETURNED_AT)
-    feed(context, Period(), RETURNED_AT + 0.5)
+    feed(context, TimerFired(), RETURNED_AT + 0.5)
 
 
 @when("the store has come back, and lists both as of 2.50")
@@ -197,7 +197,7 @@
 def goes_later(context: Any) -> None:
     """Process another list."""
     feed(context, Listed((entry("u1", "2.40"),), version("2.60")), RETURNED_AT + 3.0)
-    feed(context, Period(), RETURNED_AT + 3.1)
+    feed(context, TimerFired(), RETURNED_AT + 3.1)
     assert taking(context) == {"u1"}, taking(context)
 
 
@@ -212,7 +212,7 @@
     """Process another list, and check that no upstream was reported as leaving."""
     both = (entry("u1", "2.40"), entry("u2", "2.55"))
     feed(context, Listed(both, version("2.60")), RETURNED_AT + 3.0)
-    feed(context, Period(), RETURNED_AT + 3.1)
+    feed(context, TimerFired(), RETURNED_AT + 3.1)
     both_take(context)
     assert not [action for action in context.actions if isinstance(action, UpstreamLeaving)]
 
@@ -227,7 +227,7 @@
     """List both unchanged, some time after the return."""
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
     feed(context, Listed(both, version("2.60")), RETURNED_AT + seconds)
-    feed(context, Period(), RETURNED_AT + seconds + 0.1)
+    feed(context, TimerFired(), RETURNED_AT + seconds + 0.1)
 
 
 @then('3 s later "u2" takes none, though it is still listed then')
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -19,9 +19,9 @@
     FleetEvent,
     Listed,
     ListedByPeer,
-    Period,
     PlatformReachable,
     PlatformUnreachable,
+    TimerFired,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
@@ -228,7 +228,7 @@
 
     def _pass_time(self, step: Step) -> None:
         self._now += step.seconds
-        self._handle(Period())
+        self._handle(TimerFired())
 
     # Invariants
 
