--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -28,7 +28,6 @@
     FleetAction,
     FleetEvent,
     Listed,
-    ListedByPeer,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
@@ -38,6 +37,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamsListedByPeer,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
@@ -94,7 +94,7 @@
                 )
 
     @_handle.register
-    def _(self, event: ListedByPeer, now: float) -> None:
+    def _(self, event: UpstreamsListedByPeer, now: float) -> None:
         self._is_loaded = True
         listed = {upstream.name for upstream in event.upstreams}
         if event.at >= self._peer_list_at:
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedByPeer:
+class UpstreamsListedByPeer:
     """A peer that follows the platform sent its list of all upstreams that accept requests."""
 
     upstreams: tuple[Upstream, ...]
@@ -87,7 +87,7 @@
 
 FleetEvent = (
     Listed
-    | ListedByPeer
+    | UpstreamsListedByPeer
     | Changed
     | UpstreamSuspected
     | SignalledLeaving
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -19,7 +19,6 @@
     FleetAction,
     FleetEvent,
     Listed,
-    ListedByPeer,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
@@ -29,6 +28,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamsListedByPeer,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import PolicyText, RoutingText, Upstream
@@ -257,7 +257,7 @@
 
     def handle_peer_list(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle a peer's list of all upstreams that accept requests, as of a version."""
-        self._apply(ListedByPeer(items, at), from_peer=True)
+        self._apply(UpstreamsListedByPeer(items, at), from_peer=True)
         self._state.notify_if_configured()
 
     def handle_suspected(self, upstream_id: str) -> None:
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -14,7 +14,13 @@
 from driftstall.decisions.cold_starts import ASSUMED_COLD_S, ColdPart, ColdSlots, ColdStarts
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Cordoned, Listed, ListedByPeer, UpstreamCold
+from driftstall.gateway.fleet_events import (
+    Changed,
+    Cordoned,
+    Listed,
+    UpstreamCold,
+    UpstreamsListedByPeer,
+)
 from driftstall.gateway.loads import Use
 from driftstall.gateway.selection import Option, Sampler, choose_backup, choose_migration_target
 from features.worlds.gateway_world import GatewayWorld, document, world_of
@@ -166,7 +172,9 @@
 @when("a peer offers its entry of then once more")
 def offered_again(context: Any) -> None:
     """Apply a peer's list with the outdated entry."""
-    context.actions = context.fleet.handle(ListedByPeer((context.entry,), StoreVersion(2)), 1.5)
+    context.actions = context.fleet.handle(
+        UpstreamsListedByPeer((context.entry,), StoreVersion(2)), 1.5
+    )
 
 
 @then("nobody is told that it is cold")
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Listed, ListedByPeer
+from driftstall.gateway.fleet_events import Changed, Listed, UpstreamsListedByPeer
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, RequestLoad, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
@@ -230,7 +230,9 @@
 def offers(context: Any, at: int, first: str, second: str) -> None:
     """Apply the collector's list."""
     apply_event(
-        context, ListedByPeer((upstream_of(first), upstream_of(second)), StoreVersion(at)), 3.0
+        context,
+        UpstreamsListedByPeer((upstream_of(first), upstream_of(second)), StoreVersion(at)),
+        3.0,
     )
 
 
@@ -263,7 +265,7 @@
     state.fleet.handle(Listed(known), 0.0)
 
     def apply_fleet(upstreams: tuple[Upstream, ...], at: int) -> None:
-        state.fleet.handle(ListedByPeer(upstreams, StoreVersion(at)), 1.0)
+        state.fleet.handle(UpstreamsListedByPeer(upstreams, StoreVersion(at)), 1.0)
 
     handlers = PeerUpdateHandlers(
         read_routing=lambda: (1, ""),
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -18,8 +18,8 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     Listed,
-    ListedByPeer,
     UpstreamReplaced,
+    UpstreamsListedByPeer,
     UpstreamSuspected,
 )
 from driftstall.gateway.loads import Use
@@ -89,7 +89,7 @@
     def peer_list(self, back: int) -> None:
         """Apply a peer's list with an older entry."""
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
-        self._apply(ListedByPeer((entry,), entry.revision), entry)
+        self._apply(UpstreamsListedByPeer((entry,), entry.revision), entry)
 
     def suspect(self, back: int) -> None:
         """Apply a peer's suspicion of an older start."""
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -12,10 +12,10 @@
     Changed,
     FleetEvent,
     Listed,
-    ListedByPeer,
     SignalledLeaving,
     StoreRestored,
     TimerFired,
+    UpstreamsListedByPeer,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import UpstreamState
@@ -40,7 +40,7 @@
         "a newer entry that is ready": [Changed(upstream_of("u1", 20), False)],
         "the same list again": [listed(1)],
         "a newer list": [listed(20)],
-        "a peer's list": [ListedByPeer(listed(20).upstreams, StoreVersion(20))],
+        "a peer's list": [UpstreamsListedByPeer(listed(20).upstreams, StoreVersion(20))],
         "a peer's entry": [Changed(upstream_of("u1", 20), False, from_peer=True)],
         "a list after the store's return": [StoreRestored(), listed(20)],
         "its entry that is leaving": [
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -17,10 +17,10 @@
     FleetAction,
     FleetEvent,
     Listed,
-    ListedByPeer,
     StoreRestored,
     TimerFired,
     UpstreamLeaving,
+    UpstreamsListedByPeer,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
 from driftstall.gateway.policy_persistence import PolicyPersistence
@@ -286,7 +286,7 @@
 def peer_offers(context: Any) -> None:
     """Process the list and the report of a peer."""
     both = (entry("u1", "1.90"), entry("u2", "1.119"))
-    feed(context, ListedByPeer(both, version("1.120")), RETURNED_AT + 1.1)
+    feed(context, UpstreamsListedByPeer(both, version("1.120")), RETURNED_AT + 1.1)
     feed(context, Changed(both[1], False, from_peer=True), RETURNED_AT + 1.2)
 
 
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -18,10 +18,10 @@
     Changed,
     FleetEvent,
     Listed,
-    ListedByPeer,
     PlatformReachable,
     PlatformUnreachable,
     TimerFired,
+    UpstreamsListedByPeer,
     UpstreamSuspected,
 )
 from driftstall.gateway.model import Upstream, UpstreamState
@@ -204,7 +204,7 @@
         if step.is_variant:
             # The peer has read this list and has seen no change since.
             at = max((entry.revision for entry in self._entries(at)), default=0)
-        self._handle(ListedByPeer(ready, StoreVersion(at)))
+        self._handle(UpstreamsListedByPeer(ready, StoreVersion(at)))
         offered = {entry.upstream_id: entry.revision for entry in ready}
         for name in NAMES:
             if name in offered:
