--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -27,7 +27,6 @@
     Cordoned,
     FleetAction,
     FleetEvent,
-    Listed,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
@@ -37,6 +36,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
 )
@@ -78,7 +78,7 @@
         raise TypeError(f"no handler for {type(event).__name__}")
 
     @_handle.register
-    def _(self, event: Listed, now: float) -> None:
+    def _(self, event: UpstreamsListed, now: float) -> None:
         self._is_loaded = True
         self._store_read_to = max(self._store_read_to, event.at)
         listed = {upstream.name for upstream in event.upstreams}
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class UpstreamsListed:
     """The platform's whole list of upstreams was read."""
 
     upstreams: tuple[Upstream, ...]
@@ -86,7 +86,7 @@
 
 
 FleetEvent = (
-    Listed
+    UpstreamsListed
     | UpstreamsListedByPeer
     | Changed
     | UpstreamSuspected
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -18,7 +18,6 @@
     Cordoned,
     FleetAction,
     FleetEvent,
-    Listed,
     PlatformReachable,
     PlatformUnreachable,
     SignalledLeaving,
@@ -28,6 +27,7 @@
     UpstreamJoined,
     UpstreamLeaving,
     UpstreamReplaced,
+    UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
 )
@@ -240,7 +240,7 @@
 
     def listed(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle the whole list, as of a version."""
-        self._apply(Listed(items, at, self._store_silence_s()))
+        self._apply(UpstreamsListed(items, at, self._store_silence_s()))
         self._state.notify_if_configured()
         known = {upstream.upstream_id for upstream in self._state.fleet.upstreams}
         self._state.outcomes.keep_only(known)
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -17,8 +17,8 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     Cordoned,
-    Listed,
     UpstreamCold,
+    UpstreamsListed,
     UpstreamsListedByPeer,
 )
 from driftstall.gateway.loads import Use
@@ -148,7 +148,9 @@
 def assumed(context: Any, seconds: float) -> None:
     """Lift a cordon, and record the upstream's report that it is warm."""
     fleet = FleetController()
-    fleet.handle(Listed((upstream_of("u2", zone="z"), upstream_of("u3")), StoreVersion(1)), 0.0)
+    fleet.handle(
+        UpstreamsListed((upstream_of("u2", zone="z"), upstream_of("u3")), StoreVersion(1)), 0.0
+    )
     fleet.handle(Cordoned(frozenset({"z"})), 0.0)
     (action,) = fleet.handle(Cordoned(frozenset(), frozenset({"z"})), 1.0)
     assert isinstance(action, UpstreamCold) and action.is_assumed, action
@@ -163,7 +165,7 @@
     """List its entry as cold, then as warm."""
     context.fleet = FleetController()
     context.entry = replace(upstream_of("u1", 2), cold_s=1.0)
-    actions = context.fleet.handle(Listed((context.entry,), StoreVersion(2)), 0.0)
+    actions = context.fleet.handle(UpstreamsListed((context.entry,), StoreVersion(2)), 0.0)
     assert any(isinstance(each, UpstreamCold) and each.for_s == 1.0 for each in actions), actions
     actions = context.fleet.handle(Changed(upstream_of("u1", 3), False), 1.0)
     assert any(isinstance(each, UpstreamCold) and each.for_s == 0.0 for each in actions), actions
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -17,7 +17,7 @@
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.exchange import UpstreamExchange
-from driftstall.gateway.fleet_events import Cordoned, Listed
+from driftstall.gateway.fleet_events import Cordoned, UpstreamsListed
 from driftstall.platform.feeds import cordon_feed
 from driftstall.platform.names import KIND_CORDONS, KIND_UPSTREAMS
 from driftstall.platform.store import Listing, Store, StoredObject
@@ -185,7 +185,9 @@
     context.add_cleanup(world.close)
     upstreams = (*world.plain, *world.engines)
     entries = tuple(replace(world.entry(each), zone=zone_of(world, each)) for each in upstreams)
-    world.state.fleet.handle(Listed(entries, StoreVersion(world.revision)), world.state.now())
+    world.state.fleet.handle(
+        UpstreamsListed(entries, StoreVersion(world.revision)), world.state.now()
+    )
 
 
 def cordon(world: GatewayWorld, *zones: str) -> None:
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -11,11 +11,11 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     FleetAction,
-    Listed,
     PlatformReachable,
     PlatformUnreachable,
     TimerFired,
     UpstreamLeaving,
+    UpstreamsListed,
 )
 from driftstall.gateway.model import (
     UpstreamState,
@@ -36,7 +36,9 @@
     """Create a fleet and list three upstreams."""
     context.fleet = FleetController()
     context.actions = []
-    apply_event(context, Listed(tuple(upstream_of(f"u{index}") for index in (1, 2, 3))), 0.0)
+    apply_event(
+        context, UpstreamsListed(tuple(upstream_of(f"u{index}") for index in (1, 2, 3))), 0.0
+    )
 
 
 @when('upstream "{name}" gives notice twice')
@@ -107,7 +109,9 @@
     """End an outage of the platform with an incomplete list."""
     apply_event(context, PlatformUnreachable(), 1.0)
     apply_event(context, PlatformReachable(), 6.0)
-    apply_event(context, Listed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0)
+    apply_event(
+        context, UpstreamsListed((upstream_of(first), upstream_of(second)), StoreVersion(9)), 6.0
+    )
     context.back_at = 6.0
 
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, Listed, UpstreamsListedByPeer
+from driftstall.gateway.fleet_events import Changed, UpstreamsListed, UpstreamsListedByPeer
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, RequestLoad, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
@@ -241,7 +241,7 @@
     """Check that the digest does not depend on the order of the list."""
     context.other = FleetController()
     listed = tuple(upstream_of(f"u{index}") for index in (3, 1, 2))
-    context.other.handle(Listed(listed), 0.0)
+    context.other.handle(UpstreamsListed(listed), 0.0)
     assert context.other.digest == context.fleet.digest
 
 
@@ -262,7 +262,7 @@
     context.sent = []
     known = tuple(upstream_of(f"u{index}", 3) for index in (1, 2, 3))
     state.fleet = FleetController()
-    state.fleet.handle(Listed(known), 0.0)
+    state.fleet.handle(UpstreamsListed(known), 0.0)
 
     def apply_fleet(upstreams: tuple[Upstream, ...], at: int) -> None:
         state.fleet.handle(UpstreamsListedByPeer(upstreams, StoreVersion(at)), 1.0)
@@ -290,7 +290,7 @@
 def send_zone_summary(context: Any) -> None:
     """Deliver a zone summary with the digest of a fleet that only the follower knows."""
     context.followers = FleetController()
-    context.followers.handle(Listed((upstream_of("u1", 3), upstream_of("u4", 8))), 0.0)
+    context.followers.handle(UpstreamsListed((upstream_of("u1", 3), upstream_of("u4", 8))), 0.0)
     digest = context.followers.digest
     summary = ZoneSummary("follower", "b", 1, 100, digest, 1, (), (), (), Cordons(), (), 0, ())
     context.sharing.compare_fleet(summary)
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -17,8 +17,8 @@
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
     Changed,
-    Listed,
     UpstreamReplaced,
+    UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
 )
@@ -55,7 +55,7 @@
         self._born = 1
         self._latest_born = 1
         self.fleet = FleetController()
-        self.fleet.handle(Listed((self._writes[-1],), StoreVersion(1)), 0.0)
+        self.fleet.handle(UpstreamsListed((self._writes[-1],), StoreVersion(1)), 0.0)
 
     def start(self) -> None:
         """Start the upstream again and write its entry."""
@@ -77,7 +77,7 @@
     def list(self) -> None:
         """Apply a list with the newest entry."""
         newest = self._writes[-1]
-        self._apply(Listed((newest,), newest.revision), newest)
+        self._apply(UpstreamsListed((newest,), newest.revision), newest)
 
     def peer_change(self, back: int, removed: bool) -> None:
         """Apply a peer's change of an older entry, or of its removal if the start is outdated."""
@@ -159,7 +159,7 @@
     """List it, then remove it; the removal contains only the name."""
     context.fleet = FleetController()
     first = replace(upstream_of(NAME, 1), born=FIRST_START)
-    context.fleet.handle(Listed((first,), StoreVersion(1)), 0.0)
+    context.fleet.handle(UpstreamsListed((first,), StoreVersion(1)), 0.0)
     context.fleet.handle(Changed(removed_upstream(NAME, StoreVersion(2)), True), 1.0)
     assert context.fleet.can_still_serve(first.upstream_id, 1.5, DRAIN_S)
 
@@ -168,7 +168,7 @@
 def listed_later(context: Any) -> None:
     """List the later start and keep the resulting actions."""
     later = replace(upstream_of(NAME, 3), born=LATER_START)
-    context.actions = context.fleet.handle(Listed((later,), StoreVersion(3)), 1.5)
+    context.actions = context.fleet.handle(UpstreamsListed((later,), StoreVersion(3)), 1.5)
 
 
 @then("the start at 1000 is replaced, and may be sent nothing even within the time to drain")
@@ -196,7 +196,7 @@
         replace(world.entry(upstream), born=born.get(upstream.upstream_id, FIRST_START))
         for upstream in (*world.plain, *world.engines)
     )
-    event = Listed(entries, StoreVersion(world.revision))
+    event = UpstreamsListed(entries, StoreVersion(world.revision))
     for action in world.state.fleet.handle(event, world.state.now()):
         if isinstance(action, UpstreamReplaced):
             world.state.exchanges.close_all(action.upstream.upstream_id)
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -11,10 +11,10 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     FleetEvent,
-    Listed,
     SignalledLeaving,
     StoreRestored,
     TimerFired,
+    UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
 )
@@ -28,10 +28,10 @@
 LATER_START: Final = replace(upstream_of("u1", 30), born=30)
 
 
-def listed(revision: int) -> Listed:
+def listed(revision: int) -> UpstreamsListed:
     """Return a list event with all upstreams ready at that revision."""
     entries = tuple(upstream_of(name, revision) for name in NAMES)
-    return Listed(entries, StoreVersion(revision))
+    return UpstreamsListed(entries, StoreVersion(revision))
 
 
 def events_of(news: str) -> list[FleetEvent]:
--- a/features/steps/placer_steps.py
+++ b/features/steps/placer_steps.py
@@ -11,7 +11,7 @@
 from driftstall.decisions.placers import EXCLUSION_S, PlacerSelector
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.collectors import FleetRoles
-from driftstall.gateway.fleet_events import Listed
+from driftstall.gateway.fleet_events import UpstreamsListed
 from driftstall.gateway.loads import Use
 from driftstall.gateway.model import Bounds, GatewaySettings
 from driftstall.gateway.routes import RouteTable
@@ -68,7 +68,7 @@
     state.route_table = RouteTable.from_document(read_routing(document()))
     engines = [upstream_of(f"near-{index}") for index in range(5)]
     engines += [upstream_of(f"far-{index}", zone="b") for index in range(5)]
-    state.fleet.handle(Listed(tuple(engines)), context.at)
+    state.fleet.handle(UpstreamsListed(tuple(engines)), context.at)
     state.set_load_pooling(True)
 
     def send(_: str, message: GatewayMessage) -> None:
@@ -202,7 +202,7 @@
 def more_engines(context: Any, count: int) -> None:
     """List additional engines."""
     more = tuple(upstream_of(f"more-{index}", 2) for index in range(count))
-    context.state.fleet.handle(Listed(more, StoreVersion(2)), context.at)
+    context.state.fleet.handle(UpstreamsListed(more, StoreVersion(2)), context.at)
     assert len(context.state.options("engines", max_options=None)) == count
 
 
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -16,10 +16,10 @@
     Changed,
     FleetAction,
     FleetEvent,
-    Listed,
     StoreRestored,
     TimerFired,
     UpstreamLeaving,
+    UpstreamsListed,
     UpstreamsListedByPeer,
 )
 from driftstall.gateway.model import PolicyText, Upstream, UpstreamState
@@ -154,7 +154,7 @@
     """List both upstreams; both entries are recent."""
     context.fleet, context.actions = FleetController(), []
     entries = (entry("u1", "1.90"), entry("u2", "1.95"))
-    feed(context, Listed(entries, version("1.100")), 1.0)
+    feed(context, UpstreamsListed(entries, version("1.100")), 1.0)
 
 
 @given('a fleet that knows "u1" and "u2" as of 1.100, and that "u2" has left')
@@ -169,7 +169,7 @@
     """Process the restore and the list."""
     context.actions = []
     feed(context, StoreRestored(), RETURNED_AT)
-    feed(context, Listed((entry("u1", "2.40"),), version("2.50")), RETURNED_AT)
+    feed(context, UpstreamsListed((entry("u1", "2.40"),), version("2.50")), RETURNED_AT)
     feed(context, TimerFired(), RETURNED_AT + 0.5)
 
 
@@ -179,7 +179,7 @@
     context.actions = []
     feed(context, StoreRestored(), RETURNED_AT)
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
-    feed(context, Listed(both, version("2.50")), RETURNED_AT)
+    feed(context, UpstreamsListed(both, version("2.50")), RETURNED_AT)
 
 
 def taking(context: Any) -> set[str]:
@@ -196,7 +196,7 @@
 @then('3 s later "u2" takes none, if it is not listed by then')
 def goes_later(context: Any) -> None:
     """Process another list."""
-    feed(context, Listed((entry("u1", "2.40"),), version("2.60")), RETURNED_AT + 3.0)
+    feed(context, UpstreamsListed((entry("u1", "2.40"),), version("2.60")), RETURNED_AT + 3.0)
     feed(context, TimerFired(), RETURNED_AT + 3.1)
     assert taking(context) == {"u1"}, taking(context)
 
@@ -211,7 +211,7 @@
 def never_gone(context: Any) -> None:
     """Process another list, and check that no upstream was reported as leaving."""
     both = (entry("u1", "2.40"), entry("u2", "2.55"))
-    feed(context, Listed(both, version("2.60")), RETURNED_AT + 3.0)
+    feed(context, UpstreamsListed(both, version("2.60")), RETURNED_AT + 3.0)
     feed(context, TimerFired(), RETURNED_AT + 3.1)
     both_take(context)
     assert not [action for action in context.actions if isinstance(action, UpstreamLeaving)]
@@ -226,7 +226,7 @@
 def list_both_again(context: Any, seconds: float) -> None:
     """List both unchanged, some time after the return."""
     both = (entry("u1", "2.40"), entry("u2", "2.45"))
-    feed(context, Listed(both, version("2.60")), RETURNED_AT + seconds)
+    feed(context, UpstreamsListed(both, version("2.60")), RETURNED_AT + seconds)
     feed(context, TimerFired(), RETURNED_AT + seconds + 0.1)
 
 
@@ -253,7 +253,7 @@
 @when('a list as of 1.102 comes after it, with "u1" alone')
 def late_list(context: Any) -> None:
     """Process a list that was read before the upstream joined and arrives after it."""
-    feed(context, Listed((entry("u1", "1.90"),), version("1.102")), 2.004)
+    feed(context, UpstreamsListed((entry("u1", "1.90"),), version("1.102")), 2.004)
 
 
 @then('"u1" and "u3" take requests')
@@ -265,7 +265,7 @@
 @then('"u3" takes none once a list as of 1.104 lacks it as well')
 def newer_list(context: Any) -> None:
     """Process a list that was read after the upstream joined."""
-    feed(context, Listed((entry("u1", "1.90"),), version("1.104")), 3.0)
+    feed(context, UpstreamsListed((entry("u1", "1.90"),), version("1.104")), 3.0)
     assert taking(context) == {"u1"}, taking(context)
 
 
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -17,10 +17,10 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     FleetEvent,
-    Listed,
     PlatformReachable,
     PlatformUnreachable,
     TimerFired,
+    UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
 )
@@ -175,7 +175,7 @@
         """Deliver the full list."""
         if self._is_down:
             return
-        self._handle(Listed(self._entries(self._newest), StoreVersion(self._newest)))
+        self._handle(UpstreamsListed(self._entries(self._newest), StoreVersion(self._newest)))
         self._delivered_revision = self._newest
         for name in NAMES:
             state = self._state(name, self._newest)
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -18,9 +18,9 @@
 from driftstall.gateway.fleet_events import (
     Changed,
     FleetEvent,
-    Listed,
     SignalledLeaving,
     UpstreamLeaving,
+    UpstreamsListed,
 )
 from driftstall.gateway.listeners import CallerListener
 from driftstall.gateway.model import Bounds, GatewaySettings, Upstream, UpstreamState
@@ -170,7 +170,7 @@
     def list_upstreams(self) -> None:
         """Send the fleet a list of all upstreams."""
         entries = tuple(self.entry(upstream) for upstream in (*self.plain, *self.engines))
-        self.state.fleet.handle(Listed(entries), self.state.now())
+        self.state.fleet.handle(UpstreamsListed(entries), self.state.now())
 
     def give_notice(self, upstream: RoutedUpstream) -> None:
         """Set an upstream to leaving in the platform's list, which starts its evacuation."""
