--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -64,7 +64,7 @@
 class SendNeed:
     """Describe what one request needs from an upstream with a limit."""
 
-    most_wait_s: float
+    max_wait_s: float
     """How long it can wait for its turn; zero where another upstream accepts it."""
     rank: int
     """Zero comes first."""
@@ -143,8 +143,8 @@
         """Return the maximum wait of a request: shorter while more urgent ones come."""
         is_less_urgent = now < self._rank_until and need.rank > self._rank
         if is_less_urgent and self._urgent_in_a_row < MAX_URGENT_IN_A_ROW:
-            return LOW_RANK_WAIT_SHARE * need.most_wait_s
-        return need.most_wait_s
+            return LOW_RANK_WAIT_SHARE * need.max_wait_s
+        return need.max_wait_s
 
     def _record_rank(self, need: SendNeed, now: float) -> None:
         """Record the most urgent recent rank, and how often in a row it got a permit."""
--- a/driftstall/helpers/permits.py
+++ b/driftstall/helpers/permits.py
@@ -72,7 +72,7 @@
         number = next(self._numbers)
         answer: AsyncResult = AsyncResult()
         self._waiting[number] = answer
-        max_wait_ms = int(need.most_wait_s * MS_PER_S)
+        max_wait_ms = int(need.max_wait_s * MS_PER_S)
         asked = PermitAsked(self._own_id, number, limit, max_wait_ms, need.rank, need.under_way)
         try:
             self._send(owner_id, asked)
--- a/driftstall/helpers/rate_limiting.py
+++ b/driftstall/helpers/rate_limiting.py
@@ -139,15 +139,13 @@
         """
         remaining = list(options)
         while remaining:
-            max_wait_s = self.permit_wait_s(map(id_of, remaining), need.most_wait_s)
+            max_wait_s = self.permit_wait_s(map(id_of, remaining), need.max_wait_s)
             denied = self.denied_upstreams(map(id_of, remaining), max_wait_s)
             remaining = [candidate for candidate in remaining if id_of(candidate) not in denied]
             option = choose(remaining)
             if option is None:
                 return None
-            if self.acquire_permit(
-                id_of(option), replace(need, most_wait_s=max_wait_s), request_id
-            ):
+            if self.acquire_permit(id_of(option), replace(need, max_wait_s=max_wait_s), request_id):
                 return option
             remaining.remove(option)
         return None
