--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -23,7 +23,6 @@
 )
 from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet_events import (
-    Changed,
     Cordoned,
     FleetAction,
     FleetEvent,
@@ -32,6 +31,7 @@
     SignalledLeaving,
     StoreRestored,
     TimerFired,
+    UpstreamChanged,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -113,7 +113,7 @@
                     self._add_tombstone(upstream, upstream.revision, now)
 
     @_handle.register
-    def _(self, event: Changed, now: float) -> None:
+    def _(self, event: UpstreamChanged, now: float) -> None:
         upstream = event.upstream
         since = now - event.store_silence_s
         self._at = max(self._at, upstream.revision)
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class UpstreamChanged:
     """One entry of the platform's list was changed or removed."""
 
     upstream: Upstream
@@ -88,7 +88,7 @@
 FleetEvent = (
     UpstreamsListed
     | UpstreamsListedByPeer
-    | Changed
+    | UpstreamChanged
     | UpstreamSuspected
     | SignalledLeaving
     | Cordoned
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -14,7 +14,6 @@
 from driftstall.gateway.cordons import CordonsChanged
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import (
-    Changed,
     Cordoned,
     FleetAction,
     FleetEvent,
@@ -23,6 +22,7 @@
     SignalledLeaving,
     StoreRestored,
     TimerFired,
+    UpstreamChanged,
     UpstreamCold,
     UpstreamJoined,
     UpstreamLeaving,
@@ -248,12 +248,14 @@
 
     def changed(self, change: ItemChange[Upstream]) -> None:
         """Handle one change read from the platform."""
-        self._apply(Changed(change.item, change.removed, store_silence_s=self._store_silence_s()))
+        self._apply(
+            UpstreamChanged(change.item, change.removed, store_silence_s=self._store_silence_s())
+        )
         self._publish_change(change)
 
     def handle_peer_change(self, change: ItemChange[Upstream]) -> None:
         """Handle one change sent by a peer."""
-        self._apply(Changed(change.item, change.removed, from_peer=True), from_peer=True)
+        self._apply(UpstreamChanged(change.item, change.removed, from_peer=True), from_peer=True)
 
     def handle_peer_list(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle a peer's list of all upstreams that accept requests, as of a version."""
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -15,8 +15,8 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
-    Changed,
     Cordoned,
+    UpstreamChanged,
     UpstreamCold,
     UpstreamsListed,
     UpstreamsListedByPeer,
@@ -167,7 +167,7 @@
     context.entry = replace(upstream_of("u1", 2), cold_s=1.0)
     actions = context.fleet.handle(UpstreamsListed((context.entry,), StoreVersion(2)), 0.0)
     assert any(isinstance(each, UpstreamCold) and each.for_s == 1.0 for each in actions), actions
-    actions = context.fleet.handle(Changed(upstream_of("u1", 3), False), 1.0)
+    actions = context.fleet.handle(UpstreamChanged(upstream_of("u1", 3), False), 1.0)
     assert any(isinstance(each, UpstreamCold) and each.for_s == 0.0 for each in actions), actions
 
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -14,7 +14,12 @@
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.crash_detector import CrashDetector
 from driftstall.gateway.dialect import MoveFailed
-from driftstall.gateway.fleet_events import Changed, TimerFired, UpstreamLeaving, UpstreamSuspected
+from driftstall.gateway.fleet_events import (
+    TimerFired,
+    UpstreamChanged,
+    UpstreamLeaving,
+    UpstreamSuspected,
+)
 from driftstall.gateway.model import Upstream
 from driftstall.gateway.store_reachability import FeedReachability, StoreReachability
 from driftstall.gateway.upstream_prober import UpstreamProber
@@ -47,7 +52,7 @@
 @when('the platform lists "{name}" as ready, with a newer revision')
 def listed_as_ready(context: Any, name: str) -> None:
     """Apply a newer entry that does not include the notice."""
-    apply_event(context, Changed(upstream_of(name, 7), False), SUSPECTED_AT + 1.0)
+    apply_event(context, UpstreamChanged(upstream_of(name, 7), False), SUSPECTED_AT + 1.0)
 
 
 @then('after {seconds:g} s of silence "{name}" takes requests again')
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -9,11 +9,11 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
-    Changed,
     FleetAction,
     PlatformReachable,
     PlatformUnreachable,
     TimerFired,
+    UpstreamChanged,
     UpstreamLeaving,
     UpstreamsListed,
 )
@@ -46,15 +46,17 @@
     """Apply a notice of leaving twice."""
     for revision in (5, 6):
         leaving = upstream_of(name, revision, UpstreamState.LEAVING)
-        apply_event(context, Changed(leaving, False), 1.0)
+        apply_event(context, UpstreamChanged(leaving, False), 1.0)
 
 
 @when('upstream "{name}" gives notice, and {seconds:g} s later its entry is removed, twice')
 def notice_then_removal(context: Any, name: str, seconds: float) -> None:
     """Apply a notice of leaving, then the removal twice."""
-    apply_event(context, Changed(upstream_of(name, 5, UpstreamState.LEAVING), False), NOTICE_AT)
+    apply_event(
+        context, UpstreamChanged(upstream_of(name, 5, UpstreamState.LEAVING), False), NOTICE_AT
+    )
     for revision in (6, 7):
-        removal = Changed(upstream_of(name, revision, UpstreamState.LEAVING), True)
+        removal = UpstreamChanged(upstream_of(name, revision, UpstreamState.LEAVING), True)
         apply_event(context, removal, NOTICE_AT + seconds)
 
 
@@ -73,13 +75,13 @@
 @when('the entry of "{name}" is removed')
 def entry_removed(context: Any, name: str) -> None:
     """Apply the removal of an entry."""
-    apply_event(context, Changed(upstream_of(name, 5), True), 1.0)
+    apply_event(context, UpstreamChanged(upstream_of(name, 5), True), 1.0)
 
 
 @when('old news say that "{name}" is ready')
 def stale_update(context: Any, name: str) -> None:
     """Apply a stale update."""
-    apply_event(context, Changed(upstream_of(name, 4), False), 1.1)
+    apply_event(context, UpstreamChanged(upstream_of(name, 4), False), 1.1)
 
 
 @then('it is told once that "{name}" is leaving')
@@ -119,19 +121,19 @@
 def peer_tells(context: Any, name: str) -> None:
     """Apply a removal from a peer during an outage of the platform."""
     apply_event(context, PlatformUnreachable(), 1.0)
-    apply_event(context, Changed(upstream_of(name, 5), True, from_peer=True), 1.5)
+    apply_event(context, UpstreamChanged(upstream_of(name, 5), True, from_peer=True), 1.5)
 
 
 @when('the entry of "{name}" is back after {seconds:g} s')
 def entry_back(context: Any, name: str, seconds: float) -> None:
     """Apply an update that restores the entry."""
-    apply_event(context, Changed(upstream_of(name, 9), False), context.back_at + seconds)
+    apply_event(context, UpstreamChanged(upstream_of(name, 9), False), context.back_at + seconds)
 
 
 @when('the entry of "{name}" is removed {seconds:g} s after the return')
 def removed_late(context: Any, name: str, seconds: float) -> None:
     """Apply a removal after the platform is reachable again."""
-    apply_event(context, Changed(upstream_of(name, 5), True), context.back_at + seconds)
+    apply_event(context, UpstreamChanged(upstream_of(name, 5), True), context.back_at + seconds)
 
 
 @then('after {seconds:g} s without its entry "{name}" takes no requests')
--- a/features/steps/gateway_move_steps.py
+++ b/features/steps/gateway_move_steps.py
@@ -11,7 +11,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway import moves
 from driftstall.gateway.evacuation import POLL_INTERVAL_S
-from driftstall.gateway.fleet_events import Changed
+from driftstall.gateway.fleet_events import UpstreamChanged
 from driftstall.gateway.model import Bounds, UpstreamState
 from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.runs import RunRegistry, StreamRun
@@ -73,7 +73,7 @@
     world.state.runs = registry = CountingRunRegistry()
     world.give_notice(context.engine)
     wait_for("the notice has found no stream", lambda: registry.lookups >= LOOKUPS_PER_NOTICE)
-    world.state.fleet.handle(Changed(world.entry(context.engine), False), world.state.now())
+    world.state.fleet.handle(UpstreamChanged(world.entry(context.engine), False), world.state.now())
     registry.add(run)
     gevent.spawn_later(4 * POLL_INTERVAL_S, context.script.gate.set)
 
@@ -287,7 +287,7 @@
     leaving = replace(
         run.upstream, state=UpstreamState.LEAVING, revision=StoreVersion(run.upstream.revision + 1)
     )
-    world.state.fleet.handle(Changed(leaving, False), world.state.now())
+    world.state.fleet.handle(UpstreamChanged(leaving, False), world.state.now())
     memory_full(context)
 
 
--- a/features/steps/gateway_reliance_steps.py
+++ b/features/steps/gateway_reliance_steps.py
@@ -11,7 +11,7 @@
 from driftstall.gateway.collectors import FleetRoles
 from driftstall.gateway.cordons import Cordons
 from driftstall.gateway.fleet import FleetController
-from driftstall.gateway.fleet_events import Changed, UpstreamsListed, UpstreamsListedByPeer
+from driftstall.gateway.fleet_events import UpstreamChanged, UpstreamsListed, UpstreamsListedByPeer
 from driftstall.gateway.loads import FLEET_KEY, POOLED_PREFIX, LoadTable, RequestLoad, Use
 from driftstall.gateway.model import Upstream, UpstreamState
 from driftstall.gateway.sharing import PeerUpdateHandlers, PlatformDataSharing
@@ -223,7 +223,7 @@
 @given('the platform tells of an upstream "{name}" at revision {revision:d}')
 def platform_tells(context: Any, name: str, revision: int) -> None:
     """Apply the platform's change of an upstream."""
-    apply_event(context, Changed(upstream_of(name, revision), False), 2.0)
+    apply_event(context, UpstreamChanged(upstream_of(name, revision), False), 2.0)
 
 
 @when('a collector that has seen revision {at:d} offers only "{first}" and "{second}"')
@@ -249,7 +249,7 @@
 def other_digest(context: Any) -> None:
     """Mark one upstream as leaving and compare the digests."""
     leaving = upstream_of("u1", 9, UpstreamState.LEAVING)
-    context.other.handle(Changed(leaving, False), 1.0)
+    context.other.handle(UpstreamChanged(leaving, False), 1.0)
     assert context.other.digest != context.fleet.digest
 
 
--- a/features/steps/later_start_steps.py
+++ b/features/steps/later_start_steps.py
@@ -16,7 +16,7 @@
 from driftstall.decisions.upstream_probes import ReportedState
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
-    Changed,
+    UpstreamChanged,
     UpstreamReplaced,
     UpstreamsListed,
     UpstreamsListedByPeer,
@@ -72,7 +72,7 @@
 
     def watch(self) -> None:
         """Apply the newest entry as a change."""
-        self._apply(Changed(self._writes[-1], False), self._writes[-1])
+        self._apply(UpstreamChanged(self._writes[-1], False), self._writes[-1])
 
     def list(self) -> None:
         """Apply a list with the newest entry."""
@@ -84,7 +84,7 @@
         entry = self._writes[max(0, len(self._writes) - 1 - back)]
         if removed and entry.born >= self._latest_born:
             return
-        self._apply(Changed(entry, removed, from_peer=True), entry)
+        self._apply(UpstreamChanged(entry, removed, from_peer=True), entry)
 
     def peer_list(self, back: int) -> None:
         """Apply a peer's list with an older entry."""
@@ -160,7 +160,7 @@
     context.fleet = FleetController()
     first = replace(upstream_of(NAME, 1), born=FIRST_START)
     context.fleet.handle(UpstreamsListed((first,), StoreVersion(1)), 0.0)
-    context.fleet.handle(Changed(removed_upstream(NAME, StoreVersion(2)), True), 1.0)
+    context.fleet.handle(UpstreamChanged(removed_upstream(NAME, StoreVersion(2)), True), 1.0)
     assert context.fleet.can_still_serve(first.upstream_id, 1.5, DRAIN_S)
 
 
--- a/features/steps/leaving_signal_steps.py
+++ b/features/steps/leaving_signal_steps.py
@@ -9,11 +9,11 @@
 
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet_events import (
-    Changed,
     FleetEvent,
     SignalledLeaving,
     StoreRestored,
     TimerFired,
+    UpstreamChanged,
     UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
@@ -37,17 +37,17 @@
 def events_of(news: str) -> list[FleetEvent]:
     """Return the fleet events that a step names."""
     events: dict[str, list[FleetEvent]] = {
-        "a newer entry that is ready": [Changed(upstream_of("u1", 20), False)],
+        "a newer entry that is ready": [UpstreamChanged(upstream_of("u1", 20), False)],
         "the same list again": [listed(1)],
         "a newer list": [listed(20)],
         "a peer's list": [UpstreamsListedByPeer(listed(20).upstreams, StoreVersion(20))],
-        "a peer's entry": [Changed(upstream_of("u1", 20), False, from_peer=True)],
+        "a peer's entry": [UpstreamChanged(upstream_of("u1", 20), False, from_peer=True)],
         "a list after the store's return": [StoreRestored(), listed(20)],
         "its entry that is leaving": [
-            Changed(upstream_of("u1", 20, UpstreamState.LEAVING), False),
+            UpstreamChanged(upstream_of("u1", 20, UpstreamState.LEAVING), False),
         ],
-        "its entry's removal": [Changed(upstream_of("u1", 20), True)],
-        'an entry of "u9"': [Changed(upstream_of("u9", 20), False)],
+        "its entry's removal": [UpstreamChanged(upstream_of("u1", 20), True)],
+        'an entry of "u9"': [UpstreamChanged(upstream_of("u9", 20), False)],
     }
     return events[news]
 
@@ -83,7 +83,7 @@
 @when('a later start of "u1" is listed at {at:g} s')
 def later_start(context: Any, at: float) -> None:
     """Apply an entry of a later start of the same name."""
-    apply_event(context, Changed(LATER_START, False), at)
+    apply_event(context, UpstreamChanged(LATER_START, False), at)
 
 
 @when('a peer tells at {at:g} s of the signal of "{name}", {ago:g} s old')
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -13,11 +13,11 @@
 from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
-    Changed,
     FleetAction,
     FleetEvent,
     StoreRestored,
     TimerFired,
+    UpstreamChanged,
     UpstreamLeaving,
     UpstreamsListed,
     UpstreamsListedByPeer,
@@ -161,7 +161,7 @@
 def one_left(context: Any) -> None:
     """Remove one upstream."""
     known_fleet(context)
-    feed(context, Changed(entry("u2", "1.101"), True), 2.0)
+    feed(context, UpstreamChanged(entry("u2", "1.101"), True), 2.0)
 
 
 @when('the store has come back, and lists "u1" alone as of 2.50')
@@ -204,7 +204,7 @@
 @when('1 s later "u2" is listed as of 2.55')
 def listed_again(context: Any) -> None:
     """Process the change."""
-    feed(context, Changed(entry("u2", "2.55"), False), RETURNED_AT + 1.0)
+    feed(context, UpstreamChanged(entry("u2", "2.55"), False), RETURNED_AT + 1.0)
 
 
 @then('3 s later "u1" and "u2" take requests, and nobody was told that one leaves')
@@ -247,7 +247,7 @@
 @when('a peer tells that "u3" has joined as of 1.103')
 def peer_tells_of_joined(context: Any) -> None:
     """Process the peer's report."""
-    feed(context, Changed(entry("u3", "1.103"), False, from_peer=True), 2.0)
+    feed(context, UpstreamChanged(entry("u3", "1.103"), False, from_peer=True), 2.0)
 
 
 @when('a list as of 1.102 comes after it, with "u1" alone')
@@ -272,14 +272,14 @@
 @when('1 s later "u2" is removed as of 2.52')
 def removed(context: Any) -> None:
     """Process the change."""
-    feed(context, Changed(entry("u2", "2.52"), True), RETURNED_AT + 1.0)
+    feed(context, UpstreamChanged(entry("u2", "2.52"), True), RETURNED_AT + 1.0)
 
 
 @when('1 s later "u2" says as of 2.52 that it leaves')
 def notice(context: Any) -> None:
     """Process the change."""
     leaving = entry("u2", "2.52", UpstreamState.LEAVING)
-    feed(context, Changed(leaving, False), RETURNED_AT + 1.0)
+    feed(context, UpstreamChanged(leaving, False), RETURNED_AT + 1.0)
 
 
 @when('a peer offers "u1" and "u2" as of 1.120')
@@ -287,7 +287,7 @@
     """Process the list and the report of a peer."""
     both = (entry("u1", "1.90"), entry("u2", "1.119"))
     feed(context, UpstreamsListedByPeer(both, version("1.120")), RETURNED_AT + 1.1)
-    feed(context, Changed(both[1], False, from_peer=True), RETURNED_AT + 1.2)
+    feed(context, UpstreamChanged(both[1], False, from_peer=True), RETURNED_AT + 1.2)
 
 
 @then('"u2" takes no requests at once')
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -15,11 +15,11 @@
 from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet import LAPSE_GRACE_S, FleetController
 from driftstall.gateway.fleet_events import (
-    Changed,
     FleetEvent,
     PlatformReachable,
     PlatformUnreachable,
     TimerFired,
+    UpstreamChanged,
     UpstreamsListed,
     UpstreamsListedByPeer,
     UpstreamSuspected,
@@ -166,7 +166,7 @@
             return
         for write in self._writes:
             if write.revision > self._delivered_revision:
-                self._handle(Changed(_entry(write), write.state is StoredState.GONE))
+                self._handle(UpstreamChanged(_entry(write), write.state is StoredState.GONE))
                 if write.state is not StoredState.GONE or not self._in_grace:
                     self._note(write.name, write.state, write.revision)
         self._delivered_revision = self._newest
@@ -194,7 +194,7 @@
         if write.state is StoredState.GONE and step.is_variant:
             # A peer that derived the removal sends the entry that it knew before.
             entry = _entry(self._last(write.name, write.revision - 1))
-        self._handle(Changed(entry, write.state is StoredState.GONE, from_peer=True))
+        self._handle(UpstreamChanged(entry, write.state is StoredState.GONE, from_peer=True))
         self._note(write.name, write.state, entry.revision)
 
     def _deliver_peer_list(self, step: Step) -> None:
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -16,9 +16,9 @@
 from driftstall.gateway.drain import Drain
 from driftstall.gateway.evacuation import Evacuation
 from driftstall.gateway.fleet_events import (
-    Changed,
     FleetEvent,
     SignalledLeaving,
+    UpstreamChanged,
     UpstreamLeaving,
     UpstreamsListed,
 )
@@ -175,7 +175,7 @@
     def give_notice(self, upstream: RoutedUpstream) -> None:
         """Set an upstream to leaving in the platform's list, which starts its evacuation."""
         leaving = replace(self.entry(upstream), state=UpstreamState.LEAVING)
-        self._apply_fleet_event(Changed(leaving, False))
+        self._apply_fleet_event(UpstreamChanged(leaving, False))
 
     def handle_leaving_signal(self, upstream_id: str) -> None:
         """Apply the signal of an upstream that it leaves."""
