--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -122,13 +122,13 @@
     """Hold the crashes and the latest success of one request."""
 
     crashes: list[Crash] = field(default_factory=list)
-    well_at: float = NEVER
+    succeeded_at: float = NEVER
     changed_at: float = NEVER
 
     @property
     def counted(self) -> list[Crash]:
         """Return the crashes that no success clears the request of."""
-        return [crash for crash in self.crashes if crash.at > self.well_at + SUCCESS_GRACE_S]
+        return [crash for crash in self.crashes if crash.at > self.succeeded_at + SUCCESS_GRACE_S]
 
     @property
     def weight(self) -> float:
@@ -155,7 +155,7 @@
         record = self._records.get(fingerprint)
         if record is None:
             record = self._records[fingerprint] = _Record(
-                well_at=self._find_success_at(fingerprint)
+                succeeded_at=self._find_success_at(fingerprint)
             )
         for index, known in enumerate(record.crashes):
             if known.is_same(crash):
@@ -178,7 +178,7 @@
         if record is None:
             return False
         was_suspect = bool(record.counted)
-        record.well_at = now
+        record.succeeded_at = now
         if was_suspect:
             record.changed_at = now
         return was_suspect
@@ -232,7 +232,7 @@
             record = self._records.get(report.fingerprint)
             if record is None or not report.crashes:
                 continue
-            well_ago_s = now - record.well_at
+            well_ago_s = now - record.succeeded_at
             theirs_s = float("inf") if report.well_ago_ms is None else report.well_ago_ms / 1000
             newest_s = min(crash.ago_ms for crash in report.crashes) / 1000
             # A success also clears crashes up to SUCCESS_GRACE_S after it.
@@ -259,13 +259,13 @@
         record = self._records.get(report.fingerprint)
         is_new = record is None
         if record is None:
-            record = _Record(well_at=self._find_success_at(report.fingerprint))
-        well_at = NEVER if report.well_ago_ms is None else now - report.well_ago_ms / 1000
+            record = _Record(succeeded_at=self._find_success_at(report.fingerprint))
+        succeeded_at = NEVER if report.well_ago_ms is None else now - report.well_ago_ms / 1000
         # Each hop makes a success look more recent by its delay. Without a minimum advance, a
         # success passed between peers would clear the request of later and later crashes.
-        changed = well_at > record.well_at + MIN_SUCCESS_ADVANCE_S
+        changed = succeeded_at > record.succeeded_at + MIN_SUCCESS_ADVANCE_S
         if changed:
-            record.well_at = well_at
+            record.succeeded_at = succeeded_at
         for crash in _find_unknown_crashes(record.crashes, report.crashes, now):
             changed = self._add(report.fingerprint, record, crash) or changed
         if not record.crashes:
@@ -347,7 +347,7 @@
         CrashReport(crash.upstream_id, _ago_ms(crash.at, now), crash.under_way)
         for crash in record.crashes
     )
-    well_ago_ms = None if record.well_at == NEVER else _ago_ms(record.well_at, now)
+    well_ago_ms = None if record.succeeded_at == NEVER else _ago_ms(record.succeeded_at, now)
     return PoisonReport(fingerprint, crashes, well_ago_ms)
 
 
