--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -23,7 +23,7 @@
 )
 from driftstall.decisions.upstream_probes import SUSPICION_S
 from driftstall.gateway.fleet_events import (
-    Cordoned,
+    CordonedZonesChanged,
     FleetAction,
     FleetEvent,
     PlatformReachable,
@@ -152,7 +152,7 @@
             self._mark_signalled_leaving(entry, since)
 
     @_handle.register
-    def _(self, event: Cordoned, now: float) -> None:
+    def _(self, event: CordonedZonesChanged, now: float) -> None:
         self._cordoned = event.zones
         for entry in self._entries.values():
             upstream = entry.upstream
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cordoned:
+class CordonedZonesChanged:
     """The cordoned availability zones have changed."""
 
     zones: frozenset[str]
@@ -91,7 +91,7 @@
     | UpstreamChanged
     | UpstreamSuspected
     | SignalledLeaving
-    | Cordoned
+    | CordonedZonesChanged
     | StoreRestored
     | PlatformUnreachable
     | PlatformReachable
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -14,7 +14,7 @@
 from driftstall.gateway.cordons import CordonsChanged
 from driftstall.gateway.feeds import ItemChange
 from driftstall.gateway.fleet_events import (
-    Cordoned,
+    CordonedZonesChanged,
     FleetAction,
     FleetEvent,
     PlatformReachable,
@@ -279,7 +279,7 @@
 
     def handle_cordons_changed(self, changed: CordonsChanged) -> None:
         """Apply a change of the cordoned zones to the fleet."""
-        self._apply(Cordoned(self._state.cordons.zones, changed.lifted))
+        self._apply(CordonedZonesChanged(self._state.cordons.zones, changed.lifted))
 
     def platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer, and tell the fleet and the peers."""
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -15,7 +15,7 @@
 from driftstall.decisions.store_versions import StoreVersion
 from driftstall.gateway.fleet import FleetController
 from driftstall.gateway.fleet_events import (
-    Cordoned,
+    CordonedZonesChanged,
     UpstreamChanged,
     UpstreamCold,
     UpstreamsListed,
@@ -151,8 +151,8 @@
     fleet.handle(
         UpstreamsListed((upstream_of("u2", zone="z"), upstream_of("u3")), StoreVersion(1)), 0.0
     )
-    fleet.handle(Cordoned(frozenset({"z"})), 0.0)
-    (action,) = fleet.handle(Cordoned(frozenset(), frozenset({"z"})), 1.0)
+    fleet.handle(CordonedZonesChanged(frozenset({"z"})), 0.0)
+    (action,) = fleet.handle(CordonedZonesChanged(frozenset(), frozenset({"z"})), 1.0)
     assert isinstance(action, UpstreamCold) and action.is_assumed, action
     assert (action.upstream.upstream_id, action.for_s) == ("u2", ASSUMED_COLD_S)
     context.cold.assume("u2", action.for_s, 1.0)
--- a/features/steps/cordon_steps.py
+++ b/features/steps/cordon_steps.py
@@ -17,7 +17,7 @@
 from driftstall.gateway.cordon_source import CordonSource
 from driftstall.gateway.cordons import Cordon, CordonRegistry, Cordons
 from driftstall.gateway.exchange import UpstreamExchange
-from driftstall.gateway.fleet_events import Cordoned, UpstreamsListed
+from driftstall.gateway.fleet_events import CordonedZonesChanged, UpstreamsListed
 from driftstall.platform.feeds import cordon_feed
 from driftstall.platform.names import KIND_CORDONS, KIND_UPSTREAMS
 from driftstall.platform.store import Listing, Store, StoredObject
@@ -193,7 +193,7 @@
 def cordon(world: GatewayWorld, *zones: str) -> None:
     """Set the cordoned zones, and lift all other cordons."""
     before = world.state.cordons.zones
-    event = Cordoned(frozenset(zones), before - set(zones))
+    event = CordonedZonesChanged(frozenset(zones), before - set(zones))
     world.state.fleet.handle(event, world.state.now())
 
 
