--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -35,7 +35,7 @@
 from driftstall.gateway.model import GatewaySettings, PolicyText, RoutingText, Upstream
 from driftstall.gateway.moves import Mover
 from driftstall.gateway.peering import Peering
-from driftstall.gateway.policy_persistence import PolicyPersistence, PolicyStore
+from driftstall.gateway.policy_persistence import PolicyPersistence, StoredPolicyAccess
 from driftstall.gateway.protection import RunProtection
 from driftstall.gateway.registration import InstanceEntries, Registration
 from driftstall.gateway.reports import MAX_AGE_S, MS_PER_S, PlatformStatus
@@ -80,7 +80,7 @@
     policies: Feed[PolicyText]
     instances: InstanceEntries
     crashes: CrashStore
-    policy: PolicyStore
+    policy: StoredPolicyAccess
     subscribe_store_eras: Callable[[Callable[[int], None]], None]
     """Registers a callback for each new era of the platform's store."""
     use_address: Callable[[str], None]
--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -10,7 +10,7 @@
 from driftstall.helpers.log import log_event
 
 
-class PolicyStore(Protocol):
+class StoredPolicyAccess(Protocol):
     """Access to the stored policy; each call may raise PlatformUnavailable."""
 
     def read(self) -> PolicyText | None:
@@ -23,7 +23,7 @@
 class PolicyPersistence:
     """Compares the policy in force with the stored one after the store was restored."""
 
-    def __init__(self, policies: PolicySource, stored: PolicyStore) -> None:
+    def __init__(self, policies: PolicySource, stored: StoredPolicyAccess) -> None:
         """Initialize with the policy in force and the access to the store."""
         self._policies = policies
         self._stored = stored
