--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -28,7 +28,7 @@
         self._on_changed = on_changed
         self._announce = announce
 
-    def listed(self, items: tuple[Cordon, ...], at: StoreVersion) -> None:
+    def handle_list(self, items: tuple[Cordon, ...], at: StoreVersion) -> None:
         """Handle the whole list, as of a version."""
         self._handle_change(
             self._state.cordons.merge(
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -68,7 +68,7 @@
 class Listener(Protocol[Item]):
     """Receiver of the lists and changes that a follower reads."""
 
-    def listed(self, items: tuple[Item, ...], at: StoreVersion) -> None:
+    def handle_list(self, items: tuple[Item, ...], at: StoreVersion) -> None:
         """Handle the whole list, as of a version."""
 
     def changed(self, change: ItemChange[Item]) -> None:
@@ -170,7 +170,7 @@
         snapshot = self._feed.list()
         self._record_answer()
         self._at = snapshot.at
-        self._listener.listed(snapshot.items, snapshot.at)
+        self._listener.handle_list(snapshot.items, snapshot.at)
 
     def _watch(self, at: StoreVersion) -> None:
         """Wait for changes and pass them to the listener."""
--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -71,9 +71,9 @@
                     gevent.sleep(SEED_ANSWER_TIMEOUT_S)
                 if self._state.instances.value > 1:
                     gevent.sleep(FINAL_LIST_DELAY_S * (0.5 + self._state.rng.random()))
-                    self._instances.listed(self._entries.stale_instances.list().items)
+                    self._instances.handle_list(self._entries.stale_instances.list().items)
                     return
-                self._instances.listed(self._entries.instances.list().items)
+                self._instances.handle_list(self._entries.instances.list().items)
                 gevent.sleep(RELIST_INTERVAL_S)
             except PlatformUnavailable as error:
                 log_event(
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -78,7 +78,7 @@
         """Return the document in force in the form sent to peers."""
         return self._text
 
-    def listed(self, items: tuple[RoutingText, ...], at: StoreVersion) -> None:
+    def handle_list(self, items: tuple[RoutingText, ...], at: StoreVersion) -> None:
         """Handle the stored documents."""
         for item in items:
             self._take(item, PLATFORM)
@@ -156,7 +156,7 @@
         """Return the store version of the latest submitted policy; zero if none was submitted."""
         return self._revision
 
-    def listed(self, items: tuple[PolicyText, ...], at: StoreVersion) -> None:
+    def handle_list(self, items: tuple[PolicyText, ...], at: StoreVersion) -> None:
         """Handle the stored policies."""
         for item in items:
             self._take(item)
@@ -238,7 +238,7 @@
         self._announce = announce
         self._store_silence_s = store_silence_s
 
-    def listed(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
+    def handle_list(self, items: tuple[Upstream, ...], at: StoreVersion) -> None:
         """Handle the whole list, as of a version."""
         self._apply(UpstreamsListed(items, at, self._store_silence_s()))
         self._state.notify_if_configured()
@@ -389,7 +389,7 @@
         """Initialize with the callback for the listed instances."""
         self._found = found
 
-    def listed(self, items: tuple[Instance, ...]) -> None:
+    def handle_list(self, items: tuple[Instance, ...]) -> None:
         """Handle the whole list."""
         log_event(PREFIX_MEMBERSHIP, f"The platform lists {len(items)} instances")
         self._found(items)
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -68,7 +68,7 @@
         """Start with no events."""
         self.events: list[str] = []
 
-    def listed(self, items: tuple[str, ...], at: int) -> None:
+    def handle_list(self, items: tuple[str, ...], at: int) -> None:
         """Record a list."""
         self.events.append("listed")
 
@@ -325,7 +325,7 @@
     context.add_cleanup(context.world.close)
     context.world.state.route_table = None
     context.routing = RoutingSource(context.world.state, lambda *, from_peer: None)
-    context.routing.listed((routing_text(7),), 1)
+    context.routing.handle_list((routing_text(7),), 1)
 
 
 @when("versions 5, 9 and 8 arrive")
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -357,15 +357,15 @@
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
     context.policies = PolicySource(context.world.state)
-    context.policies.listed((stored("first", "1.40"),), version("1.50"))
-    context.policies.listed((stored("second", "1.90"),), version("1.95"))
+    context.policies.handle_list((stored("first", "1.40"),), version("1.50"))
+    context.policies.handle_list((stored("second", "1.90"),), version("1.95"))
 
 
 @when('the store holds "first" as of 2.40')
 def holds_first(context: Any) -> None:
     """List the policy of the restored store, and compare it."""
     context.policy_store = StubPolicyStore(stored("first", "2.40"))
-    context.policies.listed((context.policy_store.held,), version("2.41"))
+    context.policies.handle_list((context.policy_store.held,), version("2.41"))
     PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
 
 
@@ -381,7 +381,7 @@
     """List the submitted policy."""
     context.policy_store = StubPolicyStore(stored("third", "2.45"))
     PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
-    context.policies.listed((context.policy_store.held,), version("2.46"))
+    context.policies.handle_list((context.policy_store.held,), version("2.46"))
     assert context.world.state.policy.name == "third"
     PolicyPersistence(context.policies, context.policy_store).rewrite_if_lost()
     assert context.policy_store.written == []
@@ -393,7 +393,7 @@
     context.world = GatewayWorld()
     context.add_cleanup(context.world.close)
     context.policies = PolicySource(context.world.state)
-    context.policies.listed((stored("first", "2.40"),), version("2.50"))
+    context.policies.handle_list((stored("first", "2.40"),), version("2.50"))
 
 
 @then("nothing is written again, whatever the store holds")
