--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -71,7 +71,7 @@
     def handle_list(self, items: tuple[Item, ...], at: StoreVersion) -> None:
         """Handle the whole list, as of a version."""
 
-    def changed(self, change: ItemChange[Item]) -> None:
+    def handle_change(self, change: ItemChange[Item]) -> None:
         """Handle one change."""
 
     def platform_unreachable(self, cause: str) -> None:
@@ -178,7 +178,7 @@
         self._record_answer()
         self._at = answer.at
         for change in answer.changes:
-            self._listener.changed(change)
+            self._listener.handle_change(change)
 
     def _record_answer(self) -> None:
         """Record an answered call."""
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -72,7 +72,7 @@
         """Record a list."""
         self.events.append("listed")
 
-    def changed(self, change: ItemChange[str]) -> None:
+    def handle_change(self, change: ItemChange[str]) -> None:
         """Record a change."""
         self.events.append("changed")
 
@@ -332,7 +332,7 @@
 def versions_arrive(context: Any) -> None:
     """Apply changes with older and newer versions."""
     for version in (5, 9, 8):
-        context.routing.changed(ItemChange(routing_text(version), False))
+        context.routing.handle_change(ItemChange(routing_text(version), False))
 
 
 @then("version 9 is in force")
