--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -83,7 +83,7 @@
         for item in items:
             self._take(item, PLATFORM)
 
-    def changed(self, change: ItemChange[RoutingText]) -> None:
+    def handle_change(self, change: ItemChange[RoutingText]) -> None:
         """Handle a changed document; a removed document stays in force."""
         if not change.removed:
             self._take(change.item, PLATFORM)
