--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -161,7 +161,7 @@
         for item in items:
             self._take(item)
 
-    def changed(self, change: ItemChange[PolicyText]) -> None:
+    def handle_change(self, change: ItemChange[PolicyText]) -> None:
         """Handle a changed policy."""
         if not change.removed:
             self._take(change.item)
