--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -246,7 +246,7 @@
         self._state.outcomes.keep_only(known)
         self._state.cold_gate.keep_only(known)
 
-    def changed(self, change: ItemChange[Upstream]) -> None:
+    def handle_change(self, change: ItemChange[Upstream]) -> None:
         """Handle one change read from the platform."""
         self._apply(
             UpstreamChanged(change.item, change.removed, store_silence_s=self._store_silence_s())
