--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -38,7 +38,7 @@
         )
         self._state.notify_if_configured()
 
-    def changed(self, change: ItemChange[Cordon]) -> None:
+    def handle_change(self, change: ItemChange[Cordon]) -> None:
         """Handle one change read from the platform."""
         changed = self._state.cordons.apply_change(change.item, lifted=change.removed)
         self._handle_change(changed, PLATFORM)
