--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -52,7 +52,7 @@
         if not was_loaded:
             self._state.notify_if_configured()
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is unreachable: {cause}")
 
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -74,7 +74,7 @@
     def handle_change(self, change: ItemChange[Item]) -> None:
         """Handle one change."""
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Handle that calls have begun to fail."""
 
     def platform_reachable(self) -> None:
@@ -193,6 +193,6 @@
         if self._failures == 1:
             log_event(PREFIX_CONFIGURATION, f"A call to the platform failed: {cause}", at=self._at)
         if self._failures == MAX_FAILED_CALLS:
-            self._listener.platform_unreachable(cause)
+            self._listener.handle_platform_unreachable(cause)
         pause_s = min(self._pacing.max_backoff_s(), INITIAL_BACKOFF_S * 2**self._failures)
         self._sleep(pause_s * (0.5 + self._source.random()))
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -97,7 +97,7 @@
             return
         self._take(RoutingText(document, text), PEER)
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's configuration is unreachable: {cause}")
 
@@ -166,7 +166,7 @@
         if not change.removed:
             self._take(change.item)
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's policies are unreachable: {cause}")
 
@@ -281,7 +281,7 @@
         """Apply a change of the cordoned zones to the fleet."""
         self._apply(CordonedZonesChanged(self._state.cordons.zones, changed.lifted))
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer, and tell the fleet and the peers."""
         log_event(PREFIX_ROUTING, f"The platform's list of upstreams is unreachable: {cause}")
         self._apply(PlatformUnreachable())
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -76,7 +76,7 @@
         """Record a change."""
         self.events.append("changed")
 
-    def platform_unreachable(self, cause: str) -> None:
+    def handle_platform_unreachable(self, cause: str) -> None:
         """Record an outage."""
         self.events.append("lost")
 
