--- a/driftstall/gateway/cordon_source.py
+++ b/driftstall/gateway/cordon_source.py
@@ -56,7 +56,7 @@
         """Log that the platform does not answer."""
         log_event(PREFIX_ROUTING, f"The platform's list of cordoned zones is unreachable: {cause}")
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(PREFIX_ROUTING, "The platform's list of cordoned zones is reachable again")
 
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -77,7 +77,7 @@
     def handle_platform_unreachable(self, cause: str) -> None:
         """Handle that calls have begun to fail."""
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Handle that calls are answered again; called before their result is passed on."""
 
 
@@ -183,7 +183,7 @@
     def _record_answer(self) -> None:
         """Record an answered call."""
         if self._failures >= MAX_FAILED_CALLS:
-            self._listener.platform_reachable()
+            self._listener.handle_platform_reachable()
         self._pacing.record_answer(after_failure=self._failures > 0)
         self._failures = 0
 
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -101,7 +101,7 @@
         """Log that the platform doesn't answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's configuration is unreachable: {cause}")
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
             PREFIX_CONFIGURATION,
@@ -170,7 +170,7 @@
         """Log that the platform doesn't answer."""
         log_event(PREFIX_CONFIGURATION, f"The platform's policies are unreachable: {cause}")
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Log that the platform answers again."""
         log_event(
             PREFIX_CONFIGURATION,
@@ -287,7 +287,7 @@
         self._apply(PlatformUnreachable())
         self._announce()
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Log that the platform answers again, and tell the fleet and the peers."""
         log_event(PREFIX_ROUTING, "The platform's list of upstreams is reachable again")
         self._apply(PlatformReachable())
--- a/features/steps/gateway_feed_steps.py
+++ b/features/steps/gateway_feed_steps.py
@@ -80,7 +80,7 @@
         """Record an outage."""
         self.events.append("lost")
 
-    def platform_reachable(self) -> None:
+    def handle_platform_reachable(self) -> None:
         """Record an outage's end."""
         self.events.append("back")
 
