--- a/driftstall/decisions/cold_starts.py
+++ b/driftstall/decisions/cold_starts.py
@@ -1,16 +1,17 @@
 """Limit the requests sent to a cold upstream.
 
-For some seconds after its start, or after its zone was empty for a while, an upstream bears only a
-given rate of requests and fails well above it. It is also the emptiest one, so all instances
-choose it at the same moment, most of all where a whole zone comes back under a burst. It may turn
-cold at any moment, and the platform reports it a second or two later.
-
-Each instance has an even part of the rate, regardless of which instances it hears from: so the
-total holds while instances are cut off from each other. In a large fleet a part is far below one
-request a second. Credit that accumulates while nothing is sent would let all instances send at
-once; so a part is an occasional slot, at a random phase, that lapses unless it is used within a
-moment. Instances that place streams for a whole zone share half of the rate in even parts by zone;
-the other instances share the other half.
+For some seconds after its start, or after its zone was empty for a while, an upstream can serve
+only a limited rate of requests and fails well above this rate. A cold upstream is also the
+emptiest one, so all instances choose it at the same moment, most of all when a whole zone comes
+back during a burst. An upstream may turn cold at any moment, and the platform reports this a
+second or two later.
+
+Each instance has an equal share of the rate, regardless of which instances it hears from, so that
+the total holds during a network partition. In a large fleet a share is far below one request a
+second. Credit that accumulates while nothing is sent would let all instances send at once.
+Therefore a share is an occasional slot, at a random phase, that lapses unless it is used within
+SLOT_S. Placers, which place streams for a whole zone, share half of the rate equally by zone; the
+other instances share the other half.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 from typing import Final
 
 SLOT_S: Final = 0.3
-"""How long a slot may be used. The slots of 1.3 s can fall into one second, so this costs a third
-of the rate."""
+"""How long a slot may be used. The slots of 1.3 s can be used within one second, which costs a
+third of the rate."""
 INSTANCES_SHARE: Final = 0.8
-"""Part of the rate that instances use where no placer places for them; the remainder covers
+"""Part of the rate that instances use if no placer places streams for them; the remainder covers
 requests that were sent before the upstream was known to be cold, and streams that can resume
 nowhere else."""
 PLACERS_SHARE: Final = 0.4
 """Part of the rate that the placers of zones use; instances that can't ask a placer have the same
 part."""
 ASSUMED_COLD_S: Final = 2.5
-"""How long an upstream that may be cold is assumed to be so without having reported it: its report
-comes with its heartbeat (1.2 s) and the platform's delay (0.8 s), and a hop between instances."""
+"""How long an upstream that may be cold is assumed to be cold before it has reported so. Its report
+takes a heartbeat (1.2 s), the platform's delay (0.8 s) and a hop between instances."""
 QUIET_START_S: Final = 1.5
 """How long a new instance sends nothing to cold upstreams: it does not know yet how many instances
 share the rate. Peers answer within half a second, collectors within one."""
@@ -39,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdPart:
-    """Describe how often one sharer may send to a cold upstream."""
+    """Describe how often one instance or placer may send to a cold upstream."""
 
     per_s: float
     """Requests a second; zero for none at all."""
 
     @classmethod
     def of_instance(cls, rate: float, instances: int, *, placed: bool) -> ColdPart:
-        """Return an instance's part; placed tells whether placers place for zones."""
+        """Return an instance's part; `placed` is True if placers place streams for zones."""
         share = PLACERS_SHARE if placed else INSTANCES_SHARE
         return cls(share * rate / max(1, instances))
 
@@ -89,7 +90,7 @@
 
 
 class ColdSlots:
-    """Hold one sharer's slots for cold upstreams."""
+    """Hold the slots of one instance or placer for cold upstreams."""
 
     def __init__(self, source: random.Random) -> None:
         """Initialize with a random source for the phases."""
@@ -103,7 +104,7 @@
         period_s = 1 / part.per_s
         next_at = self._next_at.get(upstream_id)
         if next_at is None or now - next_at > period_s:
-            # Unused slots are lost; so are those of a time when the upstream was not cold.
+            # Slots that were not used, or passed while the upstream was not cold, are lost.
             next_at = now + period_s * self._source.random()
         elif now - next_at > SLOT_S:
             next_at += period_s
--- a/driftstall/decisions/fairness.py
+++ b/driftstall/decisions/fairness.py
@@ -77,7 +77,7 @@
         return queue.cost if queue else 0.0
 
     def push(self, item: WaitingRequest) -> None:
-        """Add a request; within a workspace the one asked first goes first."""
+        """Add a request; within a workspace the earliest request goes first."""
         queue = self._queues.get(item.request.workspace)
         if queue is None:
             queue = self._queues[item.request.workspace] = _WorkspaceQueue(
--- a/driftstall/decisions/isolation.py
+++ b/driftstall/decisions/isolation.py
@@ -23,13 +23,14 @@
 MAX_GROW_WAIT_S: Final = 12.0
 GROW_SPACING_S: Final = 2.0
 MAX_SET_SHARE: Final = 0.6
-"""Share of the runners that the set takes before a long prompt has waited very long."""
+"""Maximum share of the runners in the set until a long prompt has waited EXTENSION_WAIT_SHARE of
+its allowed wait."""
 EXTENSION_WAIT_SHARE: Final = 0.5
-"""Share of the allowed wait after which the set takes more than SET_SHARE."""
+"""Share of the allowed wait after which the set may exceed MAX_SET_SHARE."""
 MIN_WEIGHT_RATIO: Final = 0.5
 """Ratio of the weight of the token gap to that of the stall below which there is no set."""
 MAX_SHRUNK_FILL: Final = 0.75
-"""The set shrinks when the smaller one would be filled no more than this."""
+"""The set shrinks when long prompts would fill at most this share of the smaller set's memory."""
 SHRINK_AFTER_S: Final = 3.0
 
 
@@ -39,6 +40,7 @@
 
     runner_id: str
     memory: int
+    """Memory of the engine, in tokens."""
     fill: float
     """Forecast share of memory in use, from 0 to 1."""
     long_prompt_tokens: float
@@ -106,7 +108,10 @@
         return True
 
     def _shrink(self, loads: list[RunnerLoad], now: float) -> None:
-        """Remove the runner with the fewest long prompts once one fewer has long sufficed."""
+        """Remove the runner with the fewest long-prompt tokens after a lasting surplus.
+
+        There is a surplus if the remaining runners can hold the long prompts.
+        """
         inside = [load for load in loads if load.runner_id in self._members]
         if len(inside) < 2:
             return
--- a/driftstall/decisions/leaving_signals.py
+++ b/driftstall/decisions/leaving_signals.py
@@ -2,9 +2,9 @@
 
 The notice of an upstream stands in the store, which may be silent or behind, while the upstream
 itself states with each response that it is leaving. Such a signal is final for one start of an
-upstream: no entry, list, peer or response without the signal revokes it. Each instance gets it
-from the upstream or from a peer, with its age, so that the time to drain runs from the first
-response regardless of which instance received it.
+upstream: no entry, list, peer or response without the signal revokes it. Each instance receives
+the signal from the upstream or from a peer, with its age, so that the time to drain runs from the
+first response regardless of which instance received it.
 """
 
 from __future__ import annotations
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -21,7 +21,7 @@
     """Whether the memory held grows with each token."""
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
-        """Return the probability that the output outlives ahead more tokens."""
+        """Return the probability that the output grows by more than `ahead` tokens."""
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
         """Return the probability that the output still runs at each horizon."""
@@ -66,7 +66,7 @@
         return found
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
-        """Return the probability that the output outlives ahead more tokens."""
+        """Return the probability that the output grows by more than `ahead` tokens."""
         return self._class_of(request).survival_probability(produced, ahead, request.max_tokens)
 
     def survival_probabilities(self, request: Request, produced: int) -> tuple[float, ...]:
--- a/driftstall/decisions/limits.py
+++ b/driftstall/decisions/limits.py
@@ -16,6 +16,7 @@
     rate: float
     """Tokens a second."""
     level: float
+    """Tokens available at the time `at`."""
     at: float
 
     @classmethod
--- a/driftstall/decisions/locate.py
+++ b/driftstall/decisions/locate.py
@@ -1,4 +1,4 @@
-"""Rank instances by rendezvous hashing, those of the zone first."""
+"""Rank instances by rendezvous hashing; instances of the preferred zone come first."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def owner_of(key: str, instances: Iterable[Instance], zone: str = "") -> Instance | None:
-    """Return the instance that ranks first for a key, from the zone if it has one."""
+    """Return the first-ranked instance for a key, of the zone if it has any; None without one."""
     live = [instance for instance in instances if not instance.leaving]
     if not live:
         return None
--- a/driftstall/decisions/permits.py
+++ b/driftstall/decisions/permits.py
@@ -1,11 +1,11 @@
 """Space the requests sent to an upstream with a rate limit by permits from one owner.
 
-Some requests a second, or fewer than one, are shared by a fleet of hundreds of instances, each of
-which sees hardly a request a second. An upstream that is sent little looks the emptiest, so all
-instances would choose it; even shares would leave most of the limit unused. So one instance gives
-the permits for each such upstream: rendezvous hashing over the member list selects this owner, and
-it is asked before each send. It spaces permits evenly; a permit that is not used within a moment
-lapses.
+A limit of some requests a second, or of less than one, is shared by a fleet of hundreds of
+instances, each of which sees hardly a request a second. An upstream that is sent few requests
+looks the emptiest, so all instances would choose it; equal shares would leave most of the limit
+unused. So one instance gives the permits for each such upstream: rendezvous hashing over the
+member list selects this owner, and it is asked before each send. It spaces permits evenly; a
+permit that is not used within PERMIT_LAPSE_S lapses.
 
 The total holds while instances disagree on the live members: an instance that has just become the
 owner gives no permits for a while in which the others learn of it, nor does one that was paused,
@@ -24,12 +24,12 @@
 from typing import Final
 
 BURST_PERMITS: Final = 2.0
-"""Permits that accumulate while none is asked for. Within any time t an upstream gets at most its
-limit times t plus three more (and what streams under way take ahead): a limit of 0.5 a second can
-so be used by requests that come in pairs."""
+"""Permits that accumulate while none is requested. Within any time t an upstream gets at most its
+limit times t plus three more requests (and those of streams under way that are sent ahead of
+time). So a limit of 0.5 a second can be used by requests that come in pairs."""
 MIN_RATE_PER_S: Final = 0.1
-"""Rate for an upstream that accepts nothing, or less than this: only a response tells that its
-limit has ended. One request in ten seconds."""
+"""Rate for an upstream whose limit is zero or lower than this: one request in ten seconds. Only a
+response shows that a limit has ended, so some requests must be sent."""
 SETTLE_S: Final = 1.0
 """How long a new owner gives no permits: all instances know the same members within half a second,
 and permits given by the previous owner have lapsed by then."""
@@ -40,11 +40,11 @@
 """Permits that streams under way, and calls that are not held back, may take ahead of time. They
 are deducted from later ones, so over any longer time the total stays the same."""
 ASKS_PER_PERMIT: Final = 2.0
-"""Times that denied instances are told to ask, for each permit: not every instance still has a
-request to send when its time has come."""
+"""Retry times assigned to denied instances for each permit. Not every instance still has a request
+to send when its retry time has come."""
 MAX_DENIAL_S: Final = 2.0
-"""The longest time that a denied instance is told to wait; in fleets of hundreds the owner is
-asked as often as there are instances within this time."""
+"""Maximum wait of a denied instance before it asks again. In fleets of hundreds the owner is then
+asked about once by each instance within this time."""
 NOT_OWNER_RETRY_S: Final = 0.3
 """When to ask again an instance that is not the owner: the member lists differ."""
 LOW_RANK_WAIT_SHARE: Final = 0.5
@@ -52,7 +52,7 @@
 MAX_URGENT_IN_A_ROW: Final = 2
 """More urgent requests that get permits before a less urgent one may wait for its full time."""
 URGENT_MEMORY_S: Final = 2.0
-"""How long a permit request counts as a sign that more urgent requests are coming."""
+"""How long after a permit for an urgent request more such requests are expected."""
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 5.0
 """Retry times for callers lie between these; most callers give up before a longer one."""
@@ -98,7 +98,7 @@
         """When the next permit is due; in the past where some have accumulated."""
         self._settles_at = now + SETTLE_S
         self._next_ask_at = now
-        """When the next denied instance is told to ask again."""
+        """When the next denied instance may ask again."""
         self._rank = 0
         self._rank_until = float("-inf")
         self._urgent_in_a_row = 0
@@ -194,9 +194,9 @@
 
 
 def scaled_limit(per_s: float, known_now: int, known_lately: int) -> float:
-    """Return a limit scaled by the share of lately known instances that are heard from.
+    """Return a limit scaled by the share of recently known instances that are still known.
 
-    So both sides of a network partition stay below the limit together.
+    This keeps the two sides of a network partition below the limit in total.
     """
     return per_s * min(1.0, known_now / max(1, known_lately))
 
@@ -232,8 +232,8 @@
     def next_s(self, service: str, first_s: float, per_s: float, now: float) -> float:
         """Return the seconds after which the next caller is to retry.
 
-        First is when this instance may ask again at the earliest, per_s its even share of what the
-        service's upstreams accept.
+        `first_s`: seconds until this instance may ask again at the earliest. `per_s`: its equal
+        share of the requests a second that the service's upstreams accept.
         """
         at = max(self._scheduled_until.get(service, now), now + first_s)
         self._scheduled_until[service] = min(at + 1 / max(MIN_RATE_PER_S, per_s), now + MAX_RETRY_S)
--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -1,10 +1,10 @@
 """Select the instance that places streams for a large fleet, and track its placements.
 
 In a large fleet each instance sees hardly a request a second, and the summed loads are half a
-second old when they arrive. Prompts that several instances place meanwhile land unseen on the same
-engine and are read one after another; with one placer for each zone they still collide on an
-engine that has just joined. So one instance places all streams, in order; it is asked, and asks no
-other.
+second old when they arrive. Prompts that several instances place meanwhile land on the same engine
+without the instances knowing, and are prefilled one after another; with one placer for each zone
+they still collide on an engine that has just joined. So one instance, the placer, places all
+streams in order. The other instances ask it, and it asks no other instance.
 
 Any instance places by itself where no placer answers in time. A silent placer is excluded for a
 while.
@@ -31,8 +31,8 @@
 """How long a placement counts without a report that confirms it: the longest time between two
 reports."""
 REPORT_DELAY_S: Final = 0.01
-"""Time that a placement and a report take on their ways; a report does not show later placements.
-"""
+"""Network delay of a placement and of a report; a report does not show placements made within this
+time before its arrival."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
         """Exclude a placer that gave no answer in time; longer if it has just been excluded."""
         before = self._exclusions.get(placer)
         if before is not None and now < before.until:
-            # Another of several questions that were under way at the same time.
+            # This is one of several queries that were under way at the same time.
             return
         for_s = EXCLUSION_S
         if before is not None and now - before.until <= before.for_s:
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -10,8 +10,8 @@
   for some seconds after it: of many requests that are alike, some have always just succeeded.
 - A poison request crashes upstreams when it starts. A crash of a run that had been under way for a
   while counts half.
-- A poison request is present at each crash. A crash that is explained by a request with a higher
-  weight is not attributed to any other request.
+- A poison request is running at each crash that it causes. A crash that is explained by a request
+  with a higher weight is not attributed to any other request.
 
 Two crashes of runs that had just started quarantine a request: waiting for a third would cost one
 more upstream with all that it runs, while a wrong quarantine refuses one request for half a
@@ -113,7 +113,7 @@
 
     @property
     def is_poison(self) -> bool:
-        """Return True if the crashes are attributed to it, also once it may be tried again."""
+        """Return True if crashes are attributed to the request, even if it may be tried again."""
         return self.weight >= QUARANTINE_WEIGHT
 
 
@@ -127,7 +127,7 @@
 
     @property
     def counted(self) -> list[Crash]:
-        """Return the crashes that no success clears the request of."""
+        """Return the crashes of which no success has cleared the request."""
         return [crash for crash in self.crashes if crash.at > self.succeeded_at + SUCCESS_GRACE_S]
 
     @property
@@ -232,12 +232,14 @@
             record = self._records.get(report.fingerprint)
             if record is None or not report.crashes:
                 continue
-            well_ago_s = now - record.succeeded_at
-            theirs_s = float("inf") if report.well_ago_ms is None else report.well_ago_ms / 1000
-            newest_s = min(crash.ago_ms for crash in report.crashes) / 1000
+            success_age_s = now - record.succeeded_at
+            peer_success_age_s = (
+                float("inf") if report.well_ago_ms is None else report.well_ago_ms / 1000
+            )
+            newest_crash_age_s = min(crash.ago_ms for crash in report.crashes) / 1000
             # A success also clears crashes up to SUCCESS_GRACE_S after it.
-            clears = newest_s > well_ago_s - SUCCESS_GRACE_S
-            if clears and theirs_s - well_ago_s > MIN_SUCCESS_ADVANCE_S:
+            clears = newest_crash_age_s > success_age_s - SUCCESS_GRACE_S
+            if clears and peer_success_age_s - success_age_s > MIN_SUCCESS_ADVANCE_S:
                 found.append(_build_report(report.fingerprint, record, now))
         return tuple(found)
 
--- a/driftstall/decisions/rate_limits.py
+++ b/driftstall/decisions/rate_limits.py
@@ -1,15 +1,15 @@
 """Track the rate limits that upstreams state: requests a second, from all instances together.
 
-An overloaded upstream states its limit with each response, for as long as it needs one. One
-response reaches one instance, but the limit is the fleet's: so each change is published to all
+An overloaded upstream states its limit with each response, for as long as it needs one. A response
+reaches one instance, but the limit applies to the whole fleet, so each change is published to all
 instances, in an order on which all agree. Responses may overtake each other. A stricter limit
-takes effect at once. A looser one, or its end, takes effect only with a response to a request that
-was sent after the limit was known: a response that was under way when the limit was stated carries
-no newer information.
+takes effect at once. A looser limit, or the end of the limit, takes effect only with a response to
+a request that was sent after the limit was known: a response that was under way when the limit was
+stated carries no newer information.
 
 Silence does not end a limit, as an upstream that is sent nothing states nothing. A limit is
-forgotten with its upstream; a later start, and a process that takes over the address, are other
-upstreams.
+forgotten with its upstream; a later start of the process, and another process that takes over the
+address, count as different upstreams.
 """
 
 from __future__ import annotations
--- a/driftstall/decisions/replica_limits.py
+++ b/driftstall/decisions/replica_limits.py
@@ -1,7 +1,7 @@
 """Limit the share of an engine's memory that replicas of runs elsewhere may take.
 
 A replica saves its run when the run's engine leaves with a short notice, or with none. It takes as
-much memory as the run. While engines are half empty it costs nothing; where runs fill them, each
+much memory as the run. While engines are half empty this costs nothing; where runs fill them, each
 replica keeps a prompt waiting or preempts a run, whose prompt is then prefilled once more, and the
 waiting requests lose more than replicas save.
 
--- a/driftstall/decisions/retry_schedule.py
+++ b/driftstall/decisions/retry_schedule.py
@@ -16,7 +16,7 @@
 JITTER: Final = 0.1
 """Share of the time that is added at random, so that callers do not return at once."""
 RESERVATION_GRACE_S: Final = 5.0
-"""Seconds for which a reservation is kept past its time."""
+"""Seconds after its retry time for which a reservation is still held."""
 RATE_HALF_LIFE_S: Final = 20.0
 MIN_TOKENS_PER_S: Final = 50.0
 """Minimum rate that is assumed, in granted tokens a second."""
--- a/driftstall/decisions/routing.py
+++ b/driftstall/decisions/routing.py
@@ -29,6 +29,7 @@
     fill: float
     """Forecast share of memory in use, from 0 to 1."""
     remote: bool
+    """Whether it is in another availability zone."""
     long_prefills: bool
     """Whether it accepts long prefills, which pause its other streams."""
 
@@ -47,7 +48,7 @@
 ) -> Choice | None:
     """Return the runner with the lowest cost under the policy's weights.
 
-    output: the expected tokens of the response, for which it shares its engine.
+    output: the expected length of the response in tokens.
     """
     best: Choice | None = None
     for view in views:
--- a/driftstall/decisions/sends.py
+++ b/driftstall/decisions/sends.py
@@ -18,11 +18,11 @@
 from driftstall.core import Ran
 
 BACKUP_READY_AFTER_S: Final = 0.5
-"""Time for which a run must have produced events before its backup is assumed to exist. Of broken
-streams that reached the backup's engine, it was there for none of 58 without an event, none of 11
-within 0.3 s of the first event, 3 of 5 within 0.5 s, 8 of 9 within 1 s and all of 62 later
-(engines of two sites that crashed or spoiled answers). The remaining case, 1 of 71 missing, is
-left to the engine's refusal."""
+"""Time for which a run must have produced events before its backup is assumed to exist. Among
+broken streams that reached the backup's engine, the backup existed for none of 58 without an event,
+none of 11 within 0.3 s of the first event, 3 of 5 within 0.5 s, 8 of 9 within 1 s and all of 62
+later (engines of two sites that crashed or spoiled answers). After this time 1 of 71 backups was
+missing; the engine's refusal covers this case."""
 
 
 class SendOutcome(StrEnum):
@@ -50,9 +50,9 @@
     """Describe one send of a request."""
 
     upstream_id: str
-    fate: SendOutcome
+    outcome: SendOutcome
     copy_of: str
-    """The replica at which it resumes; empty where it starts a run of its own."""
+    """The replica at which the request resumes; empty if the send starts a new run."""
 
 
 @dataclass(slots=True)
@@ -72,19 +72,19 @@
     @property
     def has_arrived(self) -> bool:
         """Return True if the request may have reached any upstream."""
-        return any(send.fate is not SendOutcome.UNSENT for send in self._sends)
+        return any(send.outcome is not SendOutcome.UNSENT for send in self._sends)
 
     @property
     def runs(self) -> int:
         """Return how many runs may have started; resuming at a replica starts none."""
         return sum(
-            send.fate is SendOutcome.MAY_HAVE_RUN and not send.copy_of for send in self._sends
+            send.outcome is SendOutcome.MAY_HAVE_RUN and not send.copy_of for send in self._sends
         )
 
     @property
     def ran(self) -> Ran:
-        """Return whether the request may have run, for the answer when it is given up."""
-        may_have_run = any(send.fate is SendOutcome.MAY_HAVE_RUN for send in self._sends)
+        """Return whether the request may have run, as stated in the problem of a failed request."""
+        may_have_run = any(send.outcome is SendOutcome.MAY_HAVE_RUN for send in self._sends)
         return Ran.UNKNOWN if may_have_run else Ran.NOT_RUN
 
     @property
@@ -101,19 +101,20 @@
     def has_run_at(self) -> frozenset[str]:
         """Return the upstreams at which the request may have run."""
         return frozenset(
-            send.upstream_id for send in self._sends if send.fate is SendOutcome.MAY_HAVE_RUN
+            send.upstream_id for send in self._sends if send.outcome is SendOutcome.MAY_HAVE_RUN
         )
 
     def can_resume(
-        self, kind: ReplicaKind, upstream_id: str, copy_of: str, making_s: float | None
+        self, kind: ReplicaKind, upstream_id: str, copy_of: str, producing_s: float | None
     ) -> bool:
         """Return True if the request may be sent to an upstream to resume at a replica there.
 
-        making_s is the time in seconds for which its run has produced events at the previous
+        `producing_s` is the time in seconds for which its run has produced events at the previous
         engine, or None if it has produced none there.
         """
         if any(
-            send.copy_of == copy_of and send.fate is not SendOutcome.UNSENT for send in self._sends
+            send.copy_of == copy_of and send.outcome is not SendOutcome.UNSENT
+            for send in self._sends
         ):
             # A replica serves once: it was used, or the engine has stated that it has none.
             return False
@@ -126,13 +127,13 @@
         # before may mistake the remains of that run for the backup, and run it again.
         if upstream_id in self.has_run_at:
             return False
-        return making_s is not None and making_s >= BACKUP_READY_AFTER_S
+        return producing_s is not None and producing_s >= BACKUP_READY_AFTER_S
 
     def begin(self, upstream_id: str, copy_of: str = "") -> None:
         """Record that the request is being sent; until its outcome is known it may have run."""
         self._sends.append(Send(upstream_id, SendOutcome.MAY_HAVE_RUN, copy_of))
 
-    def end(self, fate: SendOutcome) -> None:
+    def end(self, outcome: SendOutcome) -> None:
         """Record the outcome of the latest send."""
         latest = self._sends.pop()
-        self._sends.append(Send(latest.upstream_id, fate, latest.copy_of))
+        self._sends.append(Send(latest.upstream_id, outcome, latest.copy_of))
--- a/driftstall/decisions/store_versions.py
+++ b/driftstall/decisions/store_versions.py
@@ -1,9 +1,9 @@
 """Order the versions of the platform's store, also after it was restored from an older copy.
 
-In a drill the store is away for a moment and comes back with the content that it held some seconds
-before. Revisions then fall and are given out again, so a revision alone orders nothing. The store
-states its era, which rises with each restore, in every response. A version combines both, and they
-are compared together.
+In a drill the store is down for a moment and comes back with the content that it held some seconds
+before. Revisions then fall and are given out again, so revisions alone do not order changes. The
+store states its era, which rises with each restore, in every response. A version combines era and
+revision, and versions are compared by both.
 
 For a moment after its return the store lacks some entries. Operators and upstreams write theirs
 again; until then a missing entry does not mean that its object was removed, and a listed one may
@@ -21,9 +21,9 @@
 their entries again within about two seconds."""
 
 REMOVED_RETENTION_S: Final = 8.0
-"""How long an upstream that had left is not used again though the restored copy lists it. The
-entry of an ended upstream is removed after three heartbeats of silence, 3.6 s at the users' site;
-an upstream that is still listed then is live."""
+"""How long a removed upstream is not used again even if the restored copy lists it. The entry of a
+terminated upstream is removed after three heartbeats of silence, 3.6 s at the users' site; an
+upstream that is still listed after this time is live."""
 
 
 class StoreVersion(int):
--- a/driftstall/decisions/upstream_backoff.py
+++ b/driftstall/decisions/upstream_backoff.py
@@ -59,8 +59,8 @@
     def next_s(self, service: str, first_s: float, per_s: float, now: float) -> float:
         """Return the seconds after which the next caller is to retry.
 
-        First is when an upstream accepts requests again, per_s how many requests a second of this
-        instance it is assumed to serve.
+        `first_s`: seconds until an upstream accepts requests again. `per_s`: requests a second of
+        this instance that the upstream is assumed to serve.
         """
         first_at = now + first_s
         at = self._last_at.get(service, float("-inf")) + 1.0 / per_s
--- a/driftstall/decisions/upstream_probes.py
+++ b/driftstall/decisions/upstream_probes.py
@@ -27,7 +27,7 @@
 less the half second after which an engine reports it, and a hop to the other instances."""
 SUSPICION_S: Final = 4.0
 """How long a bad probe result holds. The platform's list has caught up by then: an upstream that
-is missing from it 2.2 s after the store's return has left, and the return is known within a
+is missing from it 2.2 s after the store's return has terminated, and the return is known within a
 second."""
 REPUBLISH_INTERVAL_S: Final = 1.5
 """Pause after which a bad result that still holds is published again, as a message may be lost."""
@@ -37,9 +37,9 @@
     """State that an engine reports when it is probed."""
 
     SERVING = "stays"
-    """It serves on; also if it is to end some time but has not been told when."""
+    """It serves requests; also if it will be terminated but does not know when yet."""
     LEAVING = "leaves"
-    """It has been told when it ends, which is soon."""
+    """It knows when it will be terminated, which is soon."""
     TERMINATED = "gone"
     """It refuses connections: its process has ended."""
     UNKNOWN = "none"
--- a/driftstall/decisions/watch_timeouts.py
+++ b/driftstall/decisions/watch_timeouts.py
@@ -1,9 +1,9 @@
 """Bound the time for which a watch on the platform may wait for a change.
 
 An open connection may pass on nothing any more without being reset: a middlebox has forgotten it,
-a network partition has swallowed what was under way, or the other end has lost its state. New
-connections work. An instance that waits on such a connection can't tell this from "nothing has
-changed". Where it affects all instances at once, no peer knows better.
+a network partition has dropped the packets under way, or the other end has lost its state. New
+connections work. An instance that waits on such a connection can't distinguish this from "nothing
+has changed". Where this affects all instances at once, no peer has newer information.
 
 So silence counts as an answer only for a bounded time: a watch is given up early enough to be
 repeated on another connection, and answered, before an instance must have caught up after a
--- a/driftstall/decisions/yielding.py
+++ b/driftstall/decisions/yielding.py
@@ -11,7 +11,7 @@
 MAX_YIELDS: Final = 2
 """Maximum number of times that a generation yields."""
 NEARLY_DONE_TOKENS: Final = 64
-"""A generation with at most this many expected tokens left does not yield."""
+"""A generation with at most this many expected tokens remaining does not yield."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,12 @@
 
 
 def choose_victim(candidates: Iterable[Candidate], worse_than: int) -> Candidate | None:
-    """Return the generation of the lowest rank that loses least per token freed."""
+    """Return the running generation that should yield, or None if none may.
+
+    Only generations of a less urgent rank (a higher number) than `worse_than` are considered. The
+    least urgent rank goes first, then the fewest yields so far, then the fewest lost tokens per
+    token freed.
+    """
     allowed = [
         candidate
         for candidate in candidates
