--- a/driftstall/cli/explain.py
+++ b/driftstall/cli/explain.py
@@ -16,7 +16,7 @@
 UPSTREAM_FIELDS: Final = ("upstream", "source", "left")
 """Log fields that name an upstream to which the request was sent."""
 CRASH: Final = "crash"
-"""Contained in the message of each log line about an upstream that terminated under requests."""
+"""Word in the message of each log line about an upstream that terminated while it ran requests."""
 CONTEXT_S: Final = 0.5
 """Lines about the request's upstreams are shown from this long before its first line to this long
 after its last one."""
--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -1,4 +1,4 @@
-"""Keep the configuration up to date from the platform, from peers and by operators' submissions."""
+"""Update the configuration from the platform, from peers and from operators' submissions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 GOSSIP_PERIOD_S: Final = 1.0
 MAX_PUBLISH_PEERS: Final = 16
 RESTORING_INSTANCES: Final = 3
-"""Instances that restore a configuration lost by the store; one would be enough."""
+"""Instances that try to restore a configuration lost by the store; one that succeeds is enough."""
 MAX_RESTORE_DELAY_S: Final = 0.5
 """Maximum random delay before restoring, so that later instances find it already written."""
 MAX_SETTLE_ATTEMPTS: Final = 4
--- a/driftstall/daemon/grant_client.py
+++ b/driftstall/daemon/grant_client.py
@@ -34,7 +34,8 @@
 ASK_RESEND_S: Final = 1.0
 """Interval at which a pending Ask is resent; owners handle it idempotently."""
 PROGRESS_INSTANCES: Final = 16
-"""Fleet size above which progress is reported less often than each period."""
+"""Fleet size up to which progress is reported every PROGRESS_PERIOD_S; above it the interval grows
+in proportion to the size."""
 KEEPALIVE_S: Final = 5.0
 """Interval at which open grants are reported even without progress."""
 GrantResult = Granted | Refused
@@ -203,8 +204,7 @@
         """Report the progress of open generations to their owners, in one batch per owner."""
         period_factor = len(self._members.live) / PROGRESS_INSTANCES
         if self._hub.now() - self._progress_at < PROGRESS_PERIOD_S * (period_factor - 1):
-            # Each entry reports to every owner, so the number of messages per period grows with
-            # the square of the fleet's size. The period therefore grows with the fleet.
+            # Each entry reports to every owner, so a large fleet reports less often.
             return
         self._progress_at = self._hub.now()
         batches: dict[str, list[Progress]] = {}
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -44,7 +44,7 @@
 
 
 class GrantsService:
-    """Deliver messages, time and reports to the controllers of owned groups."""
+    """Pass messages, timer ticks and runners' reports to the controllers of owned groups."""
 
     def __init__(
         self,
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -28,7 +28,8 @@
 PROTOCOL_PERIOD_S: Final = 0.1
 LIST_READ_PERIOD_S: Final = 1.0
 MAX_ALL_READERS: Final = 16
-"""Fleet size up to which all instances read the platform's list; above, LIST_READERS of them do."""
+"""Fleet size up to which all instances read the platform's list; in a larger one LIST_READERS do.
+"""
 LIST_READERS: Final = 3
 LIST_KEY: Final = "list"
 ROLE_ENTRY: Final = "entry"
--- a/driftstall/daemon/placement_service.py
+++ b/driftstall/daemon/placement_service.py
@@ -1,4 +1,4 @@
-"""Run the placement controller: hold the placer's lease and order engines to load models."""
+"""Run the placement controller: hold the placer's lease and instruct engines to load models."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class PlacementService:
-    """Order engines to load the configured models while this instance holds the lease."""
+    """Instruct engines to load the configured models while this instance holds the lease."""
 
     def __init__(self, hub: Hub, members: MembershipService, fleet: FleetService) -> None:
         """Initialize without the lease."""
@@ -49,7 +49,7 @@
         self._hub.run_periodically(PLACEMENT_PERIOD_S, self._run_period, PREFIX_PLACEMENT)
 
     def _run_period(self) -> None:
-        """Renew the lease, and order engines to load models that differ from the configuration."""
+        """Renew the lease, and instruct engines to load the configured model if theirs differs."""
         first = owner_of("placement", self._members.live)
         is_first = first is not None and first.instance_id == self._hub.own.instance_id
         if not is_first and not self._controller.has_lease(self._hub.now()):
--- a/driftstall/platform/__main__.py
+++ b/driftstall/platform/__main__.py
@@ -4,7 +4,7 @@
   python3 -m driftstall.platform
 
 The standard library is not monkey-patched: all blocking calls here are gevent's own. Patching would
-make the start take half as long again, during which callers are not served after a kill.
+lengthen the start by half, and after a kill callers are not served until the start has finished.
 """
 
 from __future__ import annotations
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -79,7 +79,7 @@
     return MoveFailed(
         no_such_run=exchange.status == HTTPStatus.NOT_FOUND,
         may_have_stopped=exchange.status not in NOT_STOPPED_STATUSES,
-        # Only this answer means that the run was stopped and its KV cache kept.
+        # Only this answer means that the run is stopped and its KV cache still held.
         copy_of=copy_of if last and exchange.status == HTTPStatus.SERVICE_UNAVAILABLE else "",
         detail=f"the engine answered {exchange.status}",
         target_refused=exchange.status == HTTPStatus.SERVICE_UNAVAILABLE,
--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -28,7 +28,7 @@
 class KindFeed(Generic[Item]):
     """List and watch the objects of one kind.
 
-    An object that cannot be decoded is logged, and what was known of it before is not kept.
+    An object that cannot be decoded is logged, and is never returned as an item.
     """
 
     def __init__(
@@ -44,9 +44,9 @@
         """Initialize the feed of a kind.
 
         With `name`, objects of other names are ignored. `decode_removed` decodes removed objects,
-        which may come without their content. It also decodes an object that has changed into one
-        that cannot be decoded: it counts as removed, since what was known of it no longer holds.
-        Without `decode_removed` such an object is left out.
+        which may come without their content. It is also applied to an object whose changed content
+        cannot be decoded: the object counts as removed, since its earlier value no longer holds.
+        Without `decode_removed` such changes are omitted.
         With `stale`, lists may be some seconds old, at a tenth of the cost; a watch that starts
         from such a list misses no change.
         """
@@ -198,7 +198,7 @@
 
 
 def _routing_text(stored: StoredObject) -> RoutingText:
-    """Decode a routing configuration; its text is kept to be sent to other instances."""
+    """Decode a routing configuration, with its text, which is sent to other instances."""
     document = documents.read_routing(stored.spec, lambda: gevent.sleep(0))
     return RoutingText(document, orjson.dumps(stored.spec).decode())
 
--- a/driftstall/platform/names.py
+++ b/driftstall/platform/names.py
@@ -86,8 +86,8 @@
 """Headers that only the system may set; they are removed from callers' requests."""
 
 HEADER_ERA: Final = "store-era"
-"""Era of the store, in all its answers; it rises each time that the store was restored from an
-older copy."""
+"""Era of the store, in all its answers; it rises each time the store is restored from an older
+copy."""
 
 PATH_READY: Final = "/api/ready"
 PATH_LOCATE: Final = "/api/resolve"
--- a/driftstall/runners/engine.py
+++ b/driftstall/runners/engine.py
@@ -72,7 +72,8 @@
     def __init__(self, status: int, signals: tuple[Signal, ...] = ()) -> None:
         """Record whether the request may have run, and whether the generation is unknown.
 
-        A rejection means that it did not run; an error of the runner itself means nothing.
+        A rejection (a client error or 503) means that the request did not run. After an error of
+        the runner itself it may have run.
         """
         refused = status in CLIENT_ERRORS or status == HTTPStatus.SERVICE_UNAVAILABLE
         super().__init__(f"the runner answered {status}", sent=not refused)
