--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -40,7 +40,7 @@
     copy_of: str
     """Name of the memory that the source kept; empty if the run continues there."""
     detail: str
-    target_refused: bool = False
+    target_rejected: bool = False
     """Whether the target refused the replica: it has no room, or is about to leave."""
 
 
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -163,7 +163,7 @@
         seconds = self._state.now() - started
         failed = isinstance(result, MoveFailed)
         self._state.stats.moves_failed += failed
-        if isinstance(result, MoveFailed) and result.target_refused:
+        if isinstance(result, MoveFailed) and result.target_rejected:
             self._state.on_upstream_suspected(target)
         outcome = result.detail if isinstance(result, MoveFailed) else "done"
         step = "moved" if last else "copied"
--- a/driftstall/platform/engine_calls.py
+++ b/driftstall/platform/engine_calls.py
@@ -82,7 +82,7 @@
         # Only this answer means that the run is stopped and its KV cache still held.
         copy_of=copy_of if last and exchange.status == HTTPStatus.SERVICE_UNAVAILABLE else "",
         detail=f"the engine answered {exchange.status}",
-        target_refused=exchange.status == HTTPStatus.SERVICE_UNAVAILABLE,
+        target_rejected=exchange.status == HTTPStatus.SERVICE_UNAVAILABLE,
     )
 
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -369,7 +369,7 @@
     context.refusing.report = ENDS_SOON
     context.engine.move_answers = [lambda _: (503, {})]
     result = world.mover.copy(run, world.entry(context.refusing))
-    assert isinstance(result, MoveFailed) and result.target_refused, result
+    assert isinstance(result, MoveFailed) and result.target_rejected, result
 
 
 @then("the engine that refused takes no requests")
