--- a/driftstall/gateway/shared_budget.py
+++ b/driftstall/gateway/shared_budget.py
@@ -77,12 +77,12 @@
     def try_take(self, now: float) -> bool:
         """Count one retry and return True if the budget allows it, else return False."""
         self._drop_expired(now)
-        if len(self._repeats) + 1 > self.allowed(now):
+        if len(self._repeats) + 1 > self.max_retries(now):
             return False
         self._repeats.append(now)
         return True
 
-    def allowed(self, now: float) -> float:
+    def max_retries(self, now: float) -> float:
         """Return how many retries this instance may have sent within the window."""
         bounds = self._bounds
         fresh = [peer for peer in self._peers.values() if now - peer.at <= REPORT_VALID_S]
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -182,7 +182,7 @@
             service=service,
             own_requests=own.requests,
             own_repeats=own.repeats,
-            allowed=round(budget.allowed(now), 1),
+            allowed=round(budget.max_retries(now), 1),
             instances=self.instances.value,
         )
         return False
