--- a/driftstall/gateway/admission.py
+++ b/driftstall/gateway/admission.py
@@ -88,9 +88,9 @@
         if isinstance(result, Problem):
             return result
         assert result.route is not None and result.service is not None
-        allowed_s = result.route.timeout_s
+        timeout_s = result.route.timeout_s
         if result.metadata.deadline_s is not None:
-            allowed_s = min(allowed_s, result.metadata.deadline_s)
+            timeout_s = min(timeout_s, result.metadata.deadline_s)
         return AdmittedRequest(
             result.metadata,
             result.route,
@@ -98,14 +98,16 @@
             result.workspace,
             result.verdict,
             result.started_at,
-            result.started_at + allowed_s,
+            result.started_at + timeout_s,
         )
 
     def _find_route(self, progress: RequestProgress) -> RequestProgress | Problem:
         """Set the route, and one service of its traffic split."""
         route = self._table.route(progress.host, progress.path)
         if route is None:
-            return self._unless_outdated(Problem(CODE_NOT_FOUND, 404, "no such route", Ran.NOT_RUN))
+            return self._make_retryable_if_outdated(
+                Problem(CODE_NOT_FOUND, 404, "no such route", Ran.NOT_RUN)
+            )
         service = self._table.service(pick_service(route, self._random()))
         if service is None:
             detail = "the route's service is not configured"
@@ -122,7 +124,9 @@
             if progress.route.allows_anonymous:
                 return progress
             detail = "the workspace key is not known"
-            return self._unless_outdated(Problem(CODE_UNAUTHENTICATED, 401, detail, Ran.NOT_RUN))
+            return self._make_retryable_if_outdated(
+                Problem(CODE_UNAUTHENTICATED, 401, detail, Ran.NOT_RUN)
+            )
         rank = progress.rank if workspace.rank is None else workspace.rank
         return replace(progress, workspace=workspace.name, rank=rank)
 
@@ -141,7 +145,7 @@
         )
         return replace(progress, verdict=evaluate(self._policy, facts))
 
-    def _unless_outdated(self, problem: Problem) -> Problem:
+    def _make_retryable_if_outdated(self, problem: Problem) -> Problem:
         """Return the problem, or a retryable one if the configuration may be outdated."""
         if self._is_current():
             return problem
--- a/driftstall/gateway/backoff_refusal.py
+++ b/driftstall/gateway/backoff_refusal.py
@@ -13,7 +13,7 @@
 def backoff_refusal(state: GatewayState, admitted: AdmittedRequest) -> Problem | None:
     """Return a refusal with a Retry-After if all upstreams of a service are in back-off, else None.
 
-    Call this only while nothing of the request can have run.
+    Call this function only if no part of the request can have run.
     """
     now, service = state.now(), admitted.service.name
     ready = state.fleet.ready(service) or state.fleet.draining(
@@ -30,7 +30,7 @@
     state.stats.backoff_refused += 1
     log_event(
         PREFIX_ROUTING,
-        "Request rejected: all upstreams are in back-off",
+        "Request refused: all upstreams are in back-off",
         request=admitted.metadata.request_id,
         service=service,
         upstreams=len(ready),
--- a/driftstall/gateway/calls.py
+++ b/driftstall/gateway/calls.py
@@ -119,7 +119,7 @@
                 return result
 
     def _choose(self, attempts: _Attempts) -> Option | Problem:
-        """Return the upstream to try; wait a short time for the turn at a cold one.
+        """Return the upstream to try; wait a short time for a turn at a cold upstream.
 
         If the wait would be too long, return a problem with a Retry-After at once.
         """
@@ -151,7 +151,7 @@
         return first
 
     def _choose_open(self, options: list[Option]) -> Option | None:
-        """Return an upstream to which the call may be sent now; None if there is none."""
+        """Return an upstream to which the call may be sent now, or None."""
         return self._state.rate_limiting.choose_permitted(
             self._state.cold_gate.select_open(options),
             lambda option: option.upstream.upstream_id,
@@ -212,7 +212,7 @@
     ) -> UpstreamResponse | SendFailure:
         """Send the request to one upstream and read its response.
 
-        With first, no upstream has received the request yet; it is then counted in the budget.
+        With is_first, no upstream has received the request yet, so it is counted in the budget.
         """
         request_id = self._admitted.metadata.request_id
         load = RequestLoad(upstream.upstream_id)
@@ -322,6 +322,6 @@
         )
 
 
-def _outcome_of(answer: UpstreamResponse) -> Outcome:
+def _outcome_of(response: UpstreamResponse) -> Outcome:
     """Return FAILED for a response with a server error, else GOOD."""
-    return Outcome.FAILED if answer.status >= FIRST_SERVER_ERROR else Outcome.GOOD
+    return Outcome.FAILED if response.status >= FIRST_SERVER_ERROR else Outcome.GOOD
--- a/driftstall/gateway/cold_gate.py
+++ b/driftstall/gateway/cold_gate.py
@@ -1,7 +1,7 @@
 """Rate-limit requests to cold upstreams (see decisions/cold_starts).
 
-The sender is one instance, or the placer of a zone, which has a part of the rate that a cold
-upstream can serve.
+Each sender, an instance or the placer of a zone, gets a part of the rate that a cold upstream can
+serve, and spaces its requests to that upstream by its part.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         part: Callable[[str], ColdPart | None],
         now: Callable[[], float],
     ) -> None:
-        """Initialize with the cold upstreams, a random source, and the steady clock.
+        """Initialize with the cold upstreams, a random source, and the monotonic clock.
 
         `part` returns the sender's part of the rate for a service, or None for no bound.
         """
--- a/driftstall/gateway/collectors.py
+++ b/driftstall/gateway/collectors.py
@@ -3,8 +3,8 @@
 In a small fleet every instance reports to every other one (full mesh) and follows the platform by
 itself. In a larger one messages would grow with the square of the fleet, and calls to the platform
 with the fleet. So in each availability zone two instances collect the reports of their zone. They
-exchange the sums of the zones and forward them to their zone several times a second. Three of them,
-of different zones, follow the platform for the whole fleet.
+exchange the sums of the zones and forward them to their zone several times a second. Three
+collectors of different zones follow the platform for the whole fleet.
 """
 
 from __future__ import annotations
@@ -25,10 +25,11 @@
 """Collectors of an availability zone; one is enough, the second is redundant."""
 MAX_FOLLOWERS: Final = 3
 """Collectors that follow the platform; each calls it several times a second. With a third of all
-instances cut off from it, all three are cut off in one case of 25; the other instances notice."""
+instances cut off from it, all three are cut off in one case of 25; the other instances notice that
+and call the platform themselves."""
 MAX_PLACERS: Final = 3
-"""Instances that may place streams for the fleet; the first does, the others replace it while it
-is silent."""
+"""Instances that may place streams for the fleet: the first one does, and the others replace it
+while it does not reply."""
 MIN_LINK_MBPS: Final = 50
 """A collector sends its zone some megabits a second; weaker links are chosen last."""
 COLLECTOR_KEY: Final = "collectors"
@@ -109,9 +110,9 @@
     """Return the counts of many instances, summed by service."""
     sums: dict[str, RepeatCount] = {}
     for count in counts:
-        known = sums.get(count.service, RepeatCount(count.service, 0, 0))
+        total = sums.get(count.service, RepeatCount(count.service, 0, 0))
         sums[count.service] = RepeatCount(
-            count.service, known.requests + count.requests, known.repeats + count.repeats
+            count.service, total.requests + count.requests, total.repeats + count.repeats
         )
     return tuple(sums.values())
 
@@ -142,17 +143,17 @@
         other_uses = tuple(
             use.minus(by_upstream.get(use.upstream_id, Use(use.upstream_id))) for use in uses
         )
-        return other_uses, tuple(_without(count, by_service) for count in repeats)
+        return other_uses, tuple(_subtract(count, by_service) for count in repeats)
 
     def _find(self, number: int) -> tuple[tuple[Use, ...], tuple[RepeatCount, ...]]:
         """Return a report by its number; empty if it is no longer kept."""
-        for known, uses, repeats in self._reports:
-            if known == number:
+        for report_number, uses, repeats in self._reports:
+            if report_number == number:
                 return uses, repeats
         return (), ()
 
 
-def _without(count: RepeatCount, own: dict[str, RepeatCount]) -> RepeatCount:
+def _subtract(count: RepeatCount, own: dict[str, RepeatCount]) -> RepeatCount:
     """Return a count without the own part, never below zero."""
     part = own.get(count.service, RepeatCount(count.service, 0, 0))
     return RepeatCount(
--- a/driftstall/gateway/crash_detector.py
+++ b/driftstall/gateway/crash_detector.py
@@ -1,7 +1,8 @@
 """Crash detection: probes upstreams where runs broke off, and attributes crashes to those runs.
 
-A stream or call may break off for many reasons: a cut link, an upstream that corrupts answers or
-ends as planned. An upstream has crashed only if it was to stay and refuses connections.
+A stream or call may break off for many reasons: a cut link, an upstream that corrupts responses or
+ends as planned. An upstream counts as crashed only if it refuses connections and no end was
+announced.
 """
 
 from __future__ import annotations
@@ -98,7 +99,7 @@
         self._on_crash(upstream)
 
     def _probe(self, upstream: Upstream) -> ReportedState:
-        """Return the reported state of an engine; of other upstreams, whether they listen."""
+        """Return the state that an engine reports; test other upstreams by connecting to them."""
         service = (
             self._state.route_table.service(upstream.service) if self._state.route_table else None
         )
@@ -115,7 +116,7 @@
         return ReportedState.SERVING
 
     def _attribute_crash(self, suspicion: _Suspicion) -> None:
-        """Attribute a crash to all runs that broke off there, and tell peers."""
+        """Attribute a crash to all runs that broke off at the upstream, and publish that."""
         upstream_id, tracker = suspicion.upstream.upstream_id, self._state.poison_tracker
         self._state.stats.crashes_seen += 1
         log_event(
--- a/driftstall/gateway/dialect.py
+++ b/driftstall/gateway/dialect.py
@@ -41,7 +41,7 @@
     """Name of the memory that the source kept; empty if the run continues there."""
     detail: str
     target_rejected: bool = False
-    """Whether the target refused the replica: it has no room, or is about to leave."""
+    """Whether the target rejected the replica: it has no room, or is about to leave."""
 
 
 MoveResult = MoveDone | MoveFailed
@@ -81,7 +81,7 @@
         """Copy a run's memory to another engine; with last, stop the run first."""
 
     def probe_state(self, engine: Upstream) -> ReportedState:
-        """Ask an engine whether it stays."""
+        """Probe an engine and return the state that it reports."""
 
     def drop_replica(self, holder: Upstream, copy_of: str) -> None:
         """Free a replica's memory, at both engines if the holder is the source of the copy."""
@@ -93,4 +93,4 @@
         """Return the caller's zone in a request to locate instances; None for other requests."""
 
     def encode_locations(self, addresses: tuple[str, ...], keep_s: float) -> bytes:
-        """Return the response body that lists the located instances."""
+        """Return the response body that lists instances; callers may cache it for keep_s."""
--- a/driftstall/gateway/evacuation.py
+++ b/driftstall/gateway/evacuation.py
@@ -3,7 +3,7 @@
 A run's KV cache is copied while the run continues, then copied again, which transfers only what is
 new; then the run stops for a short final stop-and-copy. Runs that already have a replica are moved
 first, all at once. The others share the engine's link: instances take turns, and each finishes one
-run after another, since finishing some saves those, whereas copying all at once may save none. A
+run after another, since every finished copy saves a run, while copying all at once may save none. A
 run whose engine ends before its final copy resumes at its replica and recomputes what it has
 produced since. Runs with a backup, a replica that an engine keeps up to date, need no move.
 """
@@ -27,11 +27,11 @@
 """A copy that took longer than this is followed by another, so that the final copy is short."""
 MAX_COPIES: Final = 3
 REPLICA_HEAD_START_S: Final = 0.1
-"""Head start of the runs that have a replica: the rest of each copy takes some milliseconds."""
+"""Head start of the runs that have a replica: copying what it lacks takes some milliseconds."""
 MAX_MEMORY_SHARE: Final = 1.0
 """Memory share up to which an engine accepts a run that must leave; the sums are a forecast."""
 MAX_TARGETS: Final = 3
-"""Targets tried for one run; a target without room refuses at once."""
+"""Targets tried for one run; a target without room rejects the replica at once."""
 POLL_INTERVAL_S: Final = 0.05
 """Pause before the next check for streams that have arrived, or begun to produce events."""
 COPY_TOKENS_PER_S: Final = 9_000.0
@@ -40,7 +40,8 @@
 """Time of a turn besides its copies: final copies, and the report that the turn is over."""
 TURN_POLL_INTERVAL_S: Final = 0.01
 TIMEOUT_S: Final = 10.0
-"""Time after its notice from which a leaving upstream that still runs keeps its streams."""
+"""Time after its notice for which streams are moved off a leaving upstream; an upstream that still
+runs then keeps the remaining ones."""
 
 
 class Evacuation:
@@ -54,9 +55,9 @@
     def start(self, upstream: Upstream) -> None:
         """Start to move the streams off an upstream, in the background."""
         self._state.notice_at = self._state.now()
-        gevent.spawn(self._run, upstream)
+        gevent.spawn(self._evacuate, upstream)
 
-    def _run(self, upstream: Upstream) -> None:
+    def _evacuate(self, upstream: Upstream) -> None:
         """Move streams for as long as the upstream is leaving and may still run.
 
         Some streams arrive after the notice: they were placed or moved there just before it.
--- a/driftstall/gateway/exchange.py
+++ b/driftstall/gateway/exchange.py
@@ -195,7 +195,7 @@
         except OSError as error:
             raise UpstreamError(f"receiving failed: {type(error).__name__}", sent=True) from error
         if not data:
-            self._ended()
+            self._handle_connection_end()
             return
         try:
             self._parser.feed_data(data)
@@ -208,7 +208,7 @@
             for head in heads:
                 self.observe(head)
 
-    def _ended(self) -> None:
+    def _handle_connection_end(self) -> None:
         """Handle the end of the connection: it ends an unframed response, and breaks a framed one.
 
         A closed connection returns empty reads forever, so it ends only one response.
--- a/driftstall/gateway/feeds.py
+++ b/driftstall/gateway/feeds.py
@@ -62,7 +62,10 @@
         """Return all items."""
 
     def watch(self, at: StoreVersion, wait_s: float) -> Changes[Item]:
-        """Wait for changes after a version; raise HistoryGone if the platform discarded them."""
+        """Wait for changes after a version, at most wait_s seconds.
+
+        Raise HistoryUnavailable if the platform has discarded the changes since that version.
+        """
 
 
 class Listener(Protocol[Item]):
@@ -85,7 +88,7 @@
     """Decides when a follower calls, and how long a watch may wait."""
 
     def delay_s(self) -> float:
-        """Return how long to make no call, in seconds; zero to call now."""
+        """Return the time in seconds until the next call may be made; zero to call now."""
 
     def watch_timeout_s(self) -> float:
         """Return the timeout of an idle watch, in seconds."""
@@ -162,8 +165,8 @@
                 self._watch(self._at)
         except HistoryUnavailable:
             self._at = None
-        except PlatformUnavailable as fault:
-            self._handle_failure(str(fault))
+        except PlatformUnavailable as error:
+            self._handle_failure(str(error))
 
     def _list(self) -> None:
         """Read the whole list and pass it to the listener."""
--- a/driftstall/gateway/fleet.py
+++ b/driftstall/gateway/fleet.py
@@ -3,9 +3,9 @@
 The platform's list is the source of truth; peers fill in for an instance that the platform does not
 answer. Store versions order the updates of both. An upstream that restarts under its name counts as
 a new one: the later of two starts wins, whatever the revisions say, since a late heartbeat of the
-previous start may carry a newer revision. While the platform is away, the state that an upstream
-reports in a probe counts for some seconds (see upstream_probes). A leaving signal sent with a
-response is final (see leaving_signals).
+previous start may carry a newer revision. While the platform is unreachable, the state that an
+upstream reports in a probe counts for some seconds (see upstream_probes). A leaving signal sent
+with a response is final (see leaving_signals).
 """
 
 from __future__ import annotations
@@ -157,7 +157,7 @@
         for entry in self._entries.values():
             upstream = entry.upstream
             if upstream.zone in event.lifted and entry.leaving_since is None:
-                # It may have gone cold while cordoned, and reports that only later.
+                # The upstream may be cold when the cordon ends, and reports that only later.
                 self._actions.append(UpstreamCold(upstream, ASSUMED_COLD_S, is_assumed=True))
 
     @_handle.register
@@ -200,8 +200,8 @@
         """Apply an entry sent by a peer, unless a newer list of a peer lacked it.
 
         An upstream that the list lacked had left by then, and earlier updates may still arrive. An
-        upstream that the sender of that list did not know comes with the next list, which is sent
-        as the digests differ.
+        upstream that the sender of that list did not know yet is in the next list, which is
+        requested because the digests differ.
         """
         entry = self._entries.get(upstream.name)
         is_listed = entry is not None and entry.is_listed
@@ -209,7 +209,7 @@
             self._apply_peer_entry(upstream, now)
 
     def _apply_entry(self, upstream: Upstream, now: float, since: float) -> None:
-        """Apply an entry if it is newer than the known one; it may have been in force since then.
+        """Apply an entry if it is newer than the known one.
 
         The argument since is the earliest time at which the entry can have been written.
         """
@@ -228,10 +228,10 @@
         if entry is not None and upstream.born > entry.upstream.born:
             # Revisions aren't compared: a late heartbeat of the previous start may be newer.
             del self._entries[upstream.name]
-            self._replace(entry.upstream, upstream, now)
+            self._record_restart(entry.upstream, upstream, now)
             entry = None
         elif entry is None and tombstone is not None and upstream.born > tombstone.upstream.born:
-            self._replace(tombstone.upstream, upstream, now)
+            self._record_restart(tombstone.upstream, upstream, now)
         if entry is not None and upstream.revision < entry.upstream.revision:
             return
         is_newer = entry is None or upstream.revision > entry.upstream.revision
@@ -252,8 +252,8 @@
         elif not entry.is_listed:
             self._rejoin(entry)
 
-    def _replace(self, old: Upstream, later: Upstream, now: float) -> None:
-        """Record that a start was followed by a later one, which may be cold."""
+    def _record_restart(self, old: Upstream, later: Upstream, now: float) -> None:
+        """Record that an upstream has restarted; its later start may be cold."""
         if old.upstream_id not in self._replaced:
             self._replaced[old.upstream_id] = now
             self._actions.append(UpstreamReplaced(old))
@@ -269,9 +269,11 @@
         is_certain: bool = False,
         may_be_lost: bool = False,
     ) -> None:
-        """Mark an upstream as leaving whose entry is missing, at the earliest since then.
+        """Mark an upstream as leaving whose entry is missing.
 
-        With is_certain the entry has not just lapsed; with may_be_lost the store may have lost it.
+        The argument since is the earliest time at which the entry can have been removed. With
+        is_certain the entry was removed and has not merely lapsed; with may_be_lost the restored
+        store may have lost it.
         """
         entry = self._entries[name]
         if revision < entry.upstream.revision:
--- a/driftstall/gateway/fleet_events.py
+++ b/driftstall/gateway/fleet_events.py
@@ -16,7 +16,7 @@
     at: StoreVersion = NO_VERSION
     """The store version at which the list was complete."""
     store_silence_s: float = 0.0
-    """How long the platform had not answered before; new entries may be that old."""
+    """Seconds for which the platform had not answered before; new entries may be that old."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,9 +35,9 @@
     upstream: Upstream
     removed: bool
     from_peer: bool = False
-    """Whether the change was sent by a peer that has been in contact with the platform."""
+    """Whether the change was sent by a peer that the platform has answered throughout."""
     store_silence_s: float = 0.0
-    """How long the platform had not answered before; the change may be that old."""
+    """Seconds for which the platform had not answered before; the change may be that old."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/driftstall/gateway/ingress.py
+++ b/driftstall/gateway/ingress.py
@@ -24,7 +24,7 @@
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK: Final = b"0\r\n\r\n"
 MIN_BODY_BYTES_PER_S: Final = 10_000.0
-"""A body that arrives more slowly is rejected, so that slow senders do not occupy memory."""
+"""A body that arrives more slowly is refused, so that slow senders do not occupy memory."""
 WRITE_TIMEOUT_S: Final = 10.0
 """A connection whose caller reads nothing for this time is closed."""
 
@@ -162,7 +162,7 @@
         self._builder = _RequestBuilder(limits)
         self._parser = httptools.HttpRequestParser(self._builder)
         self._builder.parser = self._parser
-        self._broken = False
+        self._is_input_ended = False
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
@@ -178,7 +178,7 @@
                 return self._builder.requests.popleft()
             if self._builder.error is not None:
                 return self._builder.error
-            if self._broken:
+            if self._is_input_ended:
                 return ConnectionClosed()
             self._send_continue()
             end = self._receive(idle_until)
@@ -225,7 +225,7 @@
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # Upgrades are not supported: the request is answered, and nothing more is read.
-            self._broken = True
+            self._is_input_ended = True
         except (httptools.HttpParserError, httptools.HttpParserCallbackError) as error:
             known = self._builder.error
             detail = f"the request is malformed: {error}"
@@ -292,7 +292,7 @@
 
 def encode_head(status: int, headers: Headers, extra: tuple[bytes, ...]) -> bytes:
     """Return the bytes of a response head; extra holds further header lines."""
-    reason = HTTPStatus(status).phrase if status in _KNOWN else "Status"
+    reason = HTTPStatus(status).phrase if status in _KNOWN_STATUSES else "Status"
     lines = [b"HTTP/1.1 %d %s" % (status, reason.encode())]
     lines += [name + b": " + value for name, value in headers]
     lines += extra
@@ -304,4 +304,4 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-_KNOWN: Final = frozenset(int(status) for status in HTTPStatus)
+_KNOWN_STATUSES: Final = frozenset(int(status) for status in HTTPStatus)
--- a/driftstall/gateway/listeners.py
+++ b/driftstall/gateway/listeners.py
@@ -61,7 +61,7 @@
     def __init__(
         self, state: GatewayState, mover: Mover, drain: Drain, is_current: Callable[[], bool]
     ) -> None:
-        """Initialize with the shared state; is_current tells if the routing is the newest."""
+        """Initialize with the shared state; is_current returns whether the routing is current."""
         self._state = state
         self._mover = mover
         self._drain = drain
@@ -87,26 +87,26 @@
                 if isinstance(call, ConnectionClosed):
                     return
                 if isinstance(call, MalformedRequest):
-                    self._reject(connection, call)
+                    self._refuse_malformed(connection, call)
                     return
                 if not self._handle_request(connection, call):
                     return
         finally:
             connection.close()
 
-    def _reject(self, connection: CallerConnection, error: MalformedRequest) -> None:
-        """Answer malformed input with an error."""
+    def _refuse_malformed(self, connection: CallerConnection, error: MalformedRequest) -> None:
+        """Refuse malformed input with a problem response."""
         self._state.stats.malformed += 1
         problem = Problem(CODE_BAD_REQUEST, int(error.status), error.detail, Ran.NOT_RUN)
         log_event(PREFIX_RELAY, f"Request answered with {problem.status}: {problem.detail}")
         connection.write(encode_problem(problem, keep_alive=False))
 
     def _handle_request(self, connection: CallerConnection, call: CallerRequest) -> bool:
-        """Answer one request; return whether the connection is kept."""
+        """Answer one request; return whether the connection is kept open."""
         self._state.stats.requests += 1
         self._state.open_requests += 1
         try:
-            return self._handle_counted(connection, call)
+            return self._admit_and_serve(connection, call)
         except Exception as error:
             # A defect closes the connection, which also holds further requests, so it is logged.
             log_event(PREFIX_RELAY, f"Request failed with {type(error).__name__}: {error}")
@@ -115,7 +115,7 @@
         finally:
             self._state.open_requests -= 1
 
-    def _handle_counted(self, connection: CallerConnection, call: CallerRequest) -> bool:
+    def _admit_and_serve(self, connection: CallerConnection, call: CallerRequest) -> bool:
         """Admit one request and serve it."""
         keep_alive = call.keep_alive and self._state.stopping_since is None
         admitted = self._admit(call)
@@ -286,29 +286,29 @@
     def __call__(self, call: CallerRequest) -> bytes:
         """Return the response to one request: metrics, quarantined requests or clearing one."""
         if call.path == CRASHES_PATH:
-            return self._crashes(call)
+            return self._list_quarantined(call)
         if call.path.startswith(f"{CRASHES_PATH}/") and call.method == b"DELETE":
-            return self._clear(call)
+            return self._clear_quarantined(call)
         body = render(self._state.stats, self._gauges())
         return encode_response(
             200, ((b"Content-Type", b"text/plain"),), body, keep_alive=call.keep_alive
         )
 
-    def _crashes(self, call: CallerRequest) -> bytes:
+    def _list_quarantined(self, call: CallerRequest) -> bytes:
         """List the quarantined requests, which are sent to no upstream."""
-        found = self._state.poison_tracker.quarantined(self._state.now())
+        quarantined = self._state.poison_tracker.quarantined(self._state.now())
         rows = [
             {
                 "fingerprint": fingerprint,
                 "upstreams": verdict.upstream_ids,
                 "wait_s": round(verdict.wait_s, 1),
             }
-            for fingerprint, verdict in sorted(found.items())
+            for fingerprint, verdict in sorted(quarantined.items())
         ]
         headers = ((b"Content-Type", JSON_TYPE.encode()),)
         return encode_response(200, headers, orjson.dumps(rows), keep_alive=call.keep_alive)
 
-    def _clear(self, call: CallerRequest) -> bytes:
+    def _clear_quarantined(self, call: CallerRequest) -> bytes:
         """Clear a quarantined request, here and at the other instances."""
         fingerprint = call.path.rpartition("/")[2]
         is_known = self._state.poison_tracker.verdict(fingerprint, self._state.now()).is_poison
@@ -321,10 +321,12 @@
 class LocateHandler:
     """Handler of locate requests: lists the instances that callers should use."""
 
-    def __init__(self, state: GatewayState, located: Callable[[], tuple[Instance, ...]]) -> None:
+    def __init__(
+        self, state: GatewayState, ready_instances: Callable[[], tuple[Instance, ...]]
+    ) -> None:
         """Initialize with the shared state and a reader of the instances open to callers."""
         self._state = state
-        self._located = located
+        self._ready_instances = ready_instances
 
     def __call__(self, call: CallerRequest) -> bytes:
         """Return the response to one locate request; 503 if no instance is ready."""
@@ -346,6 +348,6 @@
 
     def _choose(self, zone: str) -> tuple[Instance, ...]:
         """Return the ready instances of the caller's zone if there are enough, else all."""
-        ready = self._located()
-        near = tuple(instance for instance in ready if instance.zone == zone)
-        return (near if len(near) >= MIN_ZONE_INSTANCES else ready)[:MAX_LOCATED_INSTANCES]
+        ready = self._ready_instances()
+        local = tuple(instance for instance in ready if instance.zone == zone)
+        return (local if len(local) >= MIN_ZONE_INSTANCES else ready)[:MAX_LOCATED_INSTANCES]
--- a/driftstall/gateway/loads.py
+++ b/driftstall/gateway/loads.py
@@ -132,7 +132,7 @@
         return tuple(totals[upstream_id] for upstream_id in sorted(totals))
 
     def totals(self, now: float, *, pooled: bool = True) -> dict[str, Use]:
-        """Return the same totals by upstream id; idle upstreams are missing."""
+        """Return the totals of this instance and its peers by upstream id, without idle ones."""
         totals = dict(self._own)
         _add_all(totals, self._pending)
         for peer, sums in self._peers.items():
--- a/driftstall/gateway/model.py
+++ b/driftstall/gateway/model.py
@@ -16,7 +16,7 @@
 
 
 class Repeat(StrEnum):
-    """Name how often a route's requests may be executed."""
+    """How often a route's requests may be executed."""
 
     SAFE = "safe"
     """Any number of times: requests are idempotent."""
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingText:
-    """Hold a routing document and its text, as which it is forwarded to peers."""
+    """Hold a routing document and its text, the form that is forwarded to peers."""
 
     document: RoutingDocument
     text: str
@@ -140,7 +140,7 @@
 
 
 class UpstreamState(StrEnum):
-    """Name an upstream's state in the platform's list."""
+    """State of an upstream in the platform's list."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -155,7 +155,7 @@
     """
 
     name: str
-    """Its name on the platform; a later start may have the same name."""
+    """Name in the platform's list; a later start may have the same name."""
     service: str
     address: str
     zone: str
@@ -166,7 +166,7 @@
     born: int = 0
     """Start time as a Unix timestamp in milliseconds; zero if not reported."""
     cold_s: float = 0.0
-    """Remaining time in seconds that it is cold, by its own entry."""
+    """Remaining time in seconds for which the upstream is cold, as its entry reports."""
 
     @property
     def upstream_id(self) -> str:
@@ -188,7 +188,7 @@
 
     request_id: str
     deadline_s: float | None
-    """Seconds until the caller's deadline; None if it gives none."""
+    """Seconds until the caller's deadline; None if the caller sets none."""
     key: str
     """The workspace key; empty if not given."""
     model: str
--- a/driftstall/gateway/moves.py
+++ b/driftstall/gateway/moves.py
@@ -1,8 +1,8 @@
 """Live migration of runs: copy a run's KV cache to another engine, step by step.
 
 A step copies the memory while the run continues (pre-copy); each further step to the same engine
-brings that replica up to date. The final copy stops the run, copies what is left, and hands the
-run over to the target (stop-and-copy).
+brings that replica up to date. The final copy stops the run, copies the remaining memory, and hands
+the run over to the target (stop-and-copy).
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 from driftstall.helpers.log import log_event
 
 MAX_REPLICA_AGE_S: Final = 4.0
-"""Age from which a replica is no longer used; engines drop it a little later (handleS is 5 s)."""
+"""Age from which a replica is no longer used; engines drop an unused replica a little later (their
+handleS is 5 s)."""
 
 
 class Mover:
@@ -60,7 +61,7 @@
     def find_replica(self, run: StreamRun) -> Replica | None:
         """Return the run's replica if it is recent enough and its engine takes requests."""
         replica = run.replica
-        if replica is None or self._is_old(replica):
+        if replica is None or self._is_expired(replica):
             return None
         return replica if self._can_resume_at(replica) else None
 
@@ -82,11 +83,11 @@
         """
         engine_id, now = replica.ref.upstream.upstream_id, self._state.now()
         drain_s = self._state.settings.bounds.drain_s
-        if self._is_old(replica) or self._state.fleet.is_replaced(replica.ref.named_by):
+        if self._is_expired(replica) or self._state.fleet.is_replaced(replica.ref.named_by):
             return False
         return self._state.fleet.can_still_serve(engine_id, now, drain_s)
 
-    def _is_old(self, replica: Replica) -> bool:
+    def _is_expired(self, replica: Replica) -> bool:
         """Return True if the engine may have dropped the replica by now."""
         return self._state.now() - replica.copied_at > MAX_REPLICA_AGE_S
 
@@ -96,7 +97,7 @@
         self._set_replica_target(run, target)
         run.is_copying = True
         try:
-            result = self._step(run, target, last=False)
+            result = self._perform_step(run, target, last=False)
         finally:
             run.is_copying = False
         if isinstance(result, MoveFailed):
@@ -117,23 +118,27 @@
             self._state.record_run_load(run)
 
     def make_final_copy(self, run: StreamRun, target: Upstream) -> bool:
-        """Stop the run and copy what is left; return True if the run moved to the target.
+        """Stop the run and copy the remaining memory; return True if it moved to the target.
 
         The stream's relay waits for the result in run.pending_final_copy and resumes from it.
         """
         pending = run.pending_final_copy = AsyncResult()
-        result = self._step(run, target, last=True)
+        result = self._perform_step(run, target, last=True)
         if isinstance(result, MoveDone):
             self._state.stats.streams_moved += 1
             run.replica = None
-            pending.set(FinalCopy(self._stopped_run(target, result.copy_of, run), True))
+            pending.set(FinalCopy(self._build_stopped_replica(target, result.copy_of, run), True))
             return True
         # The source keeps the memory of the stopped run, so the run may still resume there.
-        replica = self._stopped_run(run.upstream, result.copy_of, run) if result.copy_of else None
+        replica = (
+            self._build_stopped_replica(run.upstream, result.copy_of, run)
+            if result.copy_of
+            else None
+        )
         pending.set(FinalCopy(replica, result.may_have_stopped))
         return False
 
-    def _stopped_run(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
+    def _build_stopped_replica(self, holder: Upstream, copy_of: str, run: StreamRun) -> Replica:
         """Return the replica that the holder has of a stopped run."""
         ref = ReplicaRef(holder, copy_of, named_by=run.upstream.upstream_id)
         return Replica(ref, self._state.now(), run.held_tokens)
@@ -152,7 +157,7 @@
         self._state.rate_limiting.charge(holder.upstream_id)
         gevent.spawn(self._state.dialect.drop_replica, holder, replica.ref.copy_of)
 
-    def _step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
+    def _perform_step(self, run: StreamRun, target: Upstream, *, last: bool) -> MoveResult:
         """Perform one step and log its result."""
         if self._state.backoff_s(run.upstream):
             detail = "its engine has requested a back-off"
--- a/driftstall/gateway/node.py
+++ b/driftstall/gateway/node.py
@@ -236,10 +236,10 @@
             gevent.spawn(follower.run)
         keep_running(PREFIX_MEMBERSHIP, self._registration.maintain)
         log_event(PREFIX_MEMBERSHIP, f"Instance {self.state.settings.instance_id} has started")
-        self._run_periods()
+        self._run_periodic_checks()
         log_event(PREFIX_DRAIN, f"Instance {self.state.settings.instance_id} has stopped")
 
-    def _run_periods(self) -> None:
+    def _run_periodic_checks(self) -> None:
         """Run the periodic checks until the stop is complete."""
         checked_at = self.state.now()
         suspended_s = clock.suspended_s()
@@ -251,13 +251,13 @@
             self.state.stats.platform_calls = self._access.call_count()
             if self.state.stopping_since is not None and not has_announced_stop:
                 has_announced_stop = True
-                self._leave()
+                self._announce_stop()
             if self.state.now() - checked_at >= SETTINGS_CHECK_S:
                 checked_at = self.state.now()
                 if self._read_settings_signature() != self._settings_signature:
                     self._reload()
 
-    def _leave(self) -> None:
+    def _announce_stop(self) -> None:
         """Announce to peers and the platform that this instance accepts no more requests."""
         self._peering.leave()
         gevent.spawn(self._registration.withdraw)
@@ -314,13 +314,13 @@
         enough.
         """
         if settings.bounds.cordon_s:
-            # Its own feed name has it retried in parallel with the others in an outage: three
-            # feeds that take turns would each wait too long.
+            # A feed name of its own gives this feed a separate retry schedule in an outage: three
+            # feeds that take turns in one schedule would each wait too long.
             return self._delegated_pacing(CORDON_FEED)
         return RevisionWatchPacing(self._roles, lambda: False)
 
     def _max_watch_s(self) -> float:
-        """Return the longest duration of a watch request, by the settings in force."""
+        """Return the longest duration of a watch request in seconds, by the settings in force."""
         return max_watch_wait_s(self.state.settings.bounds.catch_up_s)
 
     def _announce(self) -> None:
@@ -328,7 +328,7 @@
         self.state.loads_changed.set()
 
     def _handle_leaving_signal(self, upstream_id: str) -> None:
-        """Record that an upstream has signalled to leave, and publish it to peers at once."""
+        """Record that an upstream has signalled that it is leaving, and publish that at once."""
         if self._upstreams.handle_leaving_signal(upstream_id):
             self._peering.publish_signals()
 
--- a/driftstall/gateway/outcomes.py
+++ b/driftstall/gateway/outcomes.py
@@ -27,7 +27,7 @@
 
 
 class Outcome(StrEnum):
-    """Name the result of a request to an upstream."""
+    """Result of a request to an upstream."""
 
     GOOD = "good"
     FAILED = "failed"
--- a/driftstall/gateway/peering.py
+++ b/driftstall/gateway/peering.py
@@ -160,7 +160,7 @@
     def start(self) -> None:
         """Start listening, failure detection and reporting, and ping the seeds."""
         self._links.start()
-        keep_running(PREFIX_MEMBERSHIP, self._run_periods)
+        keep_running(PREFIX_MEMBERSHIP, self._run_timeouts)
         self._reporting.start()
         self._poison_sharing.start()
         for address in self._state.settings.seeds:
@@ -196,7 +196,7 @@
             self._apply(Leave())
 
     def publish_change(self, change: ItemChange[Upstream]) -> None:
-        """Forward a change of an upstream from the platform to peers that can't reach it."""
+        """Forward a change read from the platform to peers that can't reach the platform."""
         self._sharing.publish_change(change, self._reporting.peers_without_platform)
 
     def publish_action(self, action: FleetAction, *, from_peer: bool) -> None:
@@ -233,7 +233,7 @@
             return (*roles.zone_members, *roles.own_collectors, *roles.remote_collectors)
         return roles.own_collectors
 
-    def _run_periods(self) -> None:
+    def _run_timeouts(self) -> None:
         """Run the timeouts of the membership and the permits, and follow member changes."""
         last_live: tuple[Instance, ...] = ()
         while True:
