--- a/driftstall/gateway/placement.py
+++ b/driftstall/gateway/placement.py
@@ -80,7 +80,7 @@
         return self._admitted.service.engine or NO_ENGINE
 
     def place(self, avoid: frozenset[str], is_canceled: Callable[[], bool]) -> StreamRun | None:
-        """Choose the upstream and the backup; wait a short time for one that has room.
+        """Choose the upstream and the backup; wait a short time for an upstream that has room.
 
         Return None if no upstream takes the stream or the caller disconnects.
         """
@@ -127,7 +127,7 @@
         while not is_canceled():
             now = self._state.now()
             waited_enough = now >= room_until
-            placement = self._choose(requirement, avoid, taken_anyway=waited_enough)
+            placement = self._choose(requirement, avoid, accepts_full=waited_enough)
             if placement is None and (now >= upstream_until or self._is_wait_futile()):
                 return None
             if placement is not None and (waited_enough or placement.has_room):
@@ -139,10 +139,13 @@
         return None
 
     def _choose(
-        self, requirement: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
+        self, requirement: TokenRequirement, avoid: frozenset[str], *, accepts_full: bool
     ) -> Placement | None:
-        """Ask the zone's placer, or choose locally; return None if no upstream takes requests."""
-        asked = PlacementAsked(
+        """Ask the zone's placer, or choose locally; return None if no upstream takes requests.
+
+        With accepts_full, the stream is sent to the chosen upstream even if it has no room.
+        """
+        placement_request = PlacementAsked(
             self._state.settings.instance_id,
             self._admitted.metadata.request_id,
             self._admitted.service.name,
@@ -150,15 +153,15 @@
             requirement.output_tokens,
             self.engine.can_backup and self._wants_backup(),
             tuple(avoid | self._state.backoff.active(self._state.now())),
-            taken_anyway,
+            accepts_full,
             self._state.settings.zone,
         )
-        given = self._state.request_placement(asked)
-        upstream = self._state.fleet.find(given.upstream_id) if given else None
-        if given is None or upstream is None or self._state.backoff_s(upstream):
-            return self._choose_locally(requirement, avoid, taken_anyway=taken_anyway)
-        backup = self._state.fleet.find(given.backup_id)
-        return Placement(upstream, backup, given.has_room, given.sender)
+        reply = self._state.request_placement(placement_request)
+        upstream = self._state.fleet.find(reply.upstream_id) if reply else None
+        if reply is None or upstream is None or self._state.backoff_s(upstream):
+            return self._choose_locally(requirement, avoid, accepts_full=accepts_full)
+        backup = self._state.fleet.find(reply.backup_id)
+        return Placement(upstream, backup, reply.has_room, reply.sender)
 
     def _is_wait_futile(self) -> bool:
         """Return True if all upstreams are in cordoned zones or in back-off."""
@@ -168,7 +171,7 @@
         return is_backing_off or fleet.is_fully_cordoned(service)
 
     def _choose_locally(
-        self, requirement: TokenRequirement, avoid: frozenset[str], *, taken_anyway: bool
+        self, requirement: TokenRequirement, avoid: frozenset[str], *, accepts_full: bool
     ) -> Placement | None:
         """Choose by this instance's own view of the fleet."""
         service = self._admitted.service.name
@@ -183,10 +186,10 @@
         if chosen is None:
             return None
         backup = self._choose_backup(chosen.upstream, requirement, frozenset())
-        room = has_room(chosen, self.engine, requirement)
-        if room or taken_anyway:
+        fits = has_room(chosen, self.engine, requirement)
+        if fits or accepts_full:
             gate.record_send(chosen.upstream)
-        return Placement(chosen.upstream, backup, room, settings.instance_id)
+        return Placement(chosen.upstream, backup, fits, settings.instance_id)
 
     def _choose_backup(
         self, primary: Upstream, requirement: TokenRequirement, avoid: frozenset[str]
--- a/driftstall/gateway/policy_persistence.py
+++ b/driftstall/gateway/policy_persistence.py
@@ -1,4 +1,4 @@
-"""Rewrites the submitted policy if the platform's store has lost it."""
+"""Rewrite of the submitted policy to the platform's store after the store has lost it."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 
 
 class PolicyPersistence:
-    """Compares the policy in force with the stored one after the store was restored."""
+    """Compares the policy in force with the stored policy after the store was restored."""
 
-    def __init__(self, policies: PolicySource, stored: StoredPolicyAccess) -> None:
+    def __init__(self, policies: PolicySource, access: StoredPolicyAccess) -> None:
         """Initialize with the policy in force and the access to the store."""
         self._policies = policies
-        self._stored = stored
+        self._access = access
 
     def rewrite_if_lost(self) -> None:
         """Write the policy in force if the store lacks it or holds a superseded one.
 
         A stored policy that is unknown here was submitted after the restore, and takes precedence.
         """
-        held = self._policies.submitted
-        if held is None:
+        in_force = self._policies.submitted
+        if in_force is None:
             return
-        stored = self._stored.read()
+        stored = self._access.read()
         if stored is not None and not self._policies.is_superseded(stored):
             return
-        is_written = self._stored.write(held.text, stored)
+        is_written = self._access.write(in_force.text, stored)
         log_event(
             PREFIX_CONFIGURATION,
             "The policy in force was rewritten to the store"
             if is_written
             else "The policy in force was not rewritten: another one was stored first",
-            revision=held.revision,
+            revision=in_force.revision,
         )
--- a/driftstall/gateway/protection.py
+++ b/driftstall/gateway/protection.py
@@ -2,7 +2,7 @@
 
 An engine keeps the backup that was requested with the stream up to date itself. If a run has no
 backup, because its backup engine left or none was requested, its memory is copied periodically.
-Little is then left to copy when the engine gives notice that it leaves.
+When its engine gives notice that it is leaving, little memory remains to be copied.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
         """Initialize with the shared state and the mover that performs the copies."""
         self._state = state
         self._mover = mover
-        self._busy: set[str] = set()
-        self._not_before: dict[str, float] = {}
+        self._copying_engine_ids: set[str] = set()
+        self._paused_until: dict[str, float] = {}
 
     def start(self) -> None:
         """Start the periodic copies."""
@@ -54,18 +54,18 @@
             gevent.sleep(CHECK_INTERVAL_S)
             runs = sorted(self.find_runs_to_copy(), key=lambda run: run.replica is not None)
             for run in runs:
-                if run.upstream.upstream_id not in self._busy:
-                    self._busy.add(run.upstream.upstream_id)
+                if run.upstream.upstream_id not in self._copying_engine_ids:
+                    self._copying_engine_ids.add(run.upstream.upstream_id)
                     gevent.spawn(self._copy, run)
             self.drop_replicas_under_pressure()
-            self._forget_ended()
+            self._remove_expired_pauses()
 
     def find_runs_to_copy(self) -> list[StreamRun]:
         """Return the runs that need a copy now: without a backup, and with no recent replica."""
         now = self._state.now()
         if now - self._state.notice_at < NOTICE_PAUSE_S:
             return []
-        found: list[StreamRun] = []
+        due: list[StreamRun] = []
         for run in self._state.runs.all:
             if (
                 run.events < MIN_EVENTS
@@ -74,7 +74,7 @@
                 or run.pending_final_copy is not None
             ):
                 continue
-            if now < self._not_before.get(run.request_id, 0.0):
+            if now < self._paused_until.get(run.request_id, 0.0):
                 continue
             if not self._state.fleet.is_staying(run.upstream.upstream_id):
                 continue
@@ -85,8 +85,8 @@
                 continue
             replica = self._mover.find_replica(run)
             if replica is None or now - replica.copied_at >= REFRESH_AGE_S:
-                found.append(run)
-        return found
+                due.append(run)
+        return due
 
     def drop_replicas_under_pressure(self) -> None:
         """Drop replicas on engines whose memory is nearly full, since runs take precedence."""
@@ -105,7 +105,7 @@
             use = self._state.loads.use(replica.ref.upstream.upstream_id, self._state.now())
             if (use.tokens + use.copies) / engine.memory_tokens > MAX_MEMORY_SHARE:
                 self._mover.drop_replica(run)
-                self._not_before[run.request_id] = self._state.now() + RETRY_DELAY_S
+                self._paused_until[run.request_id] = self._state.now() + RETRY_DELAY_S
 
     def _copy(self, run: StreamRun) -> None:
         """Copy one run; pause its copies after a failure."""
@@ -116,9 +116,9 @@
             )
             result = self._mover.copy(run, target) if target else None
             if result is None or isinstance(result, MoveFailed):
-                self._not_before[run.request_id] = self._state.now() + RETRY_DELAY_S
+                self._paused_until[run.request_id] = self._state.now() + RETRY_DELAY_S
         finally:
-            self._busy.discard(upstream_id)
+            self._copying_engine_ids.discard(upstream_id)
 
     def _max_memory_share(self, run: StreamRun) -> float:
         """Return the memory share up to which an engine may be filled with a periodic replica."""
@@ -131,8 +131,8 @@
             )
         )
 
-    def _forget_ended(self) -> None:
+    def _remove_expired_pauses(self) -> None:
         """Remove pauses that have expired."""
         now = self._state.now()
-        for request_id in [key for key, until in self._not_before.items() if until < now]:
-            del self._not_before[request_id]
+        for request_id in [key for key, until in self._paused_until.items() if until < now]:
+            del self._paused_until[request_id]
--- a/driftstall/gateway/registration.py
+++ b/driftstall/gateway/registration.py
@@ -20,7 +20,7 @@
 RELIST_INTERVAL_S: Final = 5.0
 """Interval at which the list of instances is read while fewer than two are known."""
 SEED_ANSWER_TIMEOUT_S: Final = 0.4
-"""Time within which seeds answer that start at about the same moment."""
+"""Time within which seeds that start at about the same moment answer."""
 FINAL_LIST_DELAY_S: Final = 5.0
 """Delay of one last read of the list after peers are known; a cheap read, as it may be stale."""
 
@@ -31,7 +31,7 @@
 
     instances: Feed[Instance]
     stale_instances: Feed[Instance]
-    """The same list as of some seconds ago; cheaper to read."""
+    """The list as of some seconds ago, which is cheaper to read."""
     register: Callable[[Instance], None]
     withdraw: Callable[[str], None]
 
@@ -44,13 +44,13 @@
         state: GatewayState,
         own: Instance,
         entries: InstanceEntries,
-        found: Callable[[tuple[Instance, ...]], None],
+        on_listed: Callable[[tuple[Instance, ...]], None],
     ) -> None:
         """Initialize with the state, this instance, the entries and the callback for others."""
         self._state = state
         self._own = own
         self._entries = entries
-        self._instances = InstanceSource(found)
+        self._instances = InstanceSource(on_listed)
 
     def write(self) -> None:
         """Write this instance's entry; raise PlatformUnavailable if the platform rejects it."""
@@ -86,4 +86,4 @@
         try:
             self._entries.withdraw(self._own.instance_id)
         except PlatformUnavailable as error:
-            log_event(PREFIX_DRAIN, f"Failed to remove the own entry: {error}")
+            log_event(PREFIX_DRAIN, f"Failed to remove this instance's entry: {error}")
--- a/driftstall/gateway/replica_finder.py
+++ b/driftstall/gateway/replica_finder.py
@@ -81,7 +81,7 @@
     def _await_final_copy(
         self, run: StreamRun, pending: AsyncResult, remaining_s: float
     ) -> FinalCopy | None:
-        """Wait for the result of the final copy; return None if it is late.
+        """Wait for the result of the final copy; return None if it does not arrive in time.
 
         All waits of a run share one deadline.
         """
@@ -92,7 +92,7 @@
         return final_copy
 
     def log_no_replica(self, run: StreamRun, cause: str) -> None:
-        """Log that a stream has no replica to resume at, with the facts behind it."""
+        """Log that a stream has no replica to resume at, with the send history."""
         generating_s = run.generating_s
         log_event(
             PREFIX_RELAY,
--- a/driftstall/gateway/reports.py
+++ b/driftstall/gateway/reports.py
@@ -33,7 +33,7 @@
 REPORT_PAUSE_S: Final = 0.03
 """Changes within this time are sent in one report."""
 LARGE_FLEET_REPORT_PAUSE_S: Final = 0.2
-"""The same in a large fleet, where sums are sent only a few times a second anyway."""
+"""REPORT_PAUSE_S of a large fleet, where sums are sent only a few times a second anyway."""
 SUMMARY_INTERVAL_S: Final = 0.5
 """Interval at which a collector sends sums; a zone with two collectors gets four a second."""
 REPORT_VALID_S: Final = 2.3
@@ -163,7 +163,7 @@
         self._send_summaries()
 
     def record_report(self, report: GatewayReport) -> bool:
-        """Record a peer's report; return True if the peer has just lost the platform."""
+        """Record a peer's report; return True if the platform has just become unreachable to it."""
         now = self._state.now()
         before = self._peers.get(report.sender)
         self._peers[report.sender] = _ReceivedReport(report, now)
@@ -224,7 +224,7 @@
             _milliseconds(platform_status.platform_age_s),
             self._state.fleet.digest,
             len(fresh) + 1,
-            self._own_ready()
+            self._own_id_if_ready()
             + tuple(received.report.sender for received in fresh if received.report.ready),
             self._state.loads.sorted_totals(self._state.now(), pooled=False),
             sum_by_service([*self._reported_repeats(fresh), *self._state.own_retry_counts()]),
@@ -248,7 +248,7 @@
             _milliseconds(self._min_platform_age_s(platform_status)),
             self._state.fleet.digest,
             len(fresh) + 1 + sum(zone.instances for zone in zones),
-            tuple(sorted(ready.union(self._own_ready()))),
+            tuple(sorted(ready.union(self._own_id_if_ready()))),
             self._state.loads.sorted_totals(self._state.now()),
             sum_by_service(counts),
             tuple(ReportAck(received.report.sender, received.report.number) for received in fresh),
@@ -267,7 +267,7 @@
         ]
         return min([platform_status.platform_age_s, *ages])
 
-    def _own_ready(self) -> tuple[str, ...]:
+    def _own_id_if_ready(self) -> tuple[str, ...]:
         """Return this instance's id if it accepts requests, else an empty tuple."""
         return (self._own.instance_id,) if self._state.is_ready else ()
 
--- a/driftstall/gateway/runs.py
+++ b/driftstall/gateway/runs.py
@@ -42,17 +42,17 @@
     replica: Replica | None
     """The replica at which the run resumes, if its engine has reported one."""
     may_have_stopped: bool
-    """Whether the step may have stopped the run; False if the engine refused the step."""
+    """Whether the final copy may have stopped the run; False if the engine rejected the copy."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenRun:
-    """Describe a run that broke off without a disconnect of its caller or a stop by this side."""
+    """Describe a run that was broken off neither by its caller nor by this instance."""
 
     request_id: str
     fingerprint: str
     under_way: bool
-    """Whether it had produced events at this upstream for some time."""
+    """Whether the run had produced events at this upstream for some time."""
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
     """Whether the stream was resumed at another engine; otherwise it ended with this run."""
     moves: int = 0
     waited_s: float = 0.0
-    """Time for which the relay has waited for the engine since the first event there."""
+    """Time for which the relay has waited for the engine since the engine's first event."""
     generating_s: float | None = None
     """The part of waited_s up to the last event; None before the first event. Time spent on a
     slow caller is not counted, because all its events may have been produced within a moment
--- a/driftstall/gateway/selection.py
+++ b/driftstall/gateway/selection.py
@@ -122,16 +122,16 @@
         zone_penalty = sampler.cross_zone_penalty if option.upstream.zone != zone else 0.0
         return _stream_cost(option, engine, requirement) + zone_penalty + sampler.jitter()
 
-    known = list(options)
+    candidates = list(options)
     if sampler.sample_size is None:
-        return _select_cheapest(known, cost, sampler)
+        return _select_cheapest(candidates, cost, sampler)
     local = _select_cheapest(
-        [option for option in known if option.upstream.zone == zone], cost, sampler
+        [option for option in candidates if option.upstream.zone == zone], cost, sampler
     )
     if local is not None and not local.is_ejected and cost(local) <= MAX_LOCAL_COST:
         return local
     remote = _select_cheapest(
-        [option for option in known if option.upstream.zone != zone], cost, sampler
+        [option for option in candidates if option.upstream.zone != zone], cost, sampler
     )
     if local is None or remote is None:
         return local or remote
@@ -142,8 +142,10 @@
 
 def run_memory_share(options: Iterable[Option], engine: Engine) -> float:
     """Return the share of the engines' total memory that runs use, not counting replicas."""
-    known = list(options)
-    return sum(option.use.tokens for option in known) / max(1, engine.memory_tokens * len(known))
+    candidates = list(options)
+    return sum(option.use.tokens for option in candidates) / max(
+        1, engine.memory_tokens * len(candidates)
+    )
 
 
 def has_room(option: Option, engine: Engine, requirement: TokenRequirement) -> bool:
@@ -160,11 +162,11 @@
     sampler: Sampler,
 ) -> Option | None:
     """Select the backup engine of a run; return None if no engine has room for the replica."""
-    known = list(options)
-    max_memory_share = backup_fill_limit(run_memory_share(known, engine))
+    candidates = list(options)
+    max_memory_share = backup_fill_limit(run_memory_share(candidates, engine))
     fitting = [
         option
-        for option in known
+        for option in candidates
         if option.upstream.upstream_id != primary.upstream_id
         and not option.is_ejected
         and not option.cold_s
@@ -250,6 +252,6 @@
     options: Iterable[Option], cost: Callable[[Option], float], sampler: Sampler
 ) -> Option | None:
     """Return the sampled option of least cost; an ejected one only if all are ejected."""
-    known = list(options)
-    healthy = [option for option in known if not option.is_ejected]
-    return min(sampler.sample(healthy or known), key=cost, default=None)
+    candidates = list(options)
+    healthy = [option for option in candidates if not option.is_ejected]
+    return min(sampler.sample(healthy or candidates), key=cost, default=None)
--- a/driftstall/gateway/sending.py
+++ b/driftstall/gateway/sending.py
@@ -91,7 +91,7 @@
             return UpstreamError("no answer in time", sent=True)
 
     def _may_send(self, upstream: Upstream, copy_of: str) -> bool:
-        """Return True if the request may be sent to start there, or to resume at a replica."""
+        """Return True if the request may be sent, to start a run or to resume at a replica."""
         if copy_of:
             return self._state.can_send(upstream)
         return self._state.can_start_on(upstream, self._history.sent_to)
--- a/driftstall/gateway/shared_budget.py
+++ b/driftstall/gateway/shared_budget.py
@@ -41,7 +41,7 @@
     count: RepeatCount
     at: float
     instances: int
-    """Number of instances that it is the sum of."""
+    """Number of instances whose counts are summed."""
 
 
 class SharedRetryBudget:
@@ -91,8 +91,8 @@
             return USABLE_SHARE * (bounds.retry_ratio * len(self._requests) + even_part)
         others = sum(peer.instances for peer in fresh)
         requests = len(self._requests) + sum(peer.count.requests for peer in fresh)
-        silent = max(0, self._instances.value - 1 - others)
-        total = bounds.retry_ratio * requests + bounds.retry_extra - silent * even_part
+        silent_instances = max(0, self._instances.value - 1 - others)
+        total = bounds.retry_ratio * requests + bounds.retry_extra - silent_instances * even_part
         usable = USABLE_SHARE * total
         reserved = min(UNREPORTED_PER_INSTANCE * others, MAX_UNREPORTED_SHARE * usable)
         return usable - reserved - sum(peer.count.repeats for peer in fresh)
--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -43,7 +43,7 @@
 )
 
 RECENT_S: Final = 6.0
-"""Changes are kept for resending for so long.
+"""How long changes are kept to be sent again.
 
 A peer notices within about four seconds that it is cut off from the platform.
 """
@@ -80,7 +80,7 @@
     """Applies a full list of the upstreams that accept requests, as of a store revision."""
     apply_cordons: Callable[[Cordons], None]
     record_leaving: Callable[[LeavingRecord], bool]
-    """Records that an upstream has signalled to leave; returns whether it was new."""
+    """Records that an upstream has signalled that it is leaving; returns whether that is new."""
 
 
 class PlatformDataSharing:
@@ -130,7 +130,7 @@
             self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
     def resend_changes(self, peer: str) -> None:
-        """Send recent changes to a peer that has just lost the platform and may miss them."""
+        """Send recent changes to a peer that can no longer reach the platform and may miss them."""
         for _, change in self._recent_changes:
             self._send(peer, UpstreamNews(self._own_id, change.item, change.removed))
 
@@ -145,14 +145,14 @@
         roles = self._roles()
         is_leaving = isinstance(action, UpstreamLeaving)
         if isinstance(action, UpstreamLeaving) and (action.is_suspected or action.has_signalled):
-            # Not from the platform: the instance that got it from the upstream publishes it.
+            # The platform has not reported this: the instance that the upstream told publishes it.
             return
         if (
             isinstance(action, UpstreamReplaced)
             or isinstance(action, UpstreamCold)
             and (action.is_assumed)
         ):
-            # Peers derive it from other updates: the upstream's later start, or a cordon's end.
+            # Peers derive the action from other updates: a later start, or the end of a cordon.
             return
         if not roles.is_large and is_leaving and not from_peer:
             # Peers watch the platform too, and learn of the upstream's removal there later.
@@ -168,7 +168,7 @@
     def publish_routing(self, *, from_peer: bool) -> None:
         """As a collector, send the routing document in force to the zone.
 
-        Unless it came from a peer, it is also sent to all other collectors.
+        A document that did not come from a peer is also sent to all other collectors.
         """
         roles = self._roles()
         if not roles.is_collector:
--- a/driftstall/gateway/sources.py
+++ b/driftstall/gateway/sources.py
@@ -81,12 +81,12 @@
     def handle_list(self, items: tuple[RoutingText, ...], at: StoreVersion) -> None:
         """Handle the stored documents."""
         for item in items:
-            self._take(item, PLATFORM)
+            self._apply_if_newer(item, PLATFORM)
 
     def handle_change(self, change: ItemChange[RoutingText]) -> None:
         """Handle a changed document; a removed document stays in force."""
         if not change.removed:
-            self._take(change.item, PLATFORM)
+            self._apply_if_newer(change.item, PLATFORM)
 
     def handle_peer_document(self, text: str) -> None:
         """Handle a document sent by a peer."""
@@ -95,7 +95,7 @@
         except (DriftstallError, ValueError) as error:
             log_event(PREFIX_CONFIGURATION, f"Invalid routing document from a peer: {error}")
             return
-        self._take(RoutingText(document, text), PEER)
+        self._apply_if_newer(RoutingText(document, text), PEER)
 
     def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer."""
@@ -109,7 +109,7 @@
             version=self.version,
         )
 
-    def _take(self, item: RoutingText, source: str) -> None:
+    def _apply_if_newer(self, item: RoutingText, source: str) -> None:
         """Put a document in force if it is newer."""
         if item.document.version <= self.version:
             return
@@ -129,7 +129,7 @@
 
 
 class PolicySource:
-    """Puts the newest submitted policy in force; the default stays if none was submitted."""
+    """Puts the newest submitted policy in force; the default applies if none was submitted."""
 
     def __init__(self, state: GatewayState) -> None:
         """Initialize with the shared state."""
@@ -159,12 +159,12 @@
     def handle_list(self, items: tuple[PolicyText, ...], at: StoreVersion) -> None:
         """Handle the stored policies."""
         for item in items:
-            self._take(item)
+            self._apply_if_newer(item)
 
     def handle_change(self, change: ItemChange[PolicyText]) -> None:
         """Handle a changed policy."""
         if not change.removed:
-            self._take(change.item)
+            self._apply_if_newer(change.item)
 
     def handle_platform_unreachable(self, cause: str) -> None:
         """Log that the platform doesn't answer."""
@@ -178,7 +178,7 @@
             revision=self._revision,
         )
 
-    def _take(self, item: PolicyText) -> None:
+    def _apply_if_newer(self, item: PolicyText) -> None:
         """Put a policy in force if it is newer and valid."""
         if item.revision <= self._revision:
             return
@@ -263,7 +263,7 @@
         self._state.notify_if_configured()
 
     def handle_suspected(self, upstream_id: str) -> None:
-        """Handle an upstream that a probe found leaving or ended."""
+        """Handle an upstream that a probe found to be leaving or terminated."""
         self._apply(UpstreamSuspected(upstream_id))
 
     def handle_leaving_signal(self, upstream_id: str, ago_s: float = 0.0) -> bool:
@@ -282,13 +282,13 @@
         self._apply(CordonedZonesChanged(self._state.cordons.zones, changed.lifted))
 
     def handle_platform_unreachable(self, cause: str) -> None:
-        """Log that the platform doesn't answer, and tell the fleet and the peers."""
+        """Log that the platform doesn't answer, and notify the fleet and the peers."""
         log_event(PREFIX_ROUTING, f"The platform's list of upstreams is unreachable: {cause}")
         self._apply(PlatformUnreachable())
         self._announce()
 
     def handle_platform_reachable(self) -> None:
-        """Log that the platform answers again, and tell the fleet and the peers."""
+        """Log that the platform answers again, and notify the fleet and the peers."""
         log_event(PREFIX_ROUTING, "The platform's list of upstreams is reachable again")
         self._apply(PlatformReachable())
         self._announce()
@@ -327,7 +327,7 @@
             PREFIX_ROUTING,
             f"Upstream {upstream.upstream_id} takes no more requests",
             source=_source_of(action, from_peer=from_peer),
-            # The notice may be that old; requests were sent there meanwhile.
+            # The notice may be that old; requests were sent to the upstream meanwhile.
             platform_silence_ms=int(self._store_silence_s() * 1000),
             revision=upstream.revision,
         )
@@ -347,7 +347,7 @@
 
     @_perform.register
     def _(self, action: UpstreamReplaced, *, from_peer: bool) -> None:
-        # Open exchanges will get no answer; their requests may have run until the restart.
+        # Open exchanges will get no response; their requests may have run until the restart.
         upstream = action.upstream
         given_up = self._state.exchanges.close_all(upstream.upstream_id)
         log_event(
@@ -385,11 +385,11 @@
 class InstanceSource:
     """Passes the instances that the platform lists to the membership."""
 
-    def __init__(self, found: Callable[[tuple[Instance, ...]], None]) -> None:
+    def __init__(self, on_listed: Callable[[tuple[Instance, ...]], None]) -> None:
         """Initialize with the callback for the listed instances."""
-        self._found = found
+        self._on_listed = on_listed
 
     def handle_list(self, items: tuple[Instance, ...]) -> None:
         """Handle the whole list."""
         log_event(PREFIX_MEMBERSHIP, f"The platform lists {len(items)} instances")
-        self._found(items)
+        self._on_listed(items)
--- a/driftstall/gateway/state.py
+++ b/driftstall/gateway/state.py
@@ -92,7 +92,7 @@
         self.loads_changed = Event()
         self.stopping_since: float | None = None
         self.notice_at = float("-inf")
-        """When an upstream was last reported as leaving, on the steady clock."""
+        """When an upstream was last reported as leaving, on the monotonic clock."""
         self.open_requests = 0
         self.request_placement: Callable[[PlacementAsked], PlacementGiven | None] = _place_locally
         """Asks the zone's placer for an upstream; returns None if this instance is to choose."""
@@ -113,7 +113,7 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock in seconds, including time in suspension."""
+        """Return the monotonic clock in seconds, including time in suspension."""
         return clock.now()
 
     @staticmethod
@@ -139,11 +139,11 @@
 
     def retry_budget(self, service: str) -> SharedRetryBudget:
         """Return the retry budget of a service."""
-        found = self._budgets.get(service)
-        if found is None:
-            found = SharedRetryBudget(service, self.settings.bounds, self.instances)
-            self._budgets[service] = found
-        return found
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = SharedRetryBudget(service, self.settings.bounds, self.instances)
+            self._budgets[service] = budget
+        return budget
 
     def set_load_pooling(self, pooled: bool) -> None:
         """Sample a few upstreams per choice while loads arrive as sums of many instances.
@@ -301,8 +301,8 @@
 
     def cold_rate(self, service: str) -> float:
         """Return the requests per second that a cold upstream can serve; zero if not set."""
-        found = self.route_table.service(service) if self.route_table else None
-        return found.cold_rate if found else 0.0
+        service_config = self.route_table.service(service) if self.route_table else None
+        return service_config.cold_rate if service_config else 0.0
 
     def _cold_rate_part(self, service: str) -> ColdPart | None:
         """Return this instance's part of the rate to a cold upstream; None for no bound."""
@@ -367,7 +367,7 @@
     ) -> None:
         """Record the outcome of a request to an upstream and its duration in seconds."""
         if outcome is Outcome.UNREACHABLE:
-            # It may be restarting, and a restarted upstream is cold before it can report so.
+            # The upstream may be restarting, and is then cold before it can report so.
             self.cold.assume(upstream_id, ASSUMED_COLD_S, self.now())
         self.outcomes.record_outcome(upstream_id, service, outcome, self.now(), seconds)
 
--- a/driftstall/gateway/store_reachability.py
+++ b/driftstall/gateway/store_reachability.py
@@ -89,7 +89,7 @@
 
     @property
     def is_silent(self) -> bool:
-        """Return True if the platform may answer neither this instance nor its delegates.
+        """Return True if the platform may answer neither this instance nor its collectors.
 
         One failed call is enough: from then on engines may leave unnoticed, and probing them is
         cheap.
@@ -114,7 +114,8 @@
         """Return the instances that share the probing of engines.
 
         In a small fleet these are the instances that the platform does not answer. In a large one
-        all share it once they all lack the platform; a follower that lacks it first probes alone.
+        all instances share it once the platform answers none of them; a follower that loses the
+        platform before the others probes alone.
         """
         live = self._live()
         if self._roles().is_large:
--- a/driftstall/gateway/store_recovery.py
+++ b/driftstall/gateway/store_recovery.py
@@ -26,7 +26,7 @@
 MIN_SPREAD_S: Final = 1.0
 """Shortest time over which writes are spread."""
 MAX_WRITERS: Final = 3
-"""Instances that write a shared object one after another; the later ones usually find it stored."""
+"""Instances that rewrite a shared object one after another; later ones usually find it stored."""
 SUBSTITUTE_AFTER_S: Final = 4.0
 RETRY_PAUSE_S: Final = 1.0
 MAX_ATTEMPTS: Final = 30
@@ -62,9 +62,12 @@
         """Register a write of this instance's own entry; it may raise PlatformUnavailable."""
         self._own_writes.append(write)
 
-    def register_shared_write(self, what: str, write: Callable[[], None]) -> None:
-        """Register a write of an object that all instances hold; may raise PlatformUnavailable."""
-        self._shared_writes[what] = write
+    def register_shared_write(self, name: str, write: Callable[[], None]) -> None:
+        """Register a write of an object that all instances hold, under the object's name.
+
+        The write may raise PlatformUnavailable.
+        """
+        self._shared_writes[name] = write
 
     def handle_era(self, era: int) -> None:
         """Handle an era reported by the store or a peer; a new one starts the recovery."""
@@ -88,31 +91,31 @@
             self._schedule(
                 MIN_WRITE_DELAY_S + spread_s * self._state.rng.random(), "instance", write
             )
-        for what, write in self._shared_writes.items():
-            position = self._writer_position(what)
+        for name, write in self._shared_writes.items():
+            position = self._writer_position(name)
             if position < MAX_WRITERS:
-                self._schedule(INCOMPLETE_S + SUBSTITUTE_AFTER_S * position, what, write)
+                self._schedule(INCOMPLETE_S + SUBSTITUTE_AFTER_S * position, name, write)
 
-    def _writer_position(self, what: str) -> int:
+    def _writer_position(self, name: str) -> int:
         """Return how many instances come before this one as the writer of a shared object."""
-        own = weight(what, self._own_id)
+        own = weight(name, self._own_id)
         staying = [instance for instance in self._live() if not instance.leaving]
-        return sum(weight(what, instance.instance_id) > own for instance in staying)
+        return sum(weight(name, instance.instance_id) > own for instance in staying)
 
-    def _schedule(self, after_s: float, what: str, write: Callable[[], None]) -> None:
+    def _schedule(self, after_s: float, name: str, write: Callable[[], None]) -> None:
         """Schedule a write."""
-        gevent.spawn_later(after_s, self._write_with_retries, what, write)
+        gevent.spawn_later(after_s, self._write_with_retries, name, write)
 
-    def _write_with_retries(self, what: str, write: Callable[[], None]) -> None:
+    def _write_with_retries(self, name: str, write: Callable[[], None]) -> None:
         """Write, and retry while the store is unavailable."""
         for _ in range(MAX_ATTEMPTS):
             if self._state.stopping_since is not None:
                 return
             try:
                 write()
-                log_event(PREFIX_CONFIGURATION, f"Rewritten to the store: {what}")
+                log_event(PREFIX_CONFIGURATION, f"Rewritten to the store: {name}")
                 return
             except PlatformUnavailable as error:
-                log_event(PREFIX_CONFIGURATION, f"Not rewritten to the store yet: {what}: {error}")
+                log_event(PREFIX_CONFIGURATION, f"Not rewritten to the store yet: {name}: {error}")
                 gevent.sleep(RETRY_PAUSE_S * (0.5 + self._state.rng.random()))
-        log_event(PREFIX_CONFIGURATION, f"Not rewritten, the store stays unavailable: {what}")
+        log_event(PREFIX_CONFIGURATION, f"Not rewritten, the store stays unavailable: {name}")
--- a/driftstall/gateway/stream_context.py
+++ b/driftstall/gateway/stream_context.py
@@ -73,14 +73,14 @@
         return self.state.try_take_retry(upstream.service, self.admitted.metadata.request_id)
 
     def handle_break(self, run: StreamRun, error: Exception | None = None) -> None:
-        """Report a broken run, so that it is checked whether its upstream has crashed.
+        """Report a broken run, so that the crash detector checks its upstream.
 
         A run that was broken off by its caller or by a final copy is not reported.
         """
         if self.is_caller_disconnected or run.pending_final_copy is not None:
             return
         if isinstance(error, TimeoutError):
-            # A silent upstream has not crashed; it may be leaving, or be partitioned.
+            # A silent upstream has not crashed; it may be leaving, or cut off by a partition.
             self.state.on_upstream_suspected(run.upstream)
             return
         under_way = run.generating_s is not None and run.generating_s >= UNDER_WAY_S
--- a/driftstall/gateway/stream_opener.py
+++ b/driftstall/gateway/stream_opener.py
@@ -104,7 +104,7 @@
         return None
 
     def _build_problem(self, attempts: _Attempts) -> Problem:
-        """Return the problem that no upstream accepts the request."""
+        """Return the problem for a request that no upstream accepts."""
         ran = self._context.history.ran
         return self._backoff_refusal() or Problem(
             CODE_NO_RUNNER, 503, attempts.detail, ran, FULL_RETRY_S
--- a/driftstall/gateway/stream_placer.py
+++ b/driftstall/gateway/stream_placer.py
@@ -56,47 +56,47 @@
         self._pending_replies: dict[str, AsyncResult] = {}
         self._cold_gate = ColdGate(state.cold, state.rng, self._cold_part, state.now)
 
-    def place(self, asked: PlacementAsked) -> PlacementGiven | None:
+    def place(self, request: PlacementAsked) -> PlacementGiven | None:
         """Return the placement of a stream; None if this instance has to choose by itself."""
         placer = self._placer_order.select(self._roles().placers, self._state.now())
         if placer is None:
             return None
         if placer == self._own_id:
-            return self._choose(asked)
-        pending_reply = self._pending_replies[asked.request_id] = AsyncResult()
+            return self._choose(request)
+        pending_reply = self._pending_replies[request.request_id] = AsyncResult()
         try:
-            self._send(placer, asked)
-            given: PlacementGiven | None = pending_reply.wait(timeout=PLACEMENT_TIMEOUT_S)
+            self._send(placer, request)
+            placement: PlacementGiven | None = pending_reply.wait(timeout=PLACEMENT_TIMEOUT_S)
         finally:
-            del self._pending_replies[asked.request_id]
-        if given is None:
+            del self._pending_replies[request.request_id]
+        if placement is None:
             self._placer_order.record_timeout(placer, self._state.now())
             log_event(
-                PREFIX_ROUTING, f"No placement from {placer} in time", request=asked.request_id
+                PREFIX_ROUTING, f"No placement from {placer} in time", request=request.request_id
             )
-        return given
+        return placement
 
-    def handle_placement(self, given: PlacementGiven) -> None:
+    def handle_placement(self, placement: PlacementGiven) -> None:
         """Handle the reply of a placer; a late one is ignored."""
-        pending_reply = self._pending_replies.get(given.request_id)
+        pending_reply = self._pending_replies.get(placement.request_id)
         if pending_reply is not None:
-            pending_reply.set(given)
+            pending_reply.set(placement)
 
-    def handle_request(self, asked: PlacementAsked) -> None:
+    def handle_request(self, request: PlacementAsked) -> None:
         """Answer a placement request of another instance; no reply without a configuration."""
-        given = self._choose(asked)
-        if given is not None:
-            self._send(asked.sender, given)
+        placement = self._choose(request)
+        if placement is not None:
+            self._send(request.sender, placement)
 
     def handle_report(self, member: str) -> None:
         """Drop the pending placements that a member's report of its runs now covers."""
         for request_id in self._pending_placements.reported(member, self._state.now()):
             self._state.loads.remove_pending(request_id)
 
-    def _choose(self, asked: PlacementAsked) -> PlacementGiven | None:
+    def _choose(self, request: PlacementAsked) -> PlacementGiven | None:
         """Choose the engine and the backup, and count the placement as pending."""
         service = (
-            self._state.route_table.service(asked.service) if self._state.route_table else None
+            self._state.route_table.service(request.service) if self._state.route_table else None
         )
         if service is None or service.engine is None:
             return None
@@ -104,44 +104,48 @@
         engine = service.engine
         # The placer knows the load of all engines equally well, so it compares all of them.
         sampler = Sampler(self._state.rng, cross_zone_penalty=CROSS_ZONE_STREAM_PENALTY)
-        requirement = TokenRequirement(asked.prompt_tokens, asked.output_tokens)
-        options = self._state.options(asked.service, frozenset(asked.avoid), respects_backoff=False)
+        requirement = TokenRequirement(request.prompt_tokens, request.output_tokens)
+        options = self._state.options(
+            request.service, frozenset(request.avoid), respects_backoff=False
+        )
         chosen = choose_stream(
-            self._cold_gate.select_open(options), engine, requirement, asked.zone, sampler
+            self._cold_gate.select_open(options), engine, requirement, request.zone, sampler
         )
         if chosen is None:
-            return PlacementGiven(self._own_id, asked.request_id, "", "", False)
+            return PlacementGiven(self._own_id, request.request_id, "", "", False)
         backup = None
-        if asked.wants_backup:
+        if request.wants_backup:
             backup = choose_backup(
                 options, engine, requirement, chosen.upstream, self._state.sampler
             )
-        given = PlacementGiven(
+        placement = PlacementGiven(
             self._own_id,
-            asked.request_id,
+            request.request_id,
             chosen.upstream.upstream_id,
             backup.upstream.upstream_id if backup else "",
             has_room(chosen, engine, requirement),
         )
-        if given.has_room or asked.taken_anyway:
+        if placement.has_room or request.taken_anyway:
             self._cold_gate.record_send(chosen.upstream)
-            self._add_pending(asked, given)
-        return given
+            self._add_pending(request, placement)
+        return placement
 
     def _cold_part(self, service: str) -> ColdPart | None:
         """Return this placer's share of the sends to cold upstreams; None if unlimited."""
         rate = self._state.cold_rate(service)
         return ColdPart.of_placer(rate, len(self._roles().placers)) if rate else None
 
-    def _add_pending(self, asked: PlacementAsked, given: PlacementGiven) -> None:
+    def _add_pending(self, request: PlacementAsked, placement: PlacementGiven) -> None:
         """Count a placement for another instance until that instance reports it."""
-        if asked.sender == self._own_id:
+        if request.sender == self._own_id:
             # This instance's own runs are part of its own sums as soon as they are sent.
             return
-        tokens = asked.prompt_tokens + int(GROWTH_SHARE * asked.output_tokens)
-        share = RequestLoad(given.upstream_id, tokens, asked.prompt_tokens, given.backup_id)
-        self._state.loads.set_pending(asked.request_id, share)
-        self._pending_placements.add(asked.sender, asked.request_id, self._state.now())
+        tokens = request.prompt_tokens + int(GROWTH_SHARE * request.output_tokens)
+        load = RequestLoad(
+            placement.upstream_id, tokens, request.prompt_tokens, placement.backup_id
+        )
+        self._state.loads.set_pending(request.request_id, load)
+        self._pending_placements.add(request.sender, request.request_id, self._state.now())
 
     def _remove_expired(self) -> None:
         """Drop pending placements that no report has covered in time."""
--- a/driftstall/gateway/stream_resumer.py
+++ b/driftstall/gateway/stream_resumer.py
@@ -17,11 +17,11 @@
 MAX_COLD_WAIT_S: Final = 1.2
 """How long a stream that can resume waits for an engine that has become cold."""
 MAX_BACKOFF_WAIT_S: Final = 1.2
-"""How long it waits for an engine that has requested a back-off."""
+"""How long such a stream waits for an engine that has requested a back-off."""
 MAX_TURN_WAIT_S: Final = 1.2
-"""How long it waits for its turn at an engine that signals a rate limit."""
+"""How long such a stream waits for its turn at an engine that signals a rate limit."""
 MAX_RESUMES: Final = 8
-"""Maximum number of times that one stream is resumed; each upstream may leave in turn."""
+"""Maximum number of times that one stream is resumed; each of its upstreams may leave in turn."""
 OK: Final = 200
 
 
--- a/driftstall/gateway/streams.py
+++ b/driftstall/gateway/streams.py
@@ -184,7 +184,10 @@
         return remaining_s
 
     def _forward(self, run: StreamRun, events: list[Event]) -> Exception | None:
-        """Write events to the caller; return an error if one is missing or the caller left."""
+        """Write events to the caller.
+
+        Return an error if an event is missing or the caller has disconnected, else None.
+        """
         next_events: list[bytes] = []
         error: UpstreamError | None = None
         for event in events:
@@ -198,13 +201,13 @@
         # Events before a gap are already counted as relayed: if they were not written, a resumed
         # stream would lack them.
         if next_events:
-            self._count(run, len(next_events))
+            self._record_progress(run, len(next_events))
             if not self._connection.write(encode_chunk(b"".join(next_events))):
                 self._context.is_caller_disconnected = True
                 return UpstreamError("the caller has disconnected", sent=True)
         return error
 
-    def _count(self, run: StreamRun, events: int) -> None:
+    def _record_progress(self, run: StreamRun, events: int) -> None:
         """Update progress, times and load after the arrival of events."""
         now = self._state.now()
         if run.generating_s is None:
@@ -244,7 +247,7 @@
         return self._connection.write(LAST_CHUNK) and self._keep_alive
 
     def _break_off(self, run: StreamRun, cause: str) -> bool:
-        """End a stream that cannot resume; the missing last chunk tells the caller."""
+        """End a stream that cannot resume; the caller sees that the last chunk is missing."""
         self._context.record_outcome(run, Outcome.BROKEN)
         self._state.stats.streams_broken += 1
         log_event(
--- a/driftstall/gateway/upstream_prober.py
+++ b/driftstall/gateway/upstream_prober.py
@@ -2,7 +2,7 @@
 
 An engine is also probed, regardless of the platform, when a stream there breaks off unexpectedly:
 an engine that crashed gives no notice, and its entry is removed only after some seconds of silence.
-The same applies when it refuses a replica: it may be full, or about to leave.
+An engine that rejects a replica is probed too: the engine may be full, or about to leave.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class UpstreamProber:
-    """Probes engines and publishes those that are leaving or have ended."""
+    """Probes engines and publishes those that are leaving or have terminated."""
 
     def __init__(
         self,
@@ -45,7 +45,8 @@
         """Initialize with the shared state, readers of the platform's status, and the callbacks.
 
         The callable probers returns the instances that share the probing. For an engine that is
-        leaving or has ended, on_suspected is called with its id, and publish sends it to all peers.
+        leaving or has terminated, on_suspected is called with its id, and publish sends the id to
+        all peers.
         """
         self._state = state
         self._own = own
@@ -78,7 +79,7 @@
             if self._is_platform_silent() or self._state.fleet.has_suspects:
                 self.probe_all()
                 gevent.sleep(PROBE_INTERVAL_S - CHECK_INTERVAL_S)
-            self._forget_old()
+            self._remove_expired()
 
     def _probe(self, upstream: Upstream) -> None:
         """Probe one engine, unless it was probed just now, and handle a bad state."""
@@ -118,7 +119,7 @@
         )
         self._publish(engine_id)
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         """Remove probe and publication times that have no effect any more."""
         oldest = self._state.now() - REPUBLISH_INTERVAL_S
         for times in (self._probed_at, self._published_at):
--- a/driftstall/gateway/upstream_registry.py
+++ b/driftstall/gateway/upstream_registry.py
@@ -143,8 +143,8 @@
     def draining(self, service: str, now: float, drain_s: float) -> tuple[Upstream, ...]:
         """Return the upstreams of a service that signalled that they are leaving and still serve.
 
-        Upstreams reported as leaving only by the platform or a probe are left out, as they may
-        have ended already.
+        Upstreams reported as leaving only by the platform or a probe are excluded, as they may
+        have terminated already.
         """
         return tuple(
             entry.upstream
@@ -155,9 +155,9 @@
         )
 
     def can_still_serve(self, upstream_id: str, now: float, drain_s: float) -> bool:
-        """Return True if runs or replicas held by an upstream can still be requested from it.
+        """Return True if an upstream may still be sent requests, also for the replicas it holds.
 
-        A leaving upstream serves them for drain_s seconds after its notice.
+        A leaving upstream serves requests for drain_s seconds after its notice.
         """
         entry = self._find_entry(upstream_id)
         if entry is not None:
--- a/driftstall/gateway/watch_delegation.py
+++ b/driftstall/gateway/watch_delegation.py
@@ -2,8 +2,9 @@
 
 A few collectors (followers) watch the platform; all collectors forward the updates together with
 the age of the platform's last answer. An instance relies on them while that age is small. If no
-collector reports it watches at once by itself; if collectors report but the platform answers none
-of them, it polls occasionally, so that an outage doesn't cause a call storm.
+collector reports, the instance watches the platform itself at once. If collectors report but the
+platform answers none of them, the instance polls occasionally, so that an outage doesn't cause a
+call storm.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 class WatchDelegation:
-    """What collectors have last reported about the platform."""
+    """Records collectors' reports, and decides when an instance calls the platform itself."""
 
     def __init__(self, source: random.Random) -> None:
         """Initialize without any report, with the random source for the jitter."""
@@ -72,7 +73,7 @@
         return now - self._fresh_at <= COLLECTOR_TIMEOUT_S
 
     def delay_s(self, now: float, feed: str = "") -> float:
-        """Return how long to make no call to the platform, in seconds; zero to call now.
+        """Return the time in seconds until the platform may be called; zero to call now.
 
         During an outage, feeds of the same name share one schedule of calls.
         """
@@ -105,7 +106,8 @@
         """Initialize with the collectors' reports, a reader of the roles and the monotonic clock.
 
         The callable max_watch_s returns the longest timeout of an idle watch, in seconds; the first
-        watch starts settle_s after this. Feeds of the same name share the calls of an outage.
+        watch starts settle_s after the initialization. Feeds of the same name share the calls of an
+        outage.
         """
         self._feed = feed
         self._delegation = delegation
@@ -136,7 +138,7 @@
         return not self._is_follower and self._delegation.is_delegated(self._now())
 
     def delay_s(self) -> float:
-        """Return how long to make no call, in seconds."""
+        """Return the time in seconds until the next call may be made; zero to call now."""
         remaining_s = self._settled_at - self._now()
         if remaining_s > 0:
             return remaining_s
@@ -179,7 +181,7 @@
         self._is_behind = is_behind
 
     def delay_s(self) -> float:
-        """Return how long to make no call, in seconds."""
+        """Return the time in seconds until the next call may be made; zero to call now."""
         roles = self._roles()
         return 0.0 if roles.is_follower or self._is_behind() else COLLECTOR_TIMEOUT_S
 
