--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -117,8 +117,8 @@
         event = self._carry_out(ReadConfig())
         if not isinstance(event, ConfigRead):
             return SubmitState.UNKNOWN
-        known = submission_id in event.document.submissions
-        return SubmitState.ACCEPTED if known else SubmitState.UNKNOWN
+        is_accepted = submission_id in event.document.submissions
+        return SubmitState.ACCEPTED if is_accepted else SubmitState.UNKNOWN
 
     def _carry_out(self, action: SubmitAction) -> SubmitEvent:
         """Read or write the stored configuration."""
@@ -160,11 +160,11 @@
     def _restore_if_lost(self, stored: tuple[VersionedValue, ...]) -> None:
         """Write the configuration in force to the store if the store has an older one or none.
 
-        This happens after the store was restored from a backup. A few instances check, and the
-        first to write wins.
+        The store may lack it after it was restored from an older copy. A few instances check, and
+        the first of them to write succeeds.
         """
-        found = config_from_json(stored[0].value) if stored else EMPTY
-        if found.generation >= self.document.generation or not self._should_restore():
+        stored_document = config_from_json(stored[0].value) if stored else EMPTY
+        if stored_document.generation >= self.document.generation or not self._should_restore():
             return
         gevent.sleep(MAX_RESTORE_DELAY_S * self._hub.rng.random())
         value = config_to_json(self.document)
@@ -174,7 +174,7 @@
             PREFIX_CONFIGURATION,
             f"Restored the configuration in the store: {result.state.value}",
             generation=self.document.generation,
-            stored=found.generation,
+            stored=stored_document.generation,
         )
         if result.state is not WriteState.DONE:
             # Another instance has written, or the outcome is unknown: list again.
--- a/driftstall/daemon/grants_service.py
+++ b/driftstall/daemon/grants_service.py
@@ -92,9 +92,9 @@
 
     def _get_or_create_controller(self, group: str) -> GrantsController | None:
         """Return the controller of a group, created on demand; None for an unknown group."""
-        found = self._owned.get(group)
-        if found is not None or group not in self._fleet.groups:
-            return found
+        existing = self._owned.get(group)
+        if existing is not None or group not in self._fleet.groups:
+            return existing
         controller = build_controller(group)
         self._owned[group] = controller
         self._sent_limits.pop(group, None)
@@ -146,8 +146,8 @@
 
     def _update_limits(self, controller: GrantsController) -> None:
         """Send a controller the rate limits of its runners if they have changed."""
-        found = ((name, self._limits.per_s(name)) for name in sorted(controller.runners))
-        limits = tuple((name, per_s) for name, per_s in found if per_s is not None)
+        rates = ((name, self._limits.per_s(name)) for name in sorted(controller.runners))
+        limits = tuple((name, per_s) for name, per_s in rates if per_s is not None)
         if limits != self._sent_limits.get(controller.group, ()):
             self._sent_limits[controller.group] = limits
             self._dispatch(controller, RunnersLimited(controller.group, limits))
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -125,14 +125,14 @@
 
     def _crashes(self) -> list[dict[str, Any]]:
         """Return the quarantined requests, which have crashed runners."""
-        found = self._node.poison.tracker.quarantined(self._node.hub.now())
+        quarantined = self._node.poison.tracker.quarantined(self._node.hub.now())
         return [
             {
                 "fingerprint": fingerprint,
                 "upstreams": verdict.upstream_ids,
                 "wait_s": round(verdict.wait_s, 1),
             }
-            for fingerprint, verdict in sorted(found.items())
+            for fingerprint, verdict in sorted(quarantined.items())
         ]
 
     def _submit(self, raw: Any, start: StartResponse) -> Iterable[bytes]:
--- a/driftstall/daemon/settings.py
+++ b/driftstall/daemon/settings.py
@@ -157,12 +157,12 @@
         except DocoptExit as fault:
             message = str(fault).strip().splitlines()[0]
             raise SettingsError((f"{message}; see driftstalld --help",)) from fault
-        given = {name.split("=")[0].lstrip("-") for name in argv if name.startswith("--")}
+        flags_in_argv = {name.split("=")[0].lstrip("-") for name in argv if name.startswith("--")}
         raw = {}
         for setting in fields(cls):
             flag = setting.name.replace("_", "-")
             variable = environ.get(ENV_PREFIX + setting.name.upper())
-            use_flag = flag in given or variable is None
+            use_flag = flag in flags_in_argv or variable is None
             raw[setting.name] = flags[f"--{flag}"] if use_flag else variable
         return cls._checked(raw)
 
--- a/driftstall/decisions/lengths.py
+++ b/driftstall/decisions/lengths.py
@@ -53,17 +53,17 @@
     def _class_of(self, request: Request) -> Survival:
         """Return the narrowest class of a request."""
         key = (request.workspace, request.kind, request.model)
-        found = self._classes.get(key)
-        if found is not None:
-            return found
+        survival = self._classes.get(key)
+        if survival is not None:
+            return survival
         kind_key = (request.kind, request.model)
         kind = self._kinds.get(kind_key)
         if kind is None:
             kind = self._kinds[kind_key] = Survival(self._all)
         if len(self._classes) >= MAX_CLASSES:
             return kind
-        found = self._classes[key] = Survival(kind)
-        return found
+        survival = self._classes[key] = Survival(kind)
+        return survival
 
     def survival_probability(self, request: Request, produced: int, ahead: int) -> float:
         """Return the probability that the output grows by more than `ahead` tokens."""
--- a/driftstall/decisions/memory.py
+++ b/driftstall/decisions/memory.py
@@ -81,7 +81,7 @@
         for index, ahead in steps:
             chance = survival_probabilities[index]
             if chance > 0.0:
-                held = memory_tokens_now + ahead
-                means[index] += chance * held
-                variances[index] += chance * (1.0 - chance) * held * held
+                tokens = memory_tokens_now + ahead
+                means[index] += chance * tokens
+                variances[index] += chance * (1.0 - chance) * tokens * tokens
     return MemoryForecast(tuple(means), tuple(variances))
--- a/driftstall/decisions/placers.py
+++ b/driftstall/decisions/placers.py
@@ -106,9 +106,9 @@
             if now - placement.at > PENDING_S
         )
 
-    def _remove(self, found: Iterable[str]) -> tuple[str, ...]:
+    def _remove(self, request_ids: Iterable[str]) -> tuple[str, ...]:
         """Remove requests and return them."""
-        removed = tuple(found)
+        removed = tuple(request_ids)
         for request_id in removed:
             del self._pending[request_id]
         return removed
--- a/driftstall/decisions/poison_detection.py
+++ b/driftstall/decisions/poison_detection.py
@@ -227,7 +227,7 @@
         self, reports: Iterable[PoisonReport], now: float
     ) -> tuple[PoisonReport, ...]:
         """Return reports with successes that clear requests of crashes a peer reported."""
-        found = []
+        exonerations = []
         for report in reports:
             record = self._records.get(report.fingerprint)
             if record is None or not report.crashes:
@@ -240,8 +240,8 @@
             # A success also clears crashes up to SUCCESS_GRACE_S after it.
             clears = newest_crash_age_s > success_age_s - SUCCESS_GRACE_S
             if clears and peer_success_age_s - success_age_s > MIN_SUCCESS_ADVANCE_S:
-                found.append(_build_report(report.fingerprint, record, now))
-        return tuple(found)
+                exonerations.append(_build_report(report.fingerprint, record, now))
+        return tuple(exonerations)
 
     def forget_expired(self, now: float) -> None:
         """Remove crashes past their retention, and requests without crashes."""
@@ -334,13 +334,13 @@
     """Return the crashes that a peer reports beyond those known for each upstream."""
     missing = Counter(report.upstream_id for report in reported)
     missing.subtract(Counter(report.upstream_id for report in known))
-    found = []
-    # The newest ones are the unknown ones: known crashes were seen or reported earlier.
+    crashes = []
+    # The newest crashes are the unknown ones: known crashes were seen or reported earlier.
     for report in sorted(reported, key=lambda report: report.ago_ms):
         if missing[report.upstream_id] > 0 and report.ago_ms <= CRASH_RETENTION_S * 1000:
             missing[report.upstream_id] -= 1
-            found.append(Crash(report.upstream_id, now - report.ago_ms / 1000, report.under_way))
-    return found
+            crashes.append(Crash(report.upstream_id, now - report.ago_ms / 1000, report.under_way))
+    return crashes
 
 
 def _build_report(fingerprint: str, record: _Record, now: float) -> PoisonReport:
--- a/driftstall/decisions/yielding.py
+++ b/driftstall/decisions/yielding.py
@@ -21,11 +21,11 @@
     grant_id: str
     rank: int
     may_yield: bool
-    held: int
+    held_tokens: int
     """Memory that yielding frees, in tokens."""
-    lost: int
+    lost_tokens: int
     """Tokens that must be prefilled once more."""
-    remaining: float
+    remaining_tokens: float
     """Expected tokens still to come."""
     yields: int
     running_s: float
@@ -54,11 +54,16 @@
         candidate.may_yield
         and candidate.yields < MAX_YIELDS
         and candidate.running_s >= MIN_RUN_S
-        and candidate.remaining > NEARLY_DONE_TOKENS
+        and candidate.remaining_tokens > NEARLY_DONE_TOKENS
     )
 
 
 def _sort_key(candidate: Candidate) -> tuple[int, int, float, float]:
     """Return the sort key: rank, yields so far, then tokens lost per token freed."""
-    freed = max(1.0, candidate.held + candidate.remaining)
-    return (-candidate.rank, candidate.yields, candidate.lost / freed, -candidate.remaining)
+    freed = max(1.0, candidate.held_tokens + candidate.remaining_tokens)
+    return (
+        -candidate.rank,
+        candidate.yields,
+        candidate.lost_tokens / freed,
+        -candidate.remaining_tokens,
+    )
--- a/driftstall/policy/parse.py
+++ b/driftstall/policy/parse.py
@@ -156,12 +156,12 @@
         _fail(tree, f"rule {name} stands twice", "give each rule a name of its own")
     line = tree.meta.line
     verdict = replace(DEFAULT_VERDICT, rule=str(name), line=line)
-    seen: set[str] = set()
+    clause_kinds: set[str] = set()
     for clause in clauses:
         assert isinstance(clause, Tree)
-        if clause.data in seen:
+        if clause.data in clause_kinds:
             _fail(clause, f"{clause.data} stands twice in rule {name}", "keep one of them")
-        seen.add(str(clause.data))
+        clause_kinds.add(str(clause.data))
         verdict = replace(verdict, **_parse_clause(clause))
     if condition is None:
         return Rule(str(name), line, None, "always", verdict)
