--- a/features/worlds/__init__.py
+++ b/features/worlds/__init__.py
@@ -1,3 +1,3 @@
-"""Hold small worlds around the pure core, with faults at every step."""
+"""Simulations for tests: the pure core with its environment, and faults injected at each step."""
 
 from __future__ import annotations
--- a/features/worlds/claims_world.py
+++ b/features/worlds/claims_world.py
@@ -134,7 +134,7 @@
         """Check the guarantees of claims."""
         assert self.runs["key"] <= 1, f"the call ran {self.runs['key']} times"
         both = self.reported_not_run & set(self.ran_nonces)
-        assert not both, f"told 'not run', but it was run: {both}"
+        assert not both, f"reported as 'not run', but it was run: {both}"
         if self._faults <= PLATFORM_FAULTS:
             assert self.runs["key"] == 1, "nobody died, yet the key is lost"
         assert self.runs["fresh"] == 1, "a fresh key is not granted after all faults"
--- a/features/worlds/config_world.py
+++ b/features/worlds/config_world.py
@@ -79,9 +79,9 @@
         accepted = self._stored[1].submissions
         for name, state in self.states.items():
             if state is SubmitState.ACCEPTED:
-                assert name in accepted, f"{name} was accepted and is gone"
+                assert name in accepted, f"{name} was accepted but is missing"
             if state in (SubmitState.CONFLICT, SubmitState.UNREACHABLE):
-                assert name not in accepted, f"{name} was told as not taken and is in force"
+                assert name not in accepted, f"{name} was reported as not accepted but is in force"
         assert self.states["last"] is SubmitState.ACCEPTED, "nothing is accepted after all faults"
         newest = self._stored[1]
         for instance in self._instances:
--- a/features/worlds/fleet_world.py
+++ b/features/worlds/fleet_world.py
@@ -1,4 +1,4 @@
-"""Model the platform's history of upstreams and deliver it to one fleet in any order.
+"""Simulation of the platform's history of upstreams, delivered to one fleet in any order.
 
 A model-based test draws the steps. After each one, no upstream may accept requests that is known
 to have left, and none that is known to be ready may be excluded.
@@ -31,7 +31,7 @@
 
 
 class StoredState(StrEnum):
-    """Name the state of an upstream in the platform's store."""
+    """States of an upstream in the platform's store."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -39,7 +39,7 @@
 
 
 class StepKind(StrEnum):
-    """Name the kind of one step."""
+    """Kinds of steps."""
 
     WRITE = "an entry changes"
     WATCH = "a watch delivers all changes"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Hold the kind and the parameters of one step."""
+    """A step, with its kind and parameters."""
 
     kind: StepKind
     name: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """Hold one change that the platform has stored."""
+    """A change that the platform has stored."""
 
     revision: int
     name: str
@@ -75,7 +75,7 @@
 
 
 class FleetWorld:
-    """Hold the platform's history and a fleet that learns of it."""
+    """The platform's history, and a fleet that receives it."""
 
     def __init__(self, past: Iterable[Step], *, knows_past: bool) -> None:
         """Start with all upstreams ready, then apply the changes of the past.
@@ -156,7 +156,7 @@
         self.fleet.handle(event, self._now)
 
     def _note(self, name: str, state: StoredState, revision: int) -> None:
-        """Note a delivered state for the checks."""
+        """Record a delivered state for the checks."""
         noted = self._ready_revision if state is StoredState.READY else self._left_revision
         noted[name] = max(noted[name], revision)
 
--- a/features/worlds/gateway_world.py
+++ b/features/worlds/gateway_world.py
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Hold a response as a caller received it."""
+    """A response as a caller received it."""
 
     status: int
     headers: dict[str, str]
@@ -99,7 +99,7 @@
 
 
 class GatewayWorld:
-    """Hold one gateway, its upstreams and its callers."""
+    """A gateway with its upstreams and callers."""
 
     def __init__(self) -> None:
         """Start a gateway with two plain upstreams and three engines."""
--- a/features/worlds/relay_world.py
+++ b/features/worlds/relay_world.py
@@ -121,7 +121,7 @@
         if isinstance(self.end, Complete):
             assert len(indexes) == TOKENS, f"the answer is not whole: {indexes}"
         if isinstance(self.end, Fail) and self.end.problem.ran is Ran.NOT_RUN:
-            assert not self.runs, "told 'not run', but it was run"
+            assert not self.runs, "reported as 'not run', but it was run"
         assert self.end is not None or self.is_caller_gone, "the caller has no final answer"
         assert not self.open_grants, f"grants are left open: {self.open_grants}"
         finished = next(iter(generations), "") if isinstance(self.end, Complete) else ""
--- a/features/worlds/sends_world.py
+++ b/features/worlds/sends_world.py
@@ -1,4 +1,4 @@
-"""Model the sends of one request to adversarial upstreams, and count its runs.
+"""Simulation of the sends of one request to adversarial upstreams, which counts its runs.
 
 The relay sends whenever the history of its sends allows it. An upstream that was sent a request
 without a replica may run it and break off; one that holds a replica resumes the same run. Two
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """Describe one generated send: its upstream, its replica, and the upstream's behavior."""
+    """A generated send: its upstream, its replica, and the upstream's behavior."""
 
     upstream_id: str
     kind: ReplicaKind | None
--- a/measures/zone_placement.py
+++ b/measures/zone_placement.py
@@ -145,8 +145,8 @@
 def main() -> None:
     """Print the table."""
     seeds = range(int(docopt(__doc__)["--seeds"]))
-    print("who places        p50    p95    p99    late   overfull")
-    for name, knows_all in {"each by itself": False, "one for all": True}.items():
+    print("placement         p50    p95    p99    late   overfull")
+    for name, knows_all in {"each instance": False, "one placer": True}.items():
         rows = [play(seed, knows_all=knows_all) for seed in seeds]
         text = "  ".join(f"{mean:.3f}" for mean in columns(rows))
         print(f"{name:<16}  {text}")
