--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -153,24 +153,26 @@
         validated = _ROUTING(spec)
         return RoutingDocument(
             version=validated["version"],
-            routes=tuple(_routes(validated["routes"], pause)),
-            services=tuple(_service(service) for service in validated.get("services") or ()),
-            workspaces=tuple(_workspace(workspace) for workspace in validated.get("tenants") or ()),
-            limits=_limits(validated.get("limits") or {}),
+            routes=tuple(_decode_routes(validated["routes"], pause)),
+            services=tuple(_decode_service(service) for service in validated.get("services") or ()),
+            workspaces=tuple(
+                _decode_workspace(workspace) for workspace in validated.get("tenants") or ()
+            ),
+            limits=_decode_limits(validated.get("limits") or {}),
         )
     except (vol.Invalid, KeyError) as fault:
         raise DocumentFault(f"invalid routing configuration: {fault}") from fault
 
 
-def _routes(raw: list[Any], pause: Callable[[], None]) -> Iterator[Route]:
+def _decode_routes(raw: list[Any], pause: Callable[[], None]) -> Iterator[Route]:
     """Decode the routes, pausing after every ROUTES_PER_PAUSE routes."""
     for number, route in enumerate(raw, start=1):
-        yield _route(_ROUTE(route))
+        yield _decode_route(_ROUTE(route))
         if number % ROUTES_PER_PAUSE == 0:
             pause()
 
 
-def _route(raw: dict[str, Any]) -> Route:
+def _decode_route(raw: dict[str, Any]) -> Route:
     """Decode a validated route."""
     parts = raw.get("trafficSplit") or ()
     split = tuple(SplitPart(part["service"], part["weight"]) for part in parts)
@@ -192,19 +194,19 @@
     )
 
 
-def _service(raw: dict[str, Any]) -> Service:
+def _decode_service(raw: dict[str, Any]) -> Service:
     """Decode a validated service."""
     return Service(
         name=raw["name"],
         health_path=raw.get("healthPath") or "",
         max_connections=int(raw.get("maxConnections") or 0),
-        engine=_engine(raw["engine"]) if raw.get("engine") else None,
+        engine=_decode_engine(raw["engine"]) if raw.get("engine") else None,
         cold_start_s=raw.get("coldStartS") or 0.0,
         cold_rate=raw.get("coldPerS") or 0.0,
     )
 
 
-def _engine(raw: dict[str, Any]) -> Engine:
+def _decode_engine(raw: dict[str, Any]) -> Engine:
     """Decode the engine properties of a service."""
     return Engine(
         slots=int(raw.get("slots") or 1),
@@ -217,7 +219,7 @@
     )
 
 
-def _workspace(raw: dict[str, Any]) -> Workspace:
+def _decode_workspace(raw: dict[str, Any]) -> Workspace:
     """Decode a validated workspace."""
     rank = raw.get("priority")
     return Workspace(
@@ -227,7 +229,7 @@
     )
 
 
-def _limits(raw: dict[str, Any]) -> Limits:
+def _decode_limits(raw: dict[str, Any]) -> Limits:
     """Decode the limits of the callers' listener; missing fields keep their defaults."""
     defaults = Limits()
     return Limits(
--- a/driftstall/platform/headers.py
+++ b/driftstall/platform/headers.py
@@ -46,18 +46,18 @@
     if any(counts[name] > 1 for name in SINGLE_VALUE_HEADERS):
         raise BadHeaders("a header that may stand once stands twice")
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
-    input_tokens, max_tokens = _token_counts(first.get(names.HEADER_TOKENS, b""))
+    input_tokens, max_tokens = _parse_token_counts(first.get(names.HEADER_TOKENS, b""))
     return CallerMetadata(
-        request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
-        deadline_s=_seconds(first.get(names.HEADER_DEADLINE_MS)),
-        key=_bearer(first.get(names.HEADER_KEY, b"")),
-        model=_text(first.get(names.HEADER_MODEL, b"")),
+        request_id=_decode_text(first.get(names.HEADER_REQUEST_ID, b"")),
+        deadline_s=_parse_deadline_s(first.get(names.HEADER_DEADLINE_MS)),
+        key=_parse_bearer_token(first.get(names.HEADER_KEY, b"")),
+        model=_decode_text(first.get(names.HEADER_MODEL, b"")),
         input_tokens=input_tokens,
         max_tokens=max_tokens,
-        length_hint=_whole(first.get(names.HEADER_LENGTH_HINT, b"")),
-        prompt=_prompt(first.get(names.HEADER_PROMPT, b"")),
-        last_event_id=_text(first.get(names.HEADER_LAST_EVENT_ID, b"")),
-        forwarded_headers=_forwarded(headers, first),
+        length_hint=_parse_integer(first.get(names.HEADER_LENGTH_HINT, b"")),
+        prompt=_parse_prompt(first.get(names.HEADER_PROMPT, b"")),
+        last_event_id=_decode_text(first.get(names.HEADER_LAST_EVENT_ID, b"")),
+        forwarded_headers=_select_forwarded_headers(headers, first),
     )
 
 
@@ -87,17 +87,17 @@
     (misdirected request) alone, which means that the request was not executed.
     """
     first = {name.lower(): value.strip() for name, value in reversed(headers)}
-    listed = _listed(first.get(b"connection", b""))
+    listed = _parse_connection_header(first.get(b"connection", b""))
     dropped = names.HOP_BY_HOP_HEADERS | listed | INTERNAL_RESPONSE_HEADERS
     return ResponseMetadata(
-        request_id=_text(first.get(names.HEADER_REQUEST_ID, b"")),
+        request_id=_decode_text(first.get(names.HEADER_REQUEST_ID, b"")),
         is_not_executed=names.HEADER_NOT_EXECUTED in first
         or status == HTTPStatus.MISDIRECTED_REQUEST,
-        load=_load(first.get(names.HEADER_LOAD, b"")),
+        load=_parse_load(first.get(names.HEADER_LOAD, b"")),
         signals=read_signals(status, first),
         keep_alive_s=None
         if CONNECTION_CLOSE in listed
-        else _keep_alive(first.get(b"keep-alive", b"")),
+        else _parse_keep_alive_s(first.get(b"keep-alive", b"")),
         forwarded_headers=tuple([pair for pair in headers if pair[0].lower() not in dropped]),
     )
 
@@ -110,57 +110,59 @@
     """
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return ()
-    limit = parse_seconds(_text(first.get(names.HEADER_RATE_LIMIT, b"")))
+    limit = parse_seconds(_decode_text(first.get(names.HEADER_RATE_LIMIT, b"")))
     signals: list[Signal] = [RateLimitSignal(limit)]
     leaving = first.get(names.HEADER_LEAVING)
     if leaving == SET:
         signals.append(LeavingSignal())
     elif leaving not in (None, NOT_SET):
-        signals.append(_unreadable(names.HEADER_LEAVING, leaving))
+        signals.append(_build_unreadable_signal(names.HEADER_LEAVING, leaving))
     backoff = first.get(names.HEADER_RETRY_AFTER)
     if backoff is not None and status in BACKOFF_STATUSES:
-        for_s = parse_seconds(_text(backoff))
-        unreadable = _unreadable(names.HEADER_RETRY_AFTER, backoff)
+        for_s = parse_seconds(_decode_text(backoff))
+        unreadable = _build_unreadable_signal(names.HEADER_RETRY_AFTER, backoff)
         signals.append(unreadable if for_s is None else BackoffSignal(for_s))
     signals += [
-        UnknownSignal(_text(name))
+        UnknownSignal(_decode_text(name))
         for name in first
         if name.startswith(names.SIGNAL_PREFIXES) and name not in names.KNOWN_UPSTREAM_HEADERS
     ]
     return tuple(signals)
 
 
-def _unreadable(name: bytes, value: bytes) -> UnreadableSignal:
+def _build_unreadable_signal(name: bytes, value: bytes) -> UnreadableSignal:
     """Return a signal for a header whose value cannot be decoded."""
-    return UnreadableSignal(_text(name), _text(value))
+    return UnreadableSignal(_decode_text(name), _decode_text(value))
 
 
-def _forwarded(headers: Headers, first: dict[bytes, bytes]) -> Headers:
+def _select_forwarded_headers(headers: Headers, first: dict[bytes, bytes]) -> Headers:
     """Return the caller's headers that are forwarded to the upstream."""
     dropped = (
-        names.HOP_BY_HOP_HEADERS | names.RESERVED_HEADERS | _listed(first.get(b"connection", b""))
+        names.HOP_BY_HOP_HEADERS
+        | names.RESERVED_HEADERS
+        | _parse_connection_header(first.get(b"connection", b""))
     )
     protected = {names.HEADER_REQUEST_ID, names.HEADER_MODEL, names.HEADER_TOKENS, b"host"}
     dropped -= protected | {names.HEADER_PROMPT}
     return tuple([pair for pair in headers if pair[0].lower() not in dropped])
 
 
-def _listed(value: bytes) -> frozenset[bytes]:
+def _parse_connection_header(value: bytes) -> frozenset[bytes]:
     """Return the lower-case names in a Connection header."""
     return frozenset(part.strip().lower() for part in value.split(b",") if part.strip())
 
 
-def _text(value: bytes) -> str:
+def _decode_text(value: bytes) -> str:
     """Decode a header value to a string."""
     return value.decode("latin-1")
 
 
-def _whole(value: bytes) -> int:
+def _parse_integer(value: bytes) -> int:
     """Decode an integer of up to 11 digits; return zero for anything else."""
     return int(value) if value.isdigit() and len(value) < 12 else 0
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _parse_deadline_s(value: bytes | None) -> float | None:
     """Convert the milliseconds of the deadline header to seconds; raise BadHeaders if invalid."""
     if value is None:
         return None
@@ -170,42 +172,42 @@
         raise BadHeaders("the deadline is not a number") from fault
 
 
-def _bearer(value: bytes) -> str:
+def _parse_bearer_token(value: bytes) -> str:
     """Return the bearer token of an Authorization header; empty if there is none."""
     if value[: len(BEARER)].lower() != BEARER:
         return ""
-    return _text(value[len(BEARER) :].strip())
+    return _decode_text(value[len(BEARER) :].strip())
 
 
-def _token_counts(value: bytes) -> tuple[int, int]:
+def _parse_token_counts(value: bytes) -> tuple[int, int]:
     """Return the number of prompt tokens and the maximum number of output tokens."""
     first, _, second = value.partition(b",")
-    return _whole(first.strip()), _whole(second.strip())
+    return _parse_integer(first.strip()), _parse_integer(second.strip())
 
 
-def _prompt(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_prompt(value: bytes) -> tuple[PromptPart, ...]:
     """Decode the prompt's parts (`digest:tokens`, comma-separated) in order."""
     parts = []
     for piece in value.split(b","):
         digest, colon, tokens = piece.strip().partition(b":")
         if colon:
-            parts.append(PromptPart(_text(digest), _whole(tokens)))
+            parts.append(PromptPart(_decode_text(digest), _parse_integer(tokens)))
     return tuple(parts)
 
 
-def _load(value: bytes) -> UpstreamLoad | None:
+def _parse_load(value: bytes) -> UpstreamLoad | None:
     """Decode the load that an upstream reports as `running,waiting,slots`; None if invalid."""
     parts = value.split(b",")
     if len(parts) != 3:
         return None
-    running, waiting, slots = (_whole(part.strip()) for part in parts)
+    running, waiting, slots = (_parse_integer(part.strip()) for part in parts)
     return UpstreamLoad(running, waiting, slots)
 
 
-def _keep_alive(value: bytes) -> float:
+def _parse_keep_alive_s(value: bytes) -> float:
     """Return the idle timeout of a Keep-Alive header in seconds; infinity without one."""
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout":
-            return float(_whole(seconds.strip()))
+            return float(_parse_integer(seconds.strip()))
     return float("inf")
--- a/driftstall/platform/store.py
+++ b/driftstall/platform/store.py
@@ -127,28 +127,28 @@
         query = dict(base_query)
         at: StoreVersion | None = None
         while True:
-            body, era = self._read(_path(kind, query=query))
+            body, era = self._read(_build_path(kind, query=query))
             if at is not None and era != at.era:
                 # The pages belong to two eras, so a watch from the first page could miss changes.
                 raise HistoryUnavailable
-            rows = _rows(body, "items")
-            readable = _readable(rows, partial(_object, era=era))
+            rows = _get_rows(body, "items")
+            readable = _decode_rows(rows, partial(_decode_object, era=era))
             if rows and not readable:
                 raise PlatformUnavailable("no row of the answer is valid")
             objects += readable
             # Later pages may be newer; a watch from the first page's version misses no change.
-            at = _revision(body, era) if at is None else at
-            last = _last_name(body)
+            at = _decode_version(body, era) if at is None else at
+            last = _find_last_name(body)
             if not body.get("more") or not last:
                 return Listing(tuple(objects), at)
             query = base_query | {"after": last}
 
     def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
-        answer = self._call("GET", _path(kind, name))
+        answer = self._call("GET", _build_path(kind, name))
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
-        return _object(_checked(answer), era=answer.era)
+        return _decode_object(_check_answer(answer), era=answer.era)
 
     def watch(self, kind: str, at: StoreVersion, wait_s: float) -> WatchAnswer:
         """Wait up to `wait_s` seconds for changes after a version.
@@ -158,11 +158,11 @@
         revision may then name another change, and earlier changes are not reported.
         """
         query = {"watch": str(at.revision), "waitMs": str(int(wait_s * 1000))}
-        body, era = self._read(_path(kind, query=query), wait_s + ANSWER_MARGIN_S)
+        body, era = self._read(_build_path(kind, query=query), wait_s + ANSWER_MARGIN_S)
         if era != at.era:
             raise HistoryUnavailable
-        rows, until = _rows(body, "events"), _revision(body, era)
-        events = tuple(_readable(rows, partial(_event, era=era)))
+        rows, until = _get_rows(body, "events"), _decode_version(body, era)
+        events = tuple(_decode_rows(rows, partial(_decode_event, era=era)))
         if len(events) < len(rows):
             # An invalid row of a list is read again with the next list; a skipped change is lost.
             raise HistoryUnavailable
@@ -171,7 +171,7 @@
     def create(self, kind: str, name: str, spec: Any) -> StoredObject | None:
         """Create an object; return None if it exists already."""
         body = {"metadata": {"name": name}, "spec": spec}
-        return _written(self._call("POST", _path(kind), body))
+        return _decode_written_object(self._call("POST", _build_path(kind), body))
 
     def replace(
         self, kind: str, name: str, spec: Any, revision: StoreVersion | None = None
@@ -187,18 +187,18 @@
                 return None
             metadata["revision"] = revision.revision
         body = {"metadata": metadata, "spec": spec}
-        return _written(self._call("PUT", _path(kind, name), body))
+        return _decode_written_object(self._call("PUT", _build_path(kind, name), body))
 
     def delete(self, kind: str, name: str) -> None:
         """Delete an object, if it exists."""
-        answer = self._call("DELETE", _path(kind, name))
+        answer = self._call("DELETE", _build_path(kind, name))
         if answer.status != HTTPStatus.NOT_FOUND:
-            _checked(answer)
+            _check_answer(answer)
 
     def _read(self, path: str, timeout_s: float = CALL_TIMEOUT_S) -> tuple[Any, int]:
         """Send a GET request and return the answer's body and era."""
         answer = self._call("GET", path, timeout_s=timeout_s)
-        return _checked(answer), answer.era
+        return _check_answer(answer), answer.era
 
     def _call(
         self, method: str, path: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S
@@ -216,7 +216,7 @@
             with gevent.Timeout(BODY_TIMEOUT_S, UpstreamError("incomplete answer", sent=True)):
                 raw = exchange.read()
             era = self._update_era(exchange.header(names.HEADER_ERA))
-            return _Answer(exchange.status, _decoded(raw) if raw else None, era)
+            return _Answer(exchange.status, _decode_json(raw) if raw else None, era)
         except UpstreamError as fault:
             raise PlatformUnavailable(f"no answer: {fault}", sent=fault.sent) from fault
         except (ValueError, RecursionError) as fault:
@@ -243,7 +243,7 @@
         return era
 
 
-def _decoded(raw: bytes) -> Any:
+def _decode_json(raw: bytes) -> Any:
     """Decode the JSON of an answer; raise ValueError or RecursionError if it is invalid.
 
     Invalid UTF-8 is replaced, so that one such object does not hide all others of a list.
@@ -254,21 +254,21 @@
         return json.loads(raw.decode("utf-8", "replace"))
 
 
-def _path(kind: str, name: str = "", query: dict[str, str] | None = None) -> str:
+def _build_path(kind: str, name: str = "", query: dict[str, str] | None = None) -> str:
     """Return the request path of a kind or of one of its objects."""
     parts: Iterable[str] = (names.PATH_OBJECTS, quote(kind, safe=""), quote(name, safe=""))
     path = "/".join(part for part in parts if part)
     return f"{path}?{urlencode(query)}" if query else path
 
 
-def _written(answer: _Answer) -> StoredObject | None:
+def _decode_written_object(answer: _Answer) -> StoredObject | None:
     """Return the written object, or None if the condition of the write did not hold."""
     if answer.status in (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND):
         return None
-    return _object(_checked(answer), era=answer.era)
+    return _decode_object(_check_answer(answer), era=answer.era)
 
 
-def _checked(answer: _Answer) -> Any:
+def _check_answer(answer: _Answer) -> Any:
     """Return the body of a successful answer, or raise PlatformUnavailable."""
     status, body = answer.status, answer.body
     if status in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.NO_CONTENT):
@@ -280,7 +280,7 @@
     )
 
 
-def _rows(body: Any, name: str) -> list[Any]:
+def _get_rows(body: Any, name: str) -> list[Any]:
     """Return the list in a field of an answer, or raise PlatformUnavailable."""
     rows = body.get(name) if isinstance(body, dict) else None
     if not isinstance(rows, list):
@@ -288,7 +288,7 @@
     return rows
 
 
-def _readable(rows: list[Any], decode: Callable[[Any], Item]) -> list[Item]:
+def _decode_rows(rows: list[Any], decode: Callable[[Any], Item]) -> list[Item]:
     """Decode the valid rows; log the others and skip them."""
     items: list[Item] = []
     for row in rows:
@@ -299,23 +299,23 @@
     return items
 
 
-def _last_name(body: dict[str, Any]) -> str:
+def _find_last_name(body: dict[str, Any]) -> str:
     """Return the last object name of a page, after which the next page starts; empty if none."""
     for row in reversed(body["items"]):
-        name = _name(row)
+        name = _get_name(row)
         if name:
             return name
     return ""
 
 
-def _name(row: Any) -> str:
+def _get_name(row: Any) -> str:
     """Return an object's name, even if the object is otherwise invalid; empty without a name."""
     metadata = row.get("metadata") if isinstance(row, dict) else None
     name = metadata.get("name") if isinstance(metadata, dict) else None
     return name if isinstance(name, str) else ""
 
 
-def _revision(body: dict[str, Any], era: int) -> StoreVersion:
+def _decode_version(body: dict[str, Any], era: int) -> StoreVersion:
     """Return the version of an answer, or raise PlatformUnavailable."""
     try:
         return StoreVersion.of(era, int(body["at"]))
@@ -323,16 +323,16 @@
         raise PlatformUnavailable(f"invalid revision in an answer: {fault!r}") from fault
 
 
-def _event(raw: Any, era: int) -> WatchEvent:
+def _decode_event(raw: Any, era: int) -> WatchEvent:
     """Decode a change, or raise PlatformUnavailable."""
     if not isinstance(raw, dict) or not isinstance(raw.get("gone"), bool):
         raise PlatformUnavailable("a change has no boolean field 'gone'")
-    return WatchEvent(_object(raw.get("object"), era), raw["gone"])
+    return WatchEvent(_decode_object(raw.get("object"), era), raw["gone"])
 
 
-def _object(raw: Any, era: int) -> StoredObject:
+def _decode_object(raw: Any, era: int) -> StoredObject:
     """Decode an object, or raise PlatformUnavailable."""
-    name = _name(raw)
+    name = _get_name(raw)
     revision = raw["metadata"].get("revision") if name else None
     if type(revision) is not int or revision < 0:
         raise PlatformUnavailable(f"invalid object: {str(raw)[:MAX_LOGGED_CHARS]}")
