--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -136,7 +136,7 @@
 
 def cordon_feed(store: Store) -> KindFeed[Cordon]:
     """Return the feed of cordoned zones, each of which is named by the name of its object."""
-    return KindFeed(store, names.KIND_CORDONS, _cordon)
+    return KindFeed(store, names.KIND_CORDONS, _decode_cordon)
 
 
 def policy_feed(store: Store) -> KindFeed[PolicyText]:
@@ -189,7 +189,7 @@
     store.delete(names.KIND_INSTANCES, instance_id)
 
 
-def _cordon(stored: StoredObject) -> Cordon:
+def _decode_cordon(stored: StoredObject) -> Cordon:
     """Decode a cordon."""
     try:
         return Cordon(checks.text(stored.name), stored.revision)
--- a/features/steps/foreign_entry_steps.py
+++ b/features/steps/foreign_entry_steps.py
@@ -79,7 +79,7 @@
         "routes": lambda: read_routing(spec),
         "a policy": lambda: feeds._policy_text(stored),
         "an instance": lambda: feeds._instance(stored),
-        "a cordon": lambda: feeds._cordon(stored),
+        "a cordon": lambda: feeds._decode_cordon(stored),
     }
     decoders[kind]()
 
