--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -131,7 +131,7 @@
 
 def routing_feed(store: Store) -> KindFeed[RoutingText]:
     """Return the feed of routing configurations."""
-    return KindFeed(store, names.KIND_CONFIG, _routing_text, name=names.NAME_CONFIG)
+    return KindFeed(store, names.KIND_CONFIG, _decode_routing_text, name=names.NAME_CONFIG)
 
 
 def cordon_feed(store: Store) -> KindFeed[Cordon]:
@@ -197,7 +197,7 @@
         raise DocumentFault(f"invalid zone name of cordon {stored.name!r}") from fault
 
 
-def _routing_text(stored: StoredObject) -> RoutingText:
+def _decode_routing_text(stored: StoredObject) -> RoutingText:
     """Decode a routing configuration, with its text, which is sent to other instances."""
     document = documents.read_routing(stored.spec, lambda: gevent.sleep(0))
     return RoutingText(document, orjson.dumps(stored.spec).decode())
