--- a/driftstall/platform/feeds.py
+++ b/driftstall/platform/feeds.py
@@ -148,7 +148,7 @@
 
 def instance_feed(store: Store, *, stale: bool = False) -> KindFeed[Instance]:
     """Return the feed of this system's instances; stale lists cost the store less."""
-    return KindFeed(store, names.KIND_INSTANCES, _instance, stale=stale)
+    return KindFeed(store, names.KIND_INSTANCES, _decode_instance, stale=stale)
 
 
 class PlatformPolicyStore:
@@ -212,7 +212,7 @@
     return PolicyText(stored.revision, stored.spec["text"])
 
 
-def _instance(stored: StoredObject) -> Instance:
+def _decode_instance(stored: StoredObject) -> Instance:
     """Decode an instance's entry."""
     try:
         spec = _INSTANCE(stored.spec)
