--- a/driftstall/platform/documents.py
+++ b/driftstall/platform/documents.py
@@ -145,7 +145,7 @@
 def read_routing(spec: Any, pause: Callable[[], None] = lambda: None) -> RoutingDocument:
     """Decode the operators' routing configuration.
 
-    Decoding 1,700 routes takes about 75 ms of processor time, and twice that on a small machine.
+    Decoding 1,700 routes takes about 75 ms of processor time, and twice as long on a small machine.
     `pause` is called after every ROUTES_PER_PAUSE routes so that open streams are served meanwhile.
     Raises DocumentFault if the document is invalid.
     """
