--- a/driftstall/cli/explain.py
+++ b/driftstall/cli/explain.py
@@ -47,7 +47,7 @@
         print(f"driftstall: no line names the request {request_id}", file=sys.stderr)
         return 1
     begin, end = min(line.at for line in own), max(line.at for line in own)
-    upstreams = _upstreams_named(own)
+    upstreams = _find_upstreams(own)
     origins = {line.origin for line in own}
     context = [
         line
@@ -57,13 +57,15 @@
         and begin - CONTEXT_S <= line.at <= end + CONTEXT_S
         and any(upstream in line.message for upstream in upstreams)
     ]
-    crashes = [line for line in lines if line not in own and _is_crash(line, _fingerprints(own))]
+    crashes = [
+        line for line in lines if line not in own and _is_crash(line, _find_fingerprints(own))
+    ]
     for line in sorted([*own, *context, *crashes], key=lambda line: line.at):
         print(_format_line(line, begin))
     return 0
 
 
-def _fingerprints(lines: Iterable[Line]) -> set[str]:
+def _find_fingerprints(lines: Iterable[Line]) -> set[str]:
     """Return a request's fingerprints, which identical requests with other ids share."""
     return {str(line.fields["fingerprint"]) for line in lines if "fingerprint" in line.fields}
 
@@ -74,7 +76,7 @@
     return CRASH in line.message and bool(named & fingerprints)
 
 
-def _upstreams_named(lines: Iterable[Line]) -> set[str]:
+def _find_upstreams(lines: Iterable[Line]) -> set[str]:
     """Return the upstreams that are named in the fields or messages of a request's lines."""
     upstreams: set[str] = set()
     for line in lines:
--- a/driftstall/cli/main.py
+++ b/driftstall/cli/main.py
@@ -115,23 +115,23 @@
     if options["--store"] and not options["check"]:
         return run_on_store(options)
     if options["policy"]:
-        return _policy(options)
+        return _run_policy_command(options)
     if options["config"]:
-        return _config(options)
+        return _run_config_command(options)
     if options["status"]:
-        return _status(options)
+        return _print_status(options)
     if options["drain"]:
-        return _show(_operator(options, "POST", "/operator/drain", {}))
+        return _print_answer(_call_operator(options, "POST", "/operator/drain", {}))
     if options["locate"]:
-        print("\n".join(_caller(options).locate()))
+        print("\n".join(_build_caller(options).locate()))
         return EXIT_OK
     if options["KEY"]:
         print(hashlib.sha256(options["KEY"].encode()).hexdigest())
         return EXIT_OK
-    return _chat(options)
+    return _run_chat(options)
 
 
-def _policy(options: dict[str, Any]) -> int:
+def _run_policy_command(options: dict[str, Any]) -> int:
     """Run a policy command."""
     if options["check"]:
         policy = parse_policy(Path(options["FILE"]).read_text())
@@ -142,7 +142,7 @@
         parse_policy(text)
         return _submit(options, {"policy": text})
     if options["show"]:
-        answer = _operator(options, "GET", "/operator/config")
+        answer = _call_operator(options, "GET", "/operator/config")
         print(answer.value["policy"], end="")
         return EXIT_OK
     if options["explain"]:
@@ -159,9 +159,9 @@
         "input_tokens": int(options["--input"]),
         "max_tokens": int(options["--cap"]),
     }
-    answer = _operator(options, "POST", "/operator/explain", facts)
+    answer = _call_operator(options, "POST", "/operator/explain", facts)
     if answer.status != 200 or options["--json"]:
-        return _show(answer)
+        return _print_answer(answer)
     for check in answer.value["checks"]:
         result = "holds" if check["held"] else "does not hold"
         print(f"line {check['line']}, rule {check['rule']}: {check['condition']} {result}")
@@ -170,13 +170,13 @@
     return EXIT_OK
 
 
-def _config(options: dict[str, Any]) -> int:
+def _run_config_command(options: dict[str, Any]) -> int:
     """Run a configuration command."""
     if options["show"]:
-        return _show(_operator(options, "GET", "/operator/config"))
+        return _print_answer(_call_operator(options, "GET", "/operator/config"))
     if options["settle"]:
-        answer = _operator(options, "GET", f"/operator/submissions/{options['ID']}")
-        _show(answer)
+        answer = _call_operator(options, "GET", f"/operator/submissions/{options['ID']}")
+        _print_answer(answer)
         return STATE_EXIT.get(answer.value.get("state"), EXIT_UNKNOWN)
     return _submit(options, orjson.loads(Path(options["FILE"]).read_bytes()))
 
@@ -187,26 +187,26 @@
     if options["--base"]:
         change["base_generation"] = int(options["--base"])
     try:
-        answer = _operator(options, "PUT", "/operator/config", change)
+        answer = _call_operator(options, "PUT", "/operator/config", change)
     except UpstreamError as fault:
         if not fault.sent:
             raise
         settle = f"driftstall config settle {change['submission']}"
         print(f"driftstall: the outcome is unknown ({fault}); ask: {settle}", file=sys.stderr)
         return EXIT_UNKNOWN
-    return _show(answer)
+    return _print_answer(answer)
 
 
-def _status(options: dict[str, Any]) -> int:
+def _print_status(options: dict[str, Any]) -> int:
     """Print the status of an instance."""
-    answer = _operator(options, "GET", "/operator/status")
+    answer = _call_operator(options, "GET", "/operator/status")
     if answer.status != 200 or options["--json"]:
-        return _show(answer)
+        return _print_answer(answer)
     print_status(answer.value)
     return EXIT_OK
 
 
-def _chat(options: dict[str, Any]) -> int:
+def _run_chat(options: dict[str, Any]) -> int:
     """Send one chat request and print the answer as it is streamed."""
     body = {
         "model": options["--model"],
@@ -214,7 +214,7 @@
         "messages": [{"role": "user", "content": options["TEXT"]}],
     }
     deadline_s = float(options["--deadline"])
-    for part in _caller(options).chat(body, options["--kind"], deadline_s=deadline_s):
+    for part in _build_caller(options).chat(body, options["--kind"], deadline_s=deadline_s):
         if isinstance(part, ChatPart):
             print(part.text, end="", flush=True)
         elif isinstance(part, ChatEnd) and part.problem is not None:
@@ -225,19 +225,19 @@
     return EXIT_OK
 
 
-def _operator(options: dict[str, Any], method: str, path: str, value: Any = None) -> Answer:
+def _call_operator(options: dict[str, Any], method: str, path: str, value: Any = None) -> Answer:
     """Send a request to the operators' listener."""
     token = options["--token"] or os.environ.get("DRIFTSTALL_OPERATOR_TOKEN", "")
     return call_json(options["--operator"], method, path, token, value)
 
 
-def _caller(options: dict[str, Any]) -> Caller:
+def _build_caller(options: dict[str, Any]) -> Caller:
     """Return a client that uses the workspace key."""
     key = options["--key"] or os.environ.get("DRIFTSTALL_KEY", "")
     return Caller((options["--instance"],), key, options["--zone"] or "")
 
 
-def _show(answer: Answer) -> int:
+def _print_answer(answer: Answer) -> int:
     """Print an answer's JSON and return the exit code for its status."""
     print(orjson.dumps(answer.value, option=orjson.OPT_INDENT_2).decode())
     return STATUS_EXIT.get(answer.status, EXIT_REFUSED)
--- a/driftstall/cli/store_commands.py
+++ b/driftstall/cli/store_commands.py
@@ -41,7 +41,7 @@
             print(orjson.dumps(store.routing(), option=orjson.OPT_INDENT_2).decode())
             return EXIT_OK
         if options["status"]:
-            return _status(store)
+            return _print_status(store)
     except PlatformUnavailable as fault:
         print(f"driftstall: the store: {fault}", file=sys.stderr)
         return EXIT_UNKNOWN if fault.sent else EXIT_UNREACHABLE
@@ -86,7 +86,7 @@
     return EXIT_OK
 
 
-def _status(store: PolicyStore) -> int:
+def _print_status(store: PolicyStore) -> int:
     """Print versions, instances and upstreams as stored."""
     print(
         f"routing version {store.routing().get('version', 0)}, policy revision {store.revision()}"
--- a/driftstall/cli/tables.py
+++ b/driftstall/cli/tables.py
@@ -30,7 +30,7 @@
 
 def print_table(columns: Sequence[str], rows: list[dict[str, Any]]) -> None:
     """Print rows as a sorted table; each column shows the field of its name in lower case."""
-    cells = [[_cell(row[name.lower()]) for name in columns] for row in rows]
+    cells = [[_format_cell(row[name.lower()]) for name in columns] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in cells)]) for index, name in enumerate(columns)
     ]
@@ -40,6 +40,6 @@
         )
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     """Format a value; None becomes a dash."""
     return "-" if value is None else str(value)
--- a/driftstall/daemon/callers.py
+++ b/driftstall/daemon/callers.py
@@ -116,7 +116,7 @@
             return self._locate(context, environ, start)
         if context.path == PATH_CHAT and HEADER_LAST_EVENT_ID.lower() in context.headers:
             return self._resume_generation(context, environ, start)
-        result = run_chain(self._filter_chain(), context)
+        result = run_chain(self._get_filter_chain(), context)
         if isinstance(result, Problem):
             return self._respond_problem(start, result)
         refusal = self._node.poison.build_refusal(request_fingerprint(result), Ran.NOT_RUN)
@@ -133,25 +133,25 @@
         if not length.isdigit():
             return Problem(CODE_BAD_REQUEST, 400, "Content-Length is not a number", Ran.NOT_RUN)
         if int(length) > limit:
-            return _too_large_problem(limit)
+            return _build_too_large_problem(limit)
         try:
             body = environ["wsgi.input"].read(limit + 1)
         except OSError:
             return Problem(CODE_BAD_REQUEST, 400, "the body did not arrive", Ran.NOT_RUN)
         if len(body) > limit:
-            return _too_large_problem(limit)
+            return _build_too_large_problem(limit)
         if len(body) < int(length):
             return Problem(CODE_BAD_REQUEST, 400, "the body ended early", Ran.NOT_RUN)
         return RequestContext(
             uuid.uuid4().hex[:16],
             environ["REQUEST_METHOD"],
             environ["PATH_INFO"],
-            _headers(environ),
+            _read_headers(environ),
             body,
             self._hub.wall_time(),
         )
 
-    def _filter_chain(self) -> tuple[Filter, ...]:
+    def _get_filter_chain(self) -> tuple[Filter, ...]:
         """Return the filters for the configuration in force, rebuilt when it changes."""
         document, policy = self._node.config.document, self._node.config.policy
         if document.generation != self._filters_generation and policy is not None:
@@ -176,7 +176,7 @@
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
         """Respond with the instances for a caller to connect to, best first."""
-        checked = run_chain(self._filter_chain()[:1], context)
+        checked = run_chain(self._get_filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._respond_problem(start, checked)
         zone = parse_qs(environ.get("QUERY_STRING", "")).get("zone", [""])[0]
@@ -194,7 +194,7 @@
         self, context: RequestContext, environ: dict[str, Any], start: StartResponse
     ) -> Iterable[bytes]:
         """Resume a generation from a resume token."""
-        checked = run_chain(self._filter_chain()[:1], context)
+        checked = run_chain(self._get_filter_chain()[:1], context)
         if isinstance(checked, Problem):
             return self._respond_problem(start, checked)
         token = checked.headers[HEADER_LAST_EVENT_ID.lower()]
@@ -205,7 +205,7 @@
         deadline = checked.now + self._hub.settings.default_deadline
         request = resumed_request(checked.workspace, checked.request_id, checked.now, deadline)
         relay = self._node.relay.resume_relay(
-            request, DEFAULT_VERDICT, resume_point, _disconnect_check(environ[ENVIRON_SOCKET])
+            request, DEFAULT_VERDICT, resume_point, _build_disconnect_check(environ[ENVIRON_SOCKET])
         )
         return self._respond_stream(relay, request, start)
 
@@ -222,7 +222,11 @@
             request = with_earlier_asked_at(request, asked_at)
         payload = dict(context.payload or {})
         relay = self._node.relay.start_relay(
-            request, context.verdict, payload, ticket, _disconnect_check(environ[ENVIRON_SOCKET])
+            request,
+            context.verdict,
+            payload,
+            ticket,
+            _build_disconnect_check(environ[ENVIRON_SOCKET]),
         )
         relay.fingerprint = request_fingerprint(context)
         if payload.get("stream"):
@@ -283,12 +287,12 @@
             if isinstance(item, Tokens):
                 if not parts:
                     self._hub.stats.stall.observe({}, self._hub.wall_time() - request.asked_at)
-                parts += [_content(token.data) for token in item.tokens]
+                parts += [_read_content(token.data) for token in item.tokens]
             elif isinstance(item, Failed):
                 return self._respond_problem(start, item.problem)
             else:
                 self._hub.stats.completed += 1
-                return send_json(start, 200, _completion(item.data, "".join(parts)))
+                return send_json(start, 200, _build_completion(item.data, "".join(parts)))
         return []
 
     def _call_service(self, context: RequestContext, start: StartResponse) -> Iterable[bytes]:
@@ -324,12 +328,12 @@
     return parts[0], float(parts[2])
 
 
-def _too_large_problem(limit: int) -> Problem:
+def _build_too_large_problem(limit: int) -> Problem:
     """Return the problem for a body over the limit."""
     return Problem(CODE_TOO_LARGE, 413, f"the body is over {limit} bytes", Ran.NOT_RUN)
 
 
-def _headers(environ: dict[str, Any]) -> dict[str, str]:
+def _read_headers(environ: dict[str, Any]) -> dict[str, str]:
     """Return the request's headers with lowercase names."""
     headers = {
         name[5:].replace("_", "-").lower(): value
@@ -341,7 +345,7 @@
     return headers
 
 
-def _disconnect_check(connection: Any) -> Any:
+def _build_disconnect_check(connection: Any) -> Any:
     """Return a function that checks, at most every DISCONNECT_CHECK_S, for a connected caller."""
     state = [0.0, True]
 
@@ -354,13 +358,13 @@
     return is_waiting
 
 
-def _content(data: bytes) -> str:
+def _read_content(data: bytes) -> str:
     """Return the text of one chunk of a chat completion."""
     choice = orjson.loads(data)["choices"][0]
     return str(choice["delta"].get("content", ""))
 
 
-def _completion(data: bytes, text: str) -> dict[str, Any]:
+def _build_completion(data: bytes, text: str) -> dict[str, Any]:
     """Return a chat-completion response body with the whole text."""
     last = orjson.loads(data)
     return {
--- a/driftstall/daemon/membership_service.py
+++ b/driftstall/daemon/membership_service.py
@@ -85,7 +85,7 @@
         except PlatformUnavailable:
             return
         self._has_read_list = True
-        seeds = tuple(_instance(member) for member in listed if member.role == ROLE_ENTRY)
+        seeds = tuple(_build_instance(member) for member in listed if member.role == ROLE_ENTRY)
         self._apply(Seeds(tuple(seed for seed in seeds if not seed.leaving)))
         runners = {
             member.member_id: member.leaving for member in listed if member.role == ROLE_RUNNER
@@ -132,7 +132,7 @@
         return False
 
 
-def _instance(listed: ListedMember) -> Instance:
+def _build_instance(listed: ListedMember) -> Instance:
     """Build an instance from a row of the platform's list."""
     return Instance(
         listed.member_id, listed.address, listed.peer_address, listed.zone, listed.leaving
--- a/driftstall/daemon/operators.py
+++ b/driftstall/daemon/operators.py
@@ -86,7 +86,9 @@
         """Serve one request; /metrics needs no token."""
         route = f"{environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         if route == "GET /metrics":
-            return send_body(start, 200, render(self._node.hub.stats, self._gauges()), "text/plain")
+            return send_body(
+                start, 200, render(self._node.hub.stats, self._collect_gauges()), "text/plain"
+            )
         header = environ.get("HTTP_AUTHORIZATION", "")
         if not hmac.compare_digest(header.encode(), f"Bearer {self._token}".encode()):
             detail = "send the operator token as 'Authorization: Bearer TOKEN'"
@@ -94,36 +96,36 @@
         try:
             return self._route(route, environ, start)
         except vol.Invalid as invalid:
-            return send_problem(start, _bad_request(str(invalid)))
+            return send_problem(start, _build_bad_request(str(invalid)))
         except PolicyError as fault:
-            return send_problem(start, _bad_request(str(fault)))
+            return send_problem(start, _build_bad_request(str(fault)))
         except orjson.JSONDecodeError:
-            return send_problem(start, _bad_request("the body is not JSON"))
+            return send_problem(start, _build_bad_request("the body is not JSON"))
 
     def _route(self, route: str, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Serve one authenticated request by its method and path."""
         if route == "GET /operator/config":
             return send_json(start, 200, config_to_json(self._node.config.document))
         if route == "PUT /operator/config":
-            return self._submit(_body(environ), start)
+            return self._submit(_read_body(environ), start)
         if route.startswith("GET /operator/submissions/"):
             state = self._node.config.find_submission(route.rpartition("/")[2])
             return send_json(start, 200, {"state": state.value})
         if route == "POST /operator/explain":
-            return self._explain(_body(environ), start)
+            return self._explain(_read_body(environ), start)
         if route == "GET /operator/status":
-            return send_json(start, 200, self._status())
+            return send_json(start, 200, self._build_status())
         if route == "GET /operator/crashes":
-            return send_json(start, 200, {"crashes": self._crashes()})
+            return send_json(start, 200, {"crashes": self._list_crashes()})
         if route.startswith("DELETE /operator/crashes/"):
             self._node.poison.record_success(route.rpartition("/")[2])
-            return send_json(start, 200, {"crashes": self._crashes()})
+            return send_json(start, 200, {"crashes": self._list_crashes()})
         if route == "POST /operator/drain":
             self._node.request_stop()
             return send_json(start, 200, {"phase": self._node.drain_phase.value})
         return send_problem(start, Problem(CODE_NOT_FOUND, 404, f"no {route}", Ran.NOT_RUN))
 
-    def _crashes(self) -> list[dict[str, Any]]:
+    def _list_crashes(self) -> list[dict[str, Any]]:
         """Return the quarantined requests, which have crashed runners."""
         quarantined = self._node.poison.tracker.quarantined(self._node.hub.now())
         return [
@@ -144,8 +146,8 @@
             checked.get("submission", uuid.uuid4().hex),
             checked["base_generation"],
             checked.get("policy"),
-            _items(WorkspaceConfig, checked.get("workspaces")),
-            _items(RunnerConfig, checked.get("runners")),
+            _build_items(WorkspaceConfig, checked.get("workspaces")),
+            _build_items(RunnerConfig, checked.get("runners")),
         )
         submission = self._node.config.submit(change)
         answer: dict[str, Any] = {
@@ -163,10 +165,10 @@
         """Respond with the policy rules that would decide a request with the given facts."""
         policy = self._node.config.policy
         if policy is None:
-            return send_problem(start, _bad_request("no policy is in force yet"))
+            return send_problem(start, _build_bad_request("no policy is in force yet"))
         return send_json(start, 200, explain(policy, Facts(**FACTS_SCHEMA(raw))))
 
-    def _gauges(self) -> dict[str, float]:
+    def _collect_gauges(self) -> dict[str, float]:
         """Return the gauges that are read at each scrape."""
         node = self._node
         return {
@@ -181,7 +183,7 @@
             "peer_sent_bytes": node.hub.links.sent_bytes,
         }
 
-    def _status(self) -> dict[str, Any]:
+    def _build_status(self) -> dict[str, Any]:
         """Return this instance's state and its view of other instances, runners and groups."""
         node = self._node
         return {
@@ -192,7 +194,7 @@
             "generation": node.config.document.generation,
             "policy": node.config.policy.name if node.config.policy else "",
             "counters": {name: getattr(node.hub.stats, name) for name in COUNTERS},
-            "gauges": self._gauges(),
+            "gauges": self._collect_gauges(),
             "instances": [
                 {
                     "instance": member.instance_id,
@@ -202,7 +204,7 @@
                 }
                 for member in node.members.live
             ],
-            "runners": self._runners(),
+            "runners": self._list_runners(),
             "groups": {
                 name: {
                     "owner": node.ownership.owner_for(name),
@@ -212,7 +214,7 @@
             },
         }
 
-    def _runners(self) -> list[dict[str, Any]]:
+    def _list_runners(self) -> list[dict[str, Any]]:
         """Return the state of all runners; grants and forecast only for those of owned groups."""
         node = self._node
         states = {}
@@ -235,7 +237,7 @@
         return rows
 
 
-def _body(environ: dict[str, Any]) -> Any:
+def _read_body(environ: dict[str, Any]) -> Any:
     """Read a JSON body; raise vol.Invalid if it is over MAX_BODY_BYTES."""
     raw = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
     if len(raw) > MAX_BODY_BYTES:
@@ -243,11 +245,11 @@
     return orjson.loads(raw)
 
 
-def _bad_request(detail: str) -> Problem:
+def _build_bad_request(detail: str) -> Problem:
     """Return the problem for a malformed request."""
     return Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN)
 
 
-def _items(item_class: Any, raw: list[dict[str, Any]] | None) -> Any:
+def _build_items(item_class: Any, raw: list[dict[str, Any]] | None) -> Any:
     """Build data class items from validated rows; None means no change."""
     return None if raw is None else tuple(item_class(**row) for row in raw)
--- a/driftstall/filters/classify.py
+++ b/driftstall/filters/classify.py
@@ -47,7 +47,7 @@
 )
 
 
-def _bad_request(detail: str) -> Problem:
+def _build_bad_request(detail: str) -> Problem:
     """Return a 400 problem."""
     return Problem(CODE_BAD_REQUEST, 400, detail, Ran.NOT_RUN)
 
@@ -80,9 +80,11 @@
         try:
             seconds = float(text)
         except ValueError:
-            return _bad_request(f"{HEADER_DEADLINE} is not a number of seconds")
+            return _build_bad_request(f"{HEADER_DEADLINE} is not a number of seconds")
         if not 0 < seconds <= 86_400:
-            return _bad_request(f"{HEADER_DEADLINE} must be above 0 and at most 86400 seconds")
+            return _build_bad_request(
+                f"{HEADER_DEADLINE} must be above 0 and at most 86400 seconds"
+            )
         return context.now + seconds
 
     def _parse_generation(self, context: RequestContext) -> FilterResult:
@@ -94,7 +96,7 @@
             return payload
         kind = context.headers.get(HEADER_KIND.lower(), DEFAULT_KIND)
         if len(kind) > 64 or not kind.replace("_", "").replace("-", "").isalnum():
-            return _bad_request(f"{HEADER_KIND} must be up to 64 letters, digits, - or _")
+            return _build_bad_request(f"{HEADER_KIND} must be up to 64 letters, digits, - or _")
         messages = [(message["role"], message["content"]) for message in payload["messages"]]
         marks = _mark_prefixes(payload["model"], messages)
         request = Request(
@@ -115,12 +117,12 @@
         service, _, service_path = context.path.removeprefix(PATH_SERVICES).partition("/")
         key = context.headers.get(HEADER_IDEMPOTENCY_KEY.lower(), "")
         if len(key) > MAX_KEY_CHARS:
-            return _bad_request(
+            return _build_bad_request(
                 f"{HEADER_IDEMPOTENCY_KEY} must be at most {MAX_KEY_CHARS} characters"
             )
         value = context.headers.get(HEADER_REPEATABLE.lower(), "").lower()
         if value not in ("", "true", "false"):
-            return _bad_request(f"{HEADER_REPEATABLE} must be true or false")
+            return _build_bad_request(f"{HEADER_REPEATABLE} must be true or false")
         is_repeatable = value == "true" or (value == "" and context.method in SAFE_METHODS)
         return replace(
             context,
@@ -136,13 +138,13 @@
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError:
-        return _bad_request("the body is not JSON")
+        return _build_bad_request("the body is not JSON")
     try:
         checked: dict[str, Any] = BODY(raw)
     except vol.MultipleInvalid as invalid:
-        return _bad_request("; ".join(str(fault) for fault in invalid.errors[:5]))
+        return _build_bad_request("; ".join(str(fault) for fault in invalid.errors[:5]))
     except RecursionError:
-        return _bad_request("the body is nested too deeply")
+        return _build_bad_request("the body is nested too deeply")
     return checked
 
 
