--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -172,7 +172,7 @@
         return []
 
     def _pending_orders(self, wanted: tuple[WantedModel, ...], now: float) -> list[PlacementAction]:
-        """Order the wanted models that are not loaded, at most LOADS_PER_PERIOD at a time."""
+        """Order the wanted models that are not loaded, at most MAX_LOADS_PER_PERIOD at a time."""
         orders: list[PlacementAction] = []
         for target in wanted:
             if target.wanted == target.loaded or len(orders) >= MAX_LOADS_PER_PERIOD:
--- a/driftstall/daemon/config_service.py
+++ b/driftstall/daemon/config_service.py
@@ -172,7 +172,7 @@
         result = self._hub.platform.put(KEY_CONFIG, value, expected)
         log_event(
             PREFIX_CONFIGURATION,
-            f"Restored the configuration in the store: {result.state.value}",
+            f"Rewriting the configuration to the store: {result.state.value}",
             generation=self.document.generation,
             stored=stored_document.generation,
         )
--- a/features/gateway/crashing_requests.feature
+++ b/features/gateway/crashing_requests.feature
@@ -1,5 +1,5 @@
 Feature: A request that crashes each engine that runs it is not sent on for ever
-  Guards against a request that crashes one engine after the other. Its caller retried it seven times
+  Guards against a request that crashes one engine after the other. Its caller sent it seven times
   within 13 s, each time under a new id, at five of eight instances. Each attempt was sent to an
   engine, which crashed 0.15 to 0.24 s later with everything that ran there.
 
