--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -261,8 +261,8 @@
             return
         for other in self._staged.requests + (self._write.requests if self._write else []):
             if other.key == event.key:
-                same = other.nonce == event.nonce
-                if not same:
+                is_same_attempt = other.nonce == event.nonce
+                if not is_same_attempt:
                     self._answer(event, ClaimAnswerKind.UNKNOWN)
                 return
         self._staged.requests.append(event)
@@ -424,7 +424,7 @@
         self._load()
 
     def _release_shard(self) -> None:
-        """Answer all staged requests with 'unavailable', as none of them was run."""
+        """Give up the shard and answer all staged requests with 'unavailable': none was run."""
         if self._write is not None:
             self._restage(self._write)
         self._phase = _Phase.COLD
--- a/driftstall/controllers/grant_state.py
+++ b/driftstall/controllers/grant_state.py
@@ -13,8 +13,8 @@
 from driftstall.decisions.routing import PREFILL_TOKENS_PER_S
 
 MIN_UNACCOUNTED_SHARE: Final = 0.1
-"""Share of a runner's memory. A smaller difference to its report is attributed to the
-report's lag."""
+"""Share of a runner's memory. If its report exceeds the memory of the open grants by less,
+the difference is attributed to the report's lag and ignored."""
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     cached_tokens: int
     """Prompt tokens found in the runner's prefix cache."""
     produced: int = 0
-    yields: int = 0
+    preemptions: int = 0
     running_since: float = 0.0
     last_report_at: float = 0.0
     paused: bool = False
@@ -65,7 +65,7 @@
     first_rank: int = 0
     long_prompt_tokens: float = 0.0
     """Memory occupied by long prompts below the first rank, in tokens of input."""
-    last_yield_at: float = -1e9
+    last_preemption_at: float = -1e9
     cached_tokens: float = 0.0
     """Tokens of open grants that are counted in the prefix cache as well."""
     unaccounted_tokens: float = 0.0
--- a/driftstall/controllers/grants.py
+++ b/driftstall/controllers/grants.py
@@ -1,8 +1,10 @@
 """Admission control and scheduling for one group of runners.
 
-A state machine without I/O: it takes events and the time, and returns actions. The
-daemon and the load measurements run this same code. Nothing is persisted: a new owner
-rebuilds the state from the announcements of the entries.
+The group's owner runs the controller; an entry is the instance that a caller is connected
+to. Rank 0, the first rank, has the highest priority. A state machine without I/O: it takes
+events and the time, and returns actions. The daemon and the load measurements run this same
+code. Nothing is persisted: a new owner rebuilds the state from the announcements of the
+entries.
 """
 
 from __future__ import annotations
@@ -46,9 +48,9 @@
 from driftstall.decisions.routing import Choice, RunnerView, choose
 from driftstall.decisions.yielding import Candidate, choose_victim
 
-YIELD_WAIT_S: Final = 0.4
+PREEMPTION_WAIT_S: Final = 0.4
 """How long a first-rank request waits before a lower rank is preempted."""
-YIELD_SPACING_S: Final = 1.0
+PREEMPTION_INTERVAL_S: Final = 1.0
 """Minimum time between two preemptions on one runner."""
 GRANT_TIMEOUT_S: Final = 15.0
 """A grant without progress reports for this long is closed: its Close message was lost."""
@@ -92,7 +94,7 @@
         self._long_set = LongPrefillSet()
         self._long_prefill_waiting_since: float | None = None
         self._long_prefill_max_wait_s = 0.0
-        self._last_silence_check_at = 0.0
+        self._last_timeout_check_at = 0.0
         self._actions: list[GrantAction] = []
         # Looking up a singledispatchmethod on each call costs more than most events do.
         self._handler: Callable[[GrantEvent, float], None] = self._handle_event
@@ -174,8 +176,10 @@
             self._limits.settle(request, cost, 0.0)
             self._refuse_with_reservation(event.entry, request, verdict, cost, wait_s, now)
             return
-        hold = forecast_request(self._lengths, request, 0)
-        item = WaitingRequest(event.entry, request, verdict, cost, now, output, hold, event.avoid)
+        forecast = forecast_request(self._lengths, request, 0)
+        item = WaitingRequest(
+            event.entry, request, verdict, cost, now, output, forecast, event.avoid
+        )
         self._queues.push(item)
 
     @_handle_event.register
@@ -261,9 +265,9 @@
     def _(self, event: Tick, now: float) -> None:
         """Refresh due forecasts and close grants without recent progress reports."""
         self._registry.refresh_due(now)
-        if now - self._last_silence_check_at < GRANT_TIMEOUT_CHECK_S:
+        if now - self._last_timeout_check_at < GRANT_TIMEOUT_CHECK_S:
             return
-        self._last_silence_check_at = now
+        self._last_timeout_check_at = now
         for request_id, grant in list(self._grants.items()):
             if now - grant.last_report_at >= GRANT_TIMEOUT_S:
                 self._handle_event(Close(self.group, request_id, 0, finished=False), now)
@@ -337,7 +341,7 @@
                 pass
             if len(queue):
                 if rank == 0:
-                    self._yield_for(queue, now)
+                    self._preempt_for(queue, now)
                 return
 
     def _grant_next(self, queue: FairQueue, now: float) -> bool:
@@ -448,15 +452,15 @@
 
     # Preemption
 
-    def _yield_for(self, queue: FairQueue, now: float) -> None:
+    def _preempt_for(self, queue: FairQueue, now: float) -> None:
         """Preempt a lower-rank generation if the first rank has waited too long."""
         item = next(queue.candidates())
-        if now - item.since < YIELD_WAIT_S:
+        if now - item.since < PREEMPTION_WAIT_S:
             return
         runners = [
             runner
             for runner in self._runners.values()
-            if now - runner.last_yield_at >= YIELD_SPACING_S
+            if now - runner.last_preemption_at >= PREEMPTION_INTERVAL_S
         ]
         candidates = [
             self._candidate(grant, now) for runner in runners for grant in runner.grants.values()
@@ -483,7 +487,7 @@
             held,
             held,
             max(remaining, ahead * 2.0 * chance),
-            grant.yields,
+            grant.preemptions,
             now - grant.running_since,
         )
 
--- a/driftstall/controllers/relay_messages.py
+++ b/driftstall/controllers/relay_messages.py
@@ -65,7 +65,7 @@
     """True if the runner answered that it does not know the generation."""
     detail: str
     quarantined: bool = False
-    """True if the request must not be sent to another runner, because runners crashed under it."""
+    """True if the request must not be sent to another runner, because it crashes runners."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/driftstall/controllers/runner_registry.py
+++ b/driftstall/controllers/runner_registry.py
@@ -15,7 +15,7 @@
 MAX_FORECAST_AGE_S: Final = 1.0
 """A forecast older than this is refreshed on use, even while a request is placed."""
 HEADROOM_S: Final = 2.0
-"""Lower ranks leave room for the first-rank arrivals of this many seconds."""
+"""Lower ranks leave memory free for the first-rank requests expected within this time."""
 MAX_HEADROOM_SHARE: Final = 0.15
 """Maximum headroom as a share of a runner's memory."""
 INITIAL_FIRST_RANK_TOKENS: Final = 1_500.0
@@ -45,7 +45,7 @@
             self.runners[runner_id] = self._leaving.pop(runner_id, new)
 
     def retire_runner(self, runner_id: str) -> RunnerState:
-        """Exclude a leaving runner from placement; its open grants are still counted."""
+        """Exclude a leaving runner from placement and return it; its open grants stay counted."""
         runner = self._leaving[runner_id] = self.runners.pop(runner_id)
         return runner
 
@@ -54,7 +54,7 @@
         memory = sum(runner.memory for runner in self.runners.values())
         if not memory:
             return 1.0
-        used = sum(self.hold(runner, now).means[0] for runner in self.runners.values())
+        used = sum(self.current_forecast(runner, now).means[0] for runner in self.runners.values())
         return min(1.0, used / memory)
 
     def record_first_rank_arrival(self, cost: float, now: float) -> None:
@@ -70,8 +70,8 @@
         smallest = min(runner.memory for runner in self.runners.values())
         return min(expected / len(self.runners), MAX_HEADROOM_SHARE * smallest)
 
-    def hold(self, runner: RunnerState, now: float) -> MemoryForecast:
-        """Return a runner's memory forecast, which ticks normally keep fresh."""
+    def current_forecast(self, runner: RunnerState, now: float) -> MemoryForecast:
+        """Return a runner's memory forecast; recompute it if ticks have not kept it fresh."""
         if now - runner.forecast_at >= MAX_FORECAST_AGE_S:
             self._refresh(runner, now)
         return runner.forecast
@@ -84,11 +84,11 @@
         An empty runner accepts any request: one larger than its memory could never run
         otherwise.
         """
-        hold = self.hold(runner, now)
+        forecast = self.current_forecast(runner, now)
         # The peak of a sum is at most the sum of the peaks, which is cheap to compute.
         if not runner.grants or runner.peak + peak <= limit:
             return True
-        return hold.fits(addition, self.deviations, limit)
+        return forecast.fits(addition, self.deviations, limit)
 
     def refresh_due(self, now: float) -> None:
         """Refresh the forecasts that are due."""
@@ -100,9 +100,9 @@
         self, runner: RunnerState, grant: OpenGrant, addition: MemoryForecast, now: float
     ) -> None:
         """Add an open grant and its memory forecast to a runner."""
-        hold = self.hold(runner, now)
+        forecast = self.current_forecast(runner, now)
         runner.add(grant)
-        self._set_hold(runner, hold.plus(addition))
+        self._set_forecast(runner, forecast.plus(addition))
 
     def remove(self, grant: OpenGrant, cached: tuple[PrefixMark, ...]) -> None:
         """Remove a grant; cached is the prefix that its runner caches after a complete output."""
@@ -110,17 +110,17 @@
         if runner is None or not runner.remove(grant):
             return
         if not grant.paused:
-            self._set_hold(runner, runner.forecast.minus(self._hold_of(grant)))
+            self._set_forecast(runner, runner.forecast.minus(self._forecast_grant(grant)))
         runner.prefixes.store(cached)
 
     def pause(self, grant: OpenGrant, now: float) -> None:
         """Release the memory of a generation that is preempted."""
         grant.paused = True
-        grant.yields += 1
+        grant.preemptions += 1
         runner = self._runner_of(grant)
         if runner is not None:
-            runner.last_yield_at = now
-            self._set_hold(runner, runner.forecast.minus(self._hold_of(grant)))
+            runner.last_preemption_at = now
+            self._set_forecast(runner, runner.forecast.minus(self._forecast_grant(grant)))
 
     def resume(self, grant: OpenGrant, now: float) -> None:
         """Add the memory of a resumed generation, and its repeated prefill."""
@@ -128,26 +128,26 @@
         grant.running_since = now
         runner = self._runner_of(grant)
         if runner is not None:
-            self._set_hold(runner, runner.forecast.plus(self._hold_of(grant)))
+            self._set_forecast(runner, runner.forecast.plus(self._forecast_grant(grant)))
             runner.pending_prefill = runner.decay_pending_prefill(now) + grant.request.input_tokens
 
     def _runner_of(self, grant: OpenGrant) -> RunnerState | None:
         """Return the live or leaving runner of a grant, or None."""
         return self.runners.get(grant.runner_id) or self._leaving.get(grant.runner_id)
 
-    def _hold_of(self, grant: OpenGrant) -> MemoryForecast:
+    def _forecast_grant(self, grant: OpenGrant) -> MemoryForecast:
         """Forecast the memory of one grant."""
         return forecast_request(self._lengths, grant.request, grant.produced)
 
-    def _set_hold(self, runner: RunnerState, hold: MemoryForecast) -> None:
+    def _set_forecast(self, runner: RunnerState, forecast: MemoryForecast) -> None:
         """Store a runner's forecast and its peak, which is read most often."""
-        runner.forecast = hold
-        runner.peak = hold.peak(self.deviations)
+        runner.forecast = forecast
+        runner.peak = forecast.peak(self.deviations)
 
     def _refresh(self, runner: RunnerState, now: float) -> None:
         """Recompute a runner's memory forecast and shrink its prefix cache model to fit."""
         running = (grant for grant in runner.grants.values() if not grant.paused)
         generations = ((grant.request, grant.produced) for grant in running)
-        self._set_hold(runner, forecast_requests(self._lengths, generations))
+        self._set_forecast(runner, forecast_requests(self._lengths, generations))
         runner.forecast_at = now
         runner.prefixes.shrink(runner.memory - runner.forecast.means[0] + runner.cached_tokens)
--- a/driftstall/helpers/log.py
+++ b/driftstall/helpers/log.py
@@ -34,12 +34,12 @@
         self,
         descriptor: int,
         clock: Callable[[], float] = clock.now,
-        cap: int = MAX_LINES_PER_S,
+        max_lines_per_s: int = MAX_LINES_PER_S,
     ) -> None:
         """Initialize with the descriptor, a clock in seconds and the maximum lines a second."""
         self._descriptor = descriptor
         self._clock = clock
-        self._cap = cap
+        self._max_lines_per_s = max_lines_per_s
         self._second = 0
         self._lines = 0
         self.dropped = 0
@@ -48,7 +48,7 @@
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Write one message, or drop it."""
-        if not self._is_within_limit():
+        if not self._count_line():
             self._count_dropped()
             return
         fields = {name: value for name, value in message.items() if not name.startswith("task_")}
@@ -63,13 +63,13 @@
         else:
             self._count_dropped()
 
-    def _is_within_limit(self) -> bool:
-        """Count one line against the rate limit; return False if it is exceeded."""
+    def _count_line(self) -> bool:
+        """Count a line against the rate limit; return False if the limit is exceeded."""
         second = int(self._clock())
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        return self._lines <= self._cap
+        return self._lines <= self._max_lines_per_s
 
     def _write(self, line: bytes) -> bool:
         """Write a line if that does not block; return False if it was not written in full."""
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -25,7 +25,7 @@
         while True:
             os.write(writer, b"x" * 4096)
     os.set_blocking(writer, True)
-    context.log = BoundedWriter(writer, clock=lambda: 1.0, cap=1000)
+    context.log = BoundedWriter(writer, clock=lambda: 1.0, max_lines_per_s=1000)
 
 
 @when("50 lines are written")
