--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -16,6 +16,7 @@
 from typing import Final
 
 SHARDS: Final = 32
+"""Number of shards, to which claims are assigned by the hash of their idempotency key."""
 CLAIM_RETENTION_S: Final = 24 * 3600.0
 """How long a claim is kept."""
 MAX_CLAIMS: Final = 3_500
@@ -424,7 +425,7 @@
         self._load()
 
     def _release_shard(self) -> None:
-        """Give up the shard and answer all staged requests with 'unavailable': none was run."""
+        """Release the shard and answer all staged requests with 'unavailable': none was run."""
         if self._write is not None:
             self._restage(self._write)
         self._phase = _Phase.COLD
--- a/driftstall/controllers/configuration.py
+++ b/driftstall/controllers/configuration.py
@@ -206,8 +206,8 @@
 
     @_handle_event.register
     def _(self, event: ConfigReadFailed) -> list[SubmitAction]:
-        settled = self._state is SubmitState.READING
-        self._state = SubmitState.UNREACHABLE if settled else SubmitState.UNKNOWN
+        is_unwritten = self._state is SubmitState.READING
+        self._state = SubmitState.UNREACHABLE if is_unwritten else SubmitState.UNKNOWN
         return []
 
     @_handle_event.register
--- a/driftstall/peers/codec.py
+++ b/driftstall/peers/codec.py
@@ -40,6 +40,7 @@
 """The fastest zlib level, as messages are small and frequent."""
 HEADER: Final = struct.Struct(">I")
 TRAVERSAL_WORDS: Final = 2_000_000
+"""Cap'n Proto's read limit for one message, in words of eight bytes."""
 PROTOCOL: Final = b"DRIFT\x08"
 """The protocol and its version."""
 FAR_FUTURE: Final = 1e300
