--- a/driftstall/controllers/placement.py
+++ b/driftstall/controllers/placement.py
@@ -16,7 +16,7 @@
 """Time after its last write at which the holder renews the lease."""
 WIRE_MARGIN_S: Final = 1.0
 """Margin for the network delay: no order is sent this shortly before the lease expires."""
-MAX_ORDER_S: Final = 3.0
+MAX_ORDER_DELAY_S: Final = 3.0
 """Maximum time after its sending in which an order to a runner can take effect."""
 MAX_LOADS_PER_PERIOD: Final = 2
 """Maximum loads ordered at once, since the weights store is rate-limited."""
@@ -152,7 +152,7 @@
         if is_foreign or lease is None:
             # A new term: runners without fence checks get no orders until old ones have expired.
             previous_lease_s = lease.duration_s if lease is not None else 0.0
-            orders_expire_in_s = previous_lease_s + MAX_ORDER_S if lease is not None else 0.0
+            orders_expire_in_s = previous_lease_s + MAX_ORDER_DELAY_S if lease is not None else 0.0
             self._unfenced_from = max(now, self._seen_at + orders_expire_in_s)
         self._term = (lease.term if lease else 0) + 1
         self._lease_requested_at = now
--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -27,7 +27,7 @@
 )
 from driftstall.controllers.placement import (
     LEASE_S,
-    MAX_ORDER_S,
+    MAX_ORDER_DELAY_S,
     WIRE_MARGIN_S,
     LeaseObject,
     LeaseRead,
@@ -78,8 +78,8 @@
 def orders_in_time(context: Any) -> None:
     """Check the orders over time; the old holder's last order may still be in flight."""
     assert _ordered(context.new, LEASE_S + 0.5) == ["checking"]
-    assert _ordered(context.new, LEASE_S + MAX_ORDER_S) == ["checking"]
-    assert _ordered(context.new, LEASE_S + MAX_ORDER_S + 0.3) == ["checking", "trusting"]
+    assert _ordered(context.new, LEASE_S + MAX_ORDER_DELAY_S) == ["checking"]
+    assert _ordered(context.new, LEASE_S + MAX_ORDER_DELAY_S + 0.3) == ["checking", "trusting"]
 
 
 @then("the old one orders nothing, even if it wakes up in between")
--- a/features/worlds/placement_world.py
+++ b/features/worlds/placement_world.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from driftstall.controllers.placement import (
-    MAX_ORDER_S,
+    MAX_ORDER_DELAY_S,
     LeaseLost,
     LeaseObject,
     LeaseRead,
@@ -151,7 +151,7 @@
             delay = 0.0
             if self._late_order:
                 self._late_order = False
-                delay = MAX_ORDER_S
+                delay = MAX_ORDER_DELAY_S
             if self._now < action.not_after:
                 self._in_flight.append((self._now + delay, action))
                 self._deliver_due()
