--- a/driftstall/controllers/claims.py
+++ b/driftstall/controllers/claims.py
@@ -75,7 +75,9 @@
     shard: int
     key: str
     fingerprint: str
+    """Identifies the request's content; a key reused with another one is a mismatch."""
     nonce: str
+    """Identifies the attempt; a repeated message has the same one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,10 +188,14 @@
     """Phases of a shard's holder."""
 
     COLD = "cold"
+    """The shard's object is not loaded; the next claim request or outcome loads it."""
     READING = "reading"
+    """The object is read before the shard is taken over."""
     HELD = "held"
+    """The claims are known and no read or write is in progress."""
     WRITING = "writing"
     SETTLING = "settling"
+    """A write's response was lost; the object is read to find out whether it took effect."""
 
 
 @dataclass(slots=True)
--- a/driftstall/peers/gateway_messages.py
+++ b/driftstall/peers/gateway_messages.py
@@ -135,6 +135,7 @@
     sender: str
     upstream: Upstream
     gone: bool
+    """True if the upstream was removed or is leaving."""
 
 
 @dataclass(frozen=True, slots=True)
