--- a/driftstall/gateway/sharing.py
+++ b/driftstall/gateway/sharing.py
@@ -147,15 +147,14 @@
         if isinstance(action, UpstreamLeaving) and (action.is_suspected or action.has_signalled):
             # The platform has not reported this: the instance that the upstream told publishes it.
             return
-        if (
-            isinstance(action, UpstreamReplaced)
-            or isinstance(action, UpstreamCold)
-            and (action.is_assumed)
+        if isinstance(action, UpstreamReplaced) or (
+            isinstance(action, UpstreamCold) and action.is_assumed
         ):
             # Peers derive the action from other updates: a later start, or the end of a cordon.
             return
         if not roles.is_large and is_leaving and not from_peer:
             # Peers watch the platform too, and learn of the upstream's removal there later.
+            # If its last entry still says READY, it leaves because that entry is missing.
             is_removed = action.upstream.state is UpstreamState.READY
             self._broadcast(self._live(), UpstreamNews(self._own_id, action.upstream, is_removed))
         if not roles.is_collector:
